--- a/samphiredock/coordination/once/_run_claiming.py
+++ b/samphiredock/coordination/once/_claim_acquirer.py
@@ -13,29 +13,29 @@
 _Status = protocol.ClaimStatus
 
 
-class Claiming:
+class ClaimAcquirer:
     """Obtains claims from the store and from other holders."""
 
     def __init__(
         self,
         book: _claim_book.ClaimBook,
         holders: _claim_holders.Holders,
-        endings: _run_request.Endings,
+        recorder: _run_request.OutcomeRecorder,
         counters: metrics.Metrics,
         cutoff: _cutoff.Cutoff,
     ) -> None:
         self._cutoff = cutoff
         self._book = book
         self._holders = holders
-        self._endings = endings
+        self._recorder = recorder
         self._metrics = counters
 
-    async def obtain(
+    async def acquire(
         self, run: _run_request.Run
     ) -> protocol.RunOutcome | None:
         """Claim the key; an outcome if it cannot be claimed."""
         run.step('claim')
-        met: state.Claim | None = None
+        found: state.Claim | None = None
         replaces: str | None = None
         while True:
             ended = await self._book.open(
@@ -43,42 +43,42 @@
                 run.claim,
                 run.admitted.deadline_at_ms,
                 replaces,
-                distrust=met is not None,
+                force_read=found is not None,
             )
             run.may_be_stored |= ended.may_be_stored
             opened = ended.opened
             if not isinstance(opened, state.Opened):
-                return self._unclaimed(run, opened)
+                return self._not_acquired(run, opened)
             if opened.verdict is state.Verdict.GRANTED:
                 run.step('grant')
                 return None
-            ended_here = self._ended_by(run, opened)
+            ended_here = self._outcome_in_bucket(run, opened)
             if ended_here is not None:
                 return ended_here
             assert opened.claim is not None
-            if met is not None and met.token == opened.claim.token:
-                return self._endings.lose(
+            if found is not None and found.token == opened.claim.token:
+                return self._recorder.answer_unknown(
                     run, 'the holder of the claim is silent'
                 )
-            met = opened.claim
+            found = opened.claim
             run.step('meet')
             answer = await self._holders.ask(
-                met.token, run.admitted.deadline_at_ms
+                found.token, run.admitted.deadline_at_ms
             )
             if answer is not None and answer.status is _Status.DONE:
                 assert answer.outcome is not None
-                return self._endings.replay(run, answer.outcome)
+                return self._recorder.replay(run, answer.outcome)
             if answer is not None and answer.status is _Status.NEVER_SENT:
                 self._metrics.add('claims_passed_on')
-                replaces, met = met.token, None
+                replaces, found = found.token, None
                 run.step('retake')
 
-    def _ended_by(
+    def _outcome_in_bucket(
         self, run: _run_request.Run, opened: state.Opened
     ) -> protocol.RunOutcome | None:
         """Return the outcome that the bucket gives, None if it is open."""
         if opened.verdict is state.Verdict.FULL:
-            return self._endings.not_run(
+            return self._recorder.answer_not_run(
                 run,
                 protocol.NotRunReason.OVERLOADED,
                 'the bucket of this key is full of open claims; this '
@@ -86,29 +86,29 @@
                 _run_request.RETRY_AFTER_MS,
             )
         if opened.verdict is state.Verdict.KEY_REUSED:
-            return self._reused(run)
+            return self._refuse_reused_key(run)
         assert opened.claim is not None
         if opened.claim.state is state.ClaimState.DONE:
-            return self._replay(run, opened.claim)
+            return self._replay_recorded(run, opened.claim)
         return None
 
-    def _unclaimed(
+    def _not_acquired(
         self, run: _run_request.Run, failure: _claim_bucket.Unavailable | None
     ) -> protocol.RunOutcome:
         if run.progress.state is _run_states.RunState.ASKING:
-            return self._endings.lose(
+            return self._recorder.answer_unknown(
                 run, 'claimed by another, its end not known'
             )
         if failure is None and self._cutoff.has_passed():
-            return self._endings.refuse(run, _run_request.stopping())
+            return self._recorder.refuse(run, _run_request.shutting_down())
         if failure is None:
-            return self._endings.not_run(
+            return self._recorder.answer_not_run(
                 run,
                 protocol.NotRunReason.OVERLOADED,
                 'the claim was not written within the deadline',
                 _run_request.RETRY_AFTER_MS,
             )
-        return self._endings.not_run(
+        return self._recorder.answer_not_run(
             run,
             protocol.NotRunReason.PLATFORM_UNAVAILABLE,
             f'this attempt was not run; what became of earlier ones with '
@@ -116,20 +116,20 @@
             _run_request.RETRY_AFTER_MS,
         )
 
-    def _reused(self, run: _run_request.Run) -> protocol.RunOutcome:
+    def _refuse_reused_key(self, run: _run_request.Run) -> protocol.RunOutcome:
         if run.progress.state is _run_states.RunState.ASKING:
-            return self._endings.lose(
+            return self._recorder.answer_unknown(
                 run, 'the claim changed while it was awaited'
             )
-        return self._endings.refuse(run, _run_request.key_reused())
+        return self._recorder.refuse(run, _run_request.key_reused())
 
-    def _replay(
+    def _replay_recorded(
         self, run: _run_request.Run, claim: state.Claim
     ) -> protocol.RunOutcome:
         if claim.result_dropped:
-            return self._endings.lose(
+            return self._recorder.answer_unknown(
                 run, 'the request ran; its result was too large to be kept'
             )
-        return self._endings.replay(
+        return self._recorder.replay(
             run, protocol.Completed(claim.result, claim.accepted, True)
         )
--- a/samphiredock/coordination/once/_claim_book.py
+++ b/samphiredock/coordination/once/_claim_book.py
@@ -5,7 +5,7 @@
 import random
 
 from samphiredock.coordination.once import _claim_bucket
-from samphiredock.coordination.once import _claim_health
+from samphiredock.coordination.once import _store_health
 from samphiredock.coordination.once import _cutoff
 from samphiredock import metrics
 from samphiredock import state
@@ -41,13 +41,13 @@
         self._clock = clock
         self._random = randomness
         self._metrics = counters
-        self._health = _claim_health.StoreHealth(clock)
+        self._health = _store_health.StoreHealth(clock)
         self._writers: dict[str, _claim_bucket.BucketWriter] = {}
-        self._closing: set[asyncio.Future] = set()
+        self._unrecorded: set[asyncio.Future] = set()
 
     def unrecorded(self) -> int:
         """Return how many ends of claims are not in the store yet."""
-        return len(self._closing)
+        return len(self._unrecorded)
 
     async def open(
         self,
@@ -55,17 +55,17 @@
         wanted: state.Claim,
         deadline_at_ms: float,
         replaces: str | None = None,
-        distrust: bool = False,
+        force_read: bool = False,
     ) -> OpenResult:
         """Open a claim before a deadline.
 
-        With ``distrust`` the object is read from the store in any case.
+        With ``force_read`` the object is read from the store in any case.
         Only ``GRANTED`` allows to send: the put succeeded, or a read shows
         the own token.
         """
         if self._clock.now_ms() >= self._cutoff.bound(deadline_at_ms):
             return OpenResult(None, False)
-        if not self._health.admits():
+        if not self._health.allows_call():
             self._metrics.add('claims_refused_unseen')
             return OpenResult(
                 _claim_bucket.Unavailable('the store does not answer'), False
@@ -75,8 +75,8 @@
             place.digest, wanted, replaces, answer
         )
         writer = self._writer(place.path)
-        if distrust:
-            writer.distrust()
+        if force_read:
+            writer.drop_cache()
         writer.submit(change)
         await self._cutoff.wait_until(answer, deadline_at_ms)
         if not answer.done():
@@ -85,7 +85,7 @@
         granted = _is_granted(opened)
         if granted:
             self._metrics.add('claims_written')
-        return OpenResult(opened, granted or change.offered)
+        return OpenResult(opened, granted or change.put_sent)
 
     def close(
         self, place: state.Place, final: state.Claim
@@ -95,16 +95,16 @@
         Returns a future of whether the claim was still the token's own.
         """
         answer = asyncio.get_running_loop().create_future()
-        self._closing.add(answer)
-        answer.add_done_callback(self._on_closed)
+        self._unrecorded.add(answer)
+        answer.add_done_callback(self._on_recorded)
         change = _claim_bucket.CloseChange(place.digest, final, answer)
         self._writer(place.path).submit(change)
         return answer
 
-    async def settled(self, until_ms: float) -> bool:
+    async def wait_recorded(self, until_ms: float) -> bool:
         """Wait until every end is recorded, at most until a time."""
-        while self._closing:
-            first = next(iter(self._closing))
+        while self._unrecorded:
+            first = next(iter(self._unrecorded))
             if not await _claim_bucket.wait_until(
                 self._clock, first, until_ms
             ):
@@ -116,8 +116,8 @@
         for writer in self._writers.values():
             writer.close()
 
-    def _on_closed(self, done: asyncio.Future) -> None:
-        self._closing.discard(done)
+    def _on_recorded(self, done: asyncio.Future) -> None:
+        self._unrecorded.discard(done)
         if done.cancelled():
             return
         self._metrics.add('claims_closed')
@@ -140,13 +140,13 @@
         return writer
 
     def _on_idle(self, path: str) -> None:
-        self._clock.after(_claim_bucket.FRESH_MS, lambda: self._forget(path))
+        self._clock.after(_claim_bucket.CACHE_MS, lambda: self._forget(path))
 
     def _forget(self, path: str) -> None:
         # A writer keeps the object's last value: it goes when it is idle,
         # so that memory does not grow with the slices of a day.
         writer = self._writers.get(path)
-        if writer is not None and not writer.busy:
+        if writer is not None and not writer.is_busy:
             del self._writers[path]
 
 
--- a/samphiredock/coordination/once/_claim_bucket.py
+++ b/samphiredock/coordination/once/_claim_bucket.py
@@ -7,13 +7,13 @@
 
 from returns import result
 
-from samphiredock.coordination.once import _claim_health
+from samphiredock.coordination.once import _store_health
 from samphiredock import metrics
 from samphiredock import state
 from samphiredock import timers
 from samphiredock import transport
 
-FRESH_MS = 200.0
+CACHE_MS = 200.0
 """How long the version of an own put is taken for the newest one."""
 
 READ_BACK_LIMIT = 5
@@ -32,10 +32,10 @@
 class OpenChange:
     """A claim to open.
 
-    ``offered`` says that a put with this change has been sent, so that the
+    ``put_sent`` says that a put with this change has been sent, so that the
     claim may be in the store whatever the answer was: an HTTP client may
     send a PUT again after a lost connection, and the second one meets a
-    conflict with the first, or an outage.  ``lost`` says that a put got no
+    conflict with the first, or an outage.  ``answer_lost`` says that a put got no
     answer: the claim is looked for before the request is refused.
     """
 
@@ -43,8 +43,8 @@
     wanted: state.Claim
     replaces: str | None
     answer: asyncio.Future
-    offered: bool = False
-    lost: bool = False
+    put_sent: bool = False
+    answer_lost: bool = False
     failures: int = 0
 
 
@@ -116,7 +116,7 @@
         clock: timers.Timers,
         randomness: random.Random,
         counters: metrics.Metrics,
-        health: _claim_health.StoreHealth,
+        health: _store_health.StoreHealth,
         on_idle: typing.Callable[[], None],
     ) -> None:
         self._path = path
@@ -128,13 +128,13 @@
         self._on_idle = on_idle
         self._queue: list[Change] = []
         self._task: asyncio.Task | None = None
-        self._sleeper: asyncio.Future | None = None
-        self._fresh: tuple[int, bytes] | None = None
-        self._fresh_until_ms = 0.0
-        self._failures = 0
+        self._retry_waker: asyncio.Future | None = None
+        self._cached: tuple[int, bytes] | None = None
+        self._cached_until_ms = 0.0
+        self._failed_commits = 0
 
     @property
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Whether changes wait."""
         return self._task is not None
 
@@ -142,21 +142,21 @@
         """Add a change; its ``answer`` is resolved when it is committed."""
         self._queue.append(change)
         if self._task is None:
-            self._task = asyncio.create_task(self._work())
-        elif self._sleeper is not None and isinstance(change, OpenChange):
+            self._task = asyncio.create_task(self._commit_queue())
+        elif self._retry_waker is not None and isinstance(change, OpenChange):
             # A caller waits: it learns at once whether the store is back.
-            _wake(self._sleeper)
+            _wake(self._retry_waker)
 
-    def distrust(self) -> None:
+    def drop_cache(self) -> None:
         """Read the object again before the next change."""
-        self._fresh = None
+        self._cached = None
 
     def close(self) -> None:
-        """Stop, leaving what is not written."""
+        """Stop, leaving what is not reply."""
         if self._task is not None:
             self._task.cancel()
 
-    async def _work(self) -> None:
+    async def _commit_queue(self) -> None:
         try:
             while self._queue:
                 delay_ms = await self._commit()
@@ -166,20 +166,20 @@
                     if not change.answer.done()
                 ]
                 if delay_ms and self._queue:
-                    await self._sleep(delay_ms)
+                    await self._wait_for_retry(delay_ms)
         finally:
             # If a broken invariant ends this task, the next change starts
             # another: the keys of the bucket must not hang for good.
             self._task = None
-            self._sleeper = None
+            self._retry_waker = None
         self._on_idle()
 
-    async def _sleep(self, delay_ms: float) -> None:
-        self._sleeper = asyncio.get_running_loop().create_future()
+    async def _wait_for_retry(self, delay_ms: float) -> None:
+        self._retry_waker = asyncio.get_running_loop().create_future()
         await wait_until(
-            self._clock, self._sleeper, self._clock.now_ms() + delay_ms
+            self._clock, self._retry_waker, self._clock.now_ms() + delay_ms
         )
-        self._sleeper = None
+        self._retry_waker = None
 
     async def _commit(self) -> float:
         """Try one commit; return how long to wait before the next in ms."""
@@ -194,7 +194,7 @@
             error = await self._put(version, bucket, batch)
             if error is not None:
                 return self._on_put_error(error)
-        self._failures = 0
+        self._failed_commits = 0
         for change, verdict in zip(batch, verdicts):
             if not change.answer.done():
                 change.answer.set_result(verdict)
@@ -211,17 +211,17 @@
         self,
     ) -> tuple[int, state.Bucket] | transport.StoreError:
         now_ms = self._clock.now_ms()
-        if self._fresh is not None and now_ms < self._fresh_until_ms:
-            version, value = self._fresh
+        if self._cached is not None and now_ms < self._cached_until_ms:
+            version, value = self._cached
         else:
             self._metrics.add('claim_reads')
-            found = await self._watched(self._platform.get(self._path))
-            if isinstance(found, result.Failure):
-                error = found.failure()
+            reply = await self._monitored(self._platform.get(self._path))
+            if isinstance(reply, result.Failure):
+                error = reply.failure()
                 if error.kind is transport.StoreErrorKind.NOT_FOUND:
                     return transport.CREATE_ONLY, state.Bucket()
                 return error
-            version, value = found.unwrap().version, found.unwrap().value
+            version, value = reply.unwrap().version, reply.unwrap().value
         bucket = state.decode_bucket(value)
         if bucket is None:
             self._metrics.add('claim_buckets_unreadable')
@@ -236,43 +236,43 @@
     ) -> transport.StoreError | None:
         opens = [item for item in batch if isinstance(item, OpenChange)]
         for change in opens:
-            change.offered = True
+            change.put_sent = True
         value = bucket.encode()
         self._metrics.add('claim_writes')
         self._metrics.add('claim_changes', len(batch))
-        written = await self._watched(
+        reply = await self._monitored(
             self._platform.put(self._path, value, version)
         )
-        if isinstance(written, result.Success):
-            self._fresh = (written.unwrap(), value)
-            self._fresh_until_ms = self._clock.now_ms() + FRESH_MS
+        if isinstance(reply, result.Success):
+            self._cached = (reply.unwrap(), value)
+            self._cached_until_ms = self._clock.now_ms() + CACHE_MS
             return None
-        error = written.failure()
-        self._fresh = None
+        error = reply.failure()
+        self._cached = None
         for change in opens:
-            change.lost |= error.kind is transport.StoreErrorKind.LOST
+            change.answer_lost |= error.kind is transport.StoreErrorKind.LOST
         return error
 
-    async def _watched(
+    async def _monitored(
         self, call: typing.Coroutine[typing.Any, typing.Any, _Reply]
     ) -> _Reply:
-        number = self._health.begin()
+        number = self._health.call_started()
         is_answered = False
         try:
             reply = await call
             is_answered = not _is_lost(reply)
             return reply
         finally:
-            self._health.end(number, is_answered)
+            self._health.call_ended(number, is_answered)
 
     def _on_put_error(self, error: transport.StoreError) -> float:
         if error.kind is transport.StoreErrorKind.CONFLICT:
             self._metrics.add('claim_conflicts')
-            self._failures += 1
+            self._failed_commits += 1
             return self._backoff_ms()
         if error.kind is transport.StoreErrorKind.LOST:
             self._metrics.add('claim_answers_lost')
-            self._failures += 1
+            self._failed_commits += 1
             return self._backoff_ms()
         return self._on_store_error(error)
 
@@ -282,18 +282,18 @@
         A claim that may be there is read back a few times first.
         """
         self._metrics.add('claim_store_errors', kind=error.kind.value)
-        self._fresh = None
-        self._failures += 1
+        self._cached = None
+        self._failed_commits += 1
         for change in self._queue:
             if isinstance(change, CloseChange) or change.answer.done():
                 continue
             change.failures += 1
-            if not change.lost or change.failures >= READ_BACK_LIMIT:
+            if not change.answer_lost or change.failures >= READ_BACK_LIMIT:
                 change.answer.set_result(Unavailable(error.detail))
         return self._backoff_ms()
 
     def _backoff_ms(self) -> float:
         ceiling_ms = min(
-            _BACKOFF_LIMIT_MS, _BACKOFF_MS * 2 ** min(self._failures, 12)
+            _BACKOFF_LIMIT_MS, _BACKOFF_MS * 2 ** min(self._failed_commits, 12)
         )
         return ceiling_ms * (0.5 + 0.5 * self._random.random())
--- a/samphiredock/coordination/once/_claim_holders.py
+++ b/samphiredock/coordination/once/_claim_holders.py
@@ -20,7 +20,7 @@
 
 UNSETTLED_LIMIT = 10_000
 
-_NEXT = {
+_ALLOWED_CHANGES = {
     None: {protocol.ClaimStatus.RUNNING},
     protocol.ClaimStatus.RUNNING: {
         protocol.ClaimStatus.DONE,
@@ -38,10 +38,10 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Held:
+class _TrackedClaim:
     status: protocol.ClaimStatus
     outcome: protocol.Completed | None = None
-    watchers: set[str] = dataclasses.field(default_factory=set)
+    waiting_peers: set[str] = dataclasses.field(default_factory=set)
 
 
 class Holders:
@@ -58,24 +58,24 @@
         self._peers = peers
         self._clock = clock
         self._metrics = counters
-        self._held: dict[str, _Held] = {}
+        self._tracked: dict[str, _TrackedClaim] = {}
         self._unsettled: collections.deque[str] = collections.deque()
-        self._asking: dict[str, list[asyncio.Future]] = {}
-        self._heard_ms: dict[str, float] = {}
+        self._pending_asks: dict[str, list[asyncio.Future]] = {}
+        self._last_heard_ms: dict[str, float] = {}
         peers.subscribe(protocol.ClaimAsk, self._on_ask)
         peers.subscribe(protocol.ClaimAnswer, self._on_answer)
 
-    def begin(self, token: str) -> None:
+    def track(self, token: str) -> None:
         """Answer for a new claim from now on."""
-        assert token not in self._held, f'{token}: begun twice'
-        self._held[token] = _Held(protocol.ClaimStatus.RUNNING)
+        assert token not in self._tracked, f'{token}: begun twice'
+        self._tracked[token] = _TrackedClaim(protocol.ClaimStatus.RUNNING)
 
     def status(self, token: str) -> protocol.ClaimStatus:
         """Return what a peer that asked now would be told."""
-        held = self._held.get(token)
-        return held.status if held else protocol.ClaimStatus.UNTRACKED
+        tracked = self._tracked.get(token)
+        return tracked.status if tracked else protocol.ClaimStatus.UNTRACKED
 
-    def change(
+    def update(
         self,
         token: str,
         status: protocol.ClaimStatus,
@@ -86,21 +86,21 @@
         Raises ``AssertionError`` for a change that would take back a word
         already given.
         """
-        held = self._held.get(token)
-        before = held.status if held else None
-        assert held is not None and status in _NEXT[before], (
+        tracked = self._tracked.get(token)
+        before = tracked.status if tracked else None
+        assert tracked is not None and status in _ALLOWED_CHANGES[before], (
             f'{token}: {before} cannot become {status}'
         )
-        held.status, held.outcome = status, outcome
-        for member in sorted(held.watchers):
-            self._tell(member, token, held)
+        tracked.status, tracked.outcome = status, outcome
+        for member in sorted(tracked.waiting_peers):
+            self._send_answer(member, token, tracked)
         if status is protocol.ClaimStatus.UNSETTLED:
             self._unsettled.append(token)
-            self._drop_oldest()
+            self._drop_oldest_unsettled()
 
     def forget(self, token: str) -> None:
         """Stop answering for a claim whose end is in the store."""
-        self._held.pop(token, None)
+        self._tracked.pop(token, None)
 
     async def ask(
         self, token: str, until_ms: float
@@ -110,17 +110,17 @@
         if parts is None:
             return None
         future = asyncio.get_running_loop().create_future()
-        self._asking.setdefault(token, []).append(future)
-        self._heard_ms[token] = self._clock.now_ms()
+        self._pending_asks.setdefault(token, []).append(future)
+        self._last_heard_ms[token] = self._clock.now_ms()
         try:
-            return await self._await_word(token, parts, future, until_ms)
+            return await self._wait_for_answer(token, parts, future, until_ms)
         finally:
-            self._asking[token].remove(future)
-            if not self._asking[token]:
-                del self._asking[token]
-                self._heard_ms.pop(token, None)
+            self._pending_asks[token].remove(future)
+            if not self._pending_asks[token]:
+                del self._pending_asks[token]
+                self._last_heard_ms.pop(token, None)
 
-    async def _await_word(
+    async def _wait_for_answer(
         self,
         token: str,
         parts: protocol.ClaimToken,
@@ -134,24 +134,27 @@
             next_ms = self._clock.now_ms() + ASK_PERIOD_MS
             if await self._cutoff.wait_until(future, min(next_ms, until_ms)):
                 return future.result()
-            silent_ms = self._clock.now_ms() - self._heard_ms[token]
+            silent_ms = self._clock.now_ms() - self._last_heard_ms[token]
             if silent_ms >= SILENT_MS:
                 self._metrics.add('claim_holders_silent')
                 return None
         return None
 
     def _on_ask(self, sender: str, ask: protocol.ClaimAsk) -> None:
-        held = self._held.get(ask.token)
-        if held is None:
-            held = _Held(protocol.ClaimStatus.UNTRACKED)
-        elif held.status is protocol.ClaimStatus.RUNNING:
-            held.watchers.add(sender)
-        self._metrics.add('claim_asks_answered', status=held.status.value)
-        self._tell(sender, ask.token, held)
-
-    def _tell(self, member: str, token: str, held: _Held) -> None:
+        tracked = self._tracked.get(ask.token)
+        if tracked is None:
+            tracked = _TrackedClaim(protocol.ClaimStatus.UNTRACKED)
+        elif tracked.status is protocol.ClaimStatus.RUNNING:
+            tracked.waiting_peers.add(sender)
+        self._metrics.add('claim_asks_answered', status=tracked.status.value)
+        self._send_answer(sender, ask.token, tracked)
+
+    def _send_answer(
+        self, member: str, token: str, tracked: _TrackedClaim
+    ) -> None:
         self._peers.send(
-            member, protocol.ClaimAnswer(token, held.status, held.outcome)
+            member,
+            protocol.ClaimAnswer(token, tracked.status, tracked.outcome),
         )
 
     def _on_answer(self, sender: str, answer: protocol.ClaimAnswer) -> None:
@@ -160,17 +163,17 @@
             self._metrics.add('claim_answers_refused')
             return
         if answer.status is protocol.ClaimStatus.RUNNING:
-            if answer.token in self._heard_ms:
-                self._heard_ms[answer.token] = self._clock.now_ms()
+            if answer.token in self._last_heard_ms:
+                self._last_heard_ms[answer.token] = self._clock.now_ms()
             return
-        for future in self._asking.get(answer.token, ()):
+        for future in self._pending_asks.get(answer.token, ()):
             if not future.done():
                 future.set_result(answer)
 
-    def _drop_oldest(self) -> None:
+    def _drop_oldest_unsettled(self) -> None:
         while len(self._unsettled) > UNSETTLED_LIMIT:
             token = self._unsettled.popleft()
-            held = self._held.get(token)
-            if held and held.status is protocol.ClaimStatus.UNSETTLED:
+            tracked = self._tracked.get(token)
+            if tracked and tracked.status is protocol.ClaimStatus.UNSETTLED:
                 self.forget(token)
                 self._metrics.add('claims_unsettled_dropped')
--- a/samphiredock/coordination/once/_cutoff.py
+++ b/samphiredock/coordination/once/_cutoff.py
@@ -21,7 +21,7 @@
         self._at_ms = math.inf
         self._waiting: set[asyncio.Future] = set()
 
-    def pass_now(self) -> None:
+    def trigger(self) -> None:
         """End every wait, those to come too."""
         self._at_ms = min(self._at_ms, self._clock.now_ms())
         for waker in list(self._waiting):
--- a/samphiredock/coordination/once/_run_admission.py
+++ b/samphiredock/coordination/once/_run_admission.py
@@ -13,14 +13,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Admitted:
+class AdmittedRequest:
     """A request that may be claimed."""
 
     request: protocol.RunRequest
     key: str
     operation: state.Operation
     place: state.Place
-    content: str
+    content_digest: str
     fingerprint: str
     retention_ms: int
     since_ms: int
@@ -33,21 +33,21 @@
     configuration: state.Configuration | None,
     now_ms: float,
     wall_ms: int,
-) -> Admitted | protocol.NotRun:
+) -> AdmittedRequest | protocol.NotRun:
     """Check a request against the configuration and the clock."""
     if configuration is None:
-        return _refused(
+        return _not_run(
             protocol.NotRunReason.NOT_READY, 'no configuration yet', 500
         )
     operation = _find_operation(request, configuration)
     if isinstance(operation, protocol.NotRun):
         return operation
     limits = configuration.limits
-    problem = _problem_with(request, key, limits)
+    problem = _validate(request, key, limits)
     if problem is not None:
         return problem
     retention_ms = min(limits.key_retention_ms, state.RETENTION_LIMIT_MS)
-    stale = stale_key(request, retention_ms, wall_ms)
+    stale = refuse_stale_key(request, retention_ms, wall_ms)
     if stale is not None:
         return stale
     deadline_ms = (
@@ -55,7 +55,7 @@
         if request.deadline_ms is None
         else request.deadline_ms
     )
-    return Admitted(
+    return AdmittedRequest(
         request,
         key,
         operation,
@@ -75,13 +75,13 @@
 ) -> state.Operation | protocol.NotRun:
     service = configuration.services.get(request.service)
     if service is None:
-        return _refused(
+        return _not_run(
             protocol.NotRunReason.UNKNOWN_SERVICE,
             f'got service {request.service!r}, expected a configured one',
         )
     operation = service.operations.get(request.operation)
     if operation is None:
-        return _refused(
+        return _not_run(
             protocol.NotRunReason.UNKNOWN_OPERATION,
             f'got operation {request.operation!r}, '
             f'expected one of {sorted(service.operations)}',
@@ -89,14 +89,14 @@
     return operation
 
 
-def stale_key(
+def refuse_stale_key(
     request: protocol.RunRequest, retention_ms: int, wall_ms: int
 ) -> protocol.NotRun | None:
     """Return the refusal of a key whose claim may have been deleted."""
     age_ms = wall_ms - request.issued_at_ms
     if -FUTURE_SKEW_MS <= age_ms <= retention_ms:
         return None
-    return _refused(
+    return _not_run(
         protocol.NotRunReason.STALE_KEY,
         f'issued_at_ms: got a key {age_ms} ms old, '
         f'expected {-FUTURE_SKEW_MS} to {retention_ms}; this attempt was '
@@ -104,18 +104,18 @@
     )
 
 
-def _problem_with(
+def _validate(
     request: protocol.RunRequest, key: str, limits: state.Limits
 ) -> protocol.NotRun | None:
     if not 0 < len(key) <= KEY_LIMIT_CHARS:
-        return _refused(
+        return _not_run(
             protocol.NotRunReason.BAD_REQUEST,
             f'idempotency key: got {len(key)} characters, '
             f'expected 1 to {KEY_LIMIT_CHARS}',
         )
     if not (key.isascii() and key.isprintable()):
         # A header may hold bytes that no message can carry on.
-        return _refused(
+        return _not_run(
             protocol.NotRunReason.BAD_REQUEST,
             f'idempotency key: got {ascii(key)}, '
             'expected printable ASCII characters',
@@ -124,12 +124,12 @@
     if deadline_ms is None:
         return None
     if deadline_ms <= 0:
-        return _refused(
+        return _not_run(
             protocol.NotRunReason.DEADLINE_TOO_SHORT,
             f'deadline_ms: got {deadline_ms}, expected more than 0',
         )
     if deadline_ms > limits.deadline_limit_ms:
-        return _refused(
+        return _not_run(
             protocol.NotRunReason.BAD_REQUEST,
             f'deadline_ms: got {deadline_ms}, '
             f'expected at most {limits.deadline_limit_ms}',
@@ -137,7 +137,7 @@
     return None
 
 
-def _refused(
+def _not_run(
     reason: protocol.NotRunReason, detail: str, retry_after_ms: int = 0
 ) -> protocol.NotRun:
     return protocol.NotRun(reason, detail, retry_after_ms)
--- a/samphiredock/coordination/once/_run_once.py
+++ b/samphiredock/coordination/once/_run_once.py
@@ -14,7 +14,7 @@
 from samphiredock.coordination.once import _claim_holders
 from samphiredock.coordination.once import _cutoff
 from samphiredock.coordination.once import _run_admission
-from samphiredock.coordination.once import _run_claiming
+from samphiredock.coordination.once import _claim_acquirer
 from samphiredock.coordination.once import _run_orders
 from samphiredock.coordination.once import _run_request
 from samphiredock.coordination.once import _run_sending
@@ -49,7 +49,7 @@
         name: str,
         site: str,
         incarnation: int,
-        view: _run_sending.View,
+        view: _run_sending.RoutingView,
         peers: transport.Peers,
         platform: transport.Platform,
         clock: timers.Timers,
@@ -67,8 +67,8 @@
         # Two lives that began in one millisecond of a clock set back, or
         # two daemons with one name, must not take each other's claims for
         # their own.
-        self._numbers = itertools.count(randomness.getrandbits(48))
-        self._live: dict[str, _run_request.Run] = {}
+        self._claim_numbers = itertools.count(randomness.getrandbits(48))
+        self._runs: dict[str, _run_request.Run] = {}
         self._draining = False
         self._cutoff = _cutoff.Cutoff(clock)
         self._book = _claim_book.ClaimBook(
@@ -77,25 +77,25 @@
         self._holders = _claim_holders.Holders(
             peers, clock, counters, self._cutoff
         )
-        self._endings = _run_request.Endings(
+        self._recorder = _run_request.OutcomeRecorder(
             self._book, self._holders, self._quarantine, counters
         )
         orders = _run_orders.Orders(
             peers,
             clock,
             counters,
-            self._endings.on_late_report,
+            self._recorder.on_late_report,
             self._cutoff,
         )
-        self._claiming = _run_claiming.Claiming(
-            self._book, self._holders, self._endings, counters, self._cutoff
+        self._acquirer = _claim_acquirer.ClaimAcquirer(
+            self._book, self._holders, self._recorder, counters, self._cutoff
         )
-        self._sending = _run_sending.Sending(
+        self._sender = _run_sending.RunSender(
             site,
             view,
             orders,
             self._holders,
-            self._endings,
+            self._recorder,
             clock,
             randomness,
             counters,
@@ -104,7 +104,7 @@
 
     def in_flight(self) -> int:
         """Return how many requests are not answered yet."""
-        return len(self._live)
+        return len(self._runs)
 
     def unrecorded(self) -> int:
         """Return how many ends of claims are not in the store yet."""
@@ -122,16 +122,16 @@
             self._clock.wall_ms(),
         )
         if isinstance(admitted, protocol.NotRun):
-            return self._counted(admitted)
-        live = self._live.get(admitted.place.digest)
+            return self._count_not_run(admitted)
+        live = self._runs.get(admitted.place.digest)
         if live is not None:
-            return self._counted(await self._join(live, admitted))
+            return self._count_not_run(await self._join(live, admitted))
         if self._draining:
-            return self._counted(_run_request.stopping())
+            return self._count_not_run(_run_request.shutting_down())
         run = self._start(admitted)
         # The request goes on when its caller is gone: a caller that the
         # balancer cut off must find the recorded outcome when it retries.
-        return self._counted(await asyncio.shield(run.task))
+        return self._count_not_run(await asyncio.shield(run.task))
 
     def end(self) -> None:
         """Take no new request and end those there are, each truthfully.
@@ -140,7 +140,7 @@
         ``CANCEL_WAIT_MS`` from now, and nothing is sent any more.
         """
         self._draining = True
-        self._cutoff.pass_now()
+        self._cutoff.trigger()
 
     async def drain(self, limit_ms: float = DRAIN_LIMIT_MS) -> int:
         """Take no new request; finish and record those there are.
@@ -149,9 +149,9 @@
         """
         self._draining = True
         until_ms = self._clock.now_ms() + limit_ms
-        for run in list(self._live.values()):
+        for run in list(self._runs.values()):
             await _claim_bucket.wait_until(self._clock, run.task, until_ms)
-        await self._book.settled(until_ms)
+        await self._book.wait_recorded(until_ms)
         left = self._book.unrecorded()
         if left:
             _log.warning('outcomes not recorded', count=left)
@@ -159,28 +159,30 @@
 
     def close(self) -> None:
         """Stop everything at once."""
-        for run in self._live.values():
+        for run in self._runs.values():
             run.task.cancel()
         self._book.stop()
 
-    def _start(self, admitted: _run_admission.Admitted) -> _run_request.Run:
+    def _start(
+        self, admitted: _run_admission.AdmittedRequest
+    ) -> _run_request.Run:
         token = protocol.ClaimToken(
-            self._name, self._incarnation, next(self._numbers)
+            self._name, self._incarnation, next(self._claim_numbers)
         )
         run = _run_request.Run(
             admitted, str(token), _run_states.new_progress()
         )
-        self._live[admitted.place.digest] = run
-        self._holders.begin(run.token)
-        run.task = asyncio.create_task(self._drive(run))
+        self._runs[admitted.place.digest] = run
+        self._holders.track(run.token)
+        run.task = asyncio.create_task(self._run_to_outcome(run))
         return run
 
     async def _join(
-        self, run: _run_request.Run, admitted: _run_admission.Admitted
+        self, run: _run_request.Run, admitted: _run_admission.AdmittedRequest
     ) -> protocol.RunOutcome:
         """Give a second request the outcome of the one that is running."""
         self._metrics.add('run_joined')
-        if run.admitted.content != admitted.content:
+        if run.admitted.content_digest != admitted.content_digest:
             return _run_request.key_reused()
         assert run.task is not None
         if not await _claim_bucket.wait_until(
@@ -198,22 +200,24 @@
             return _run_request.replayed(outcome)
         return outcome
 
-    async def _drive(self, run: _run_request.Run) -> protocol.RunOutcome:
+    async def _run_to_outcome(
+        self, run: _run_request.Run
+    ) -> protocol.RunOutcome:
         started_ms = self._clock.now_ms()
         try:
             refusal = self._quarantine.refusal(run.admitted.fingerprint)
             if refusal is not None:
-                return self._endings.refuse(run, refusal)
-            outcome = await self._claiming.obtain(run)
+                return self._recorder.refuse(run, refusal)
+            outcome = await self._acquirer.acquire(run)
             if outcome is None:
-                outcome = await self._sending.execute(run)
+                outcome = await self._sender.execute(run)
             return outcome
         finally:
             if self._holders.status(run.token) is _Status.RUNNING:
                 # Stopped from outside: the claim stays, nobody reruns it.
-                self._holders.change(run.token, _Status.UNSETTLED)
+                self._holders.update(run.token, _Status.UNSETTLED)
             _run_states.release(run.progress)
-            del self._live[run.admitted.place.digest]
+            del self._runs[run.admitted.place.digest]
             self._metrics.observe(
                 'request_latency_ms',
                 self._clock.now_ms() - started_ms,
@@ -221,7 +225,9 @@
                 request_class=run.admitted.operation.request_class,
             )
 
-    def _counted(self, outcome: protocol.RunOutcome) -> protocol.RunOutcome:
+    def _count_not_run(
+        self, outcome: protocol.RunOutcome
+    ) -> protocol.RunOutcome:
         if isinstance(outcome, protocol.NotRun):
             self._metrics.add('runs_not_run', reason=outcome.reason.value)
         return outcome
--- a/samphiredock/coordination/once/_run_orders.py
+++ b/samphiredock/coordination/once/_run_orders.py
@@ -27,7 +27,7 @@
     target: str
     unread: protocol.RunReport | None = None
     waker: asyncio.Future | None = None
-    left: bool = False
+    is_abandoned: bool = False
 
 
 def proves_not_begun(report: protocol.RunReport) -> bool:
@@ -81,7 +81,7 @@
         self._metrics.add('run_orders_unsent')
         return False
 
-    async def report(
+    async def wait_report(
         self, attempt_id: str, until_ms: float
     ) -> protocol.RunReport | None:
         """Wait for the next report on an order, None if none came.
@@ -89,12 +89,12 @@
         The wait ends when the daemon's time is up: the order is cancelled
         then, as at its deadline.
         """
-        return await self._next(
+        return await self._next_report(
             attempt_id,
             lambda waker: self._cutoff.wait_until(waker, until_ms),
         )
 
-    async def _next(
+    async def _next_report(
         self,
         attempt_id: str,
         wait: typing.Callable[
@@ -127,7 +127,7 @@
         ):
             return None
         while self._clock.now_ms() < until_ms:
-            report = await self._next(
+            report = await self._next_report(
                 attempt_id,
                 lambda waker: _claim_bucket.wait_until(
                     self._clock, waker, until_ms
@@ -137,16 +137,18 @@
                 return report
         return None
 
-    def settle(self, attempt_id: str) -> None:
+    def forget(self, attempt_id: str) -> None:
         """Forget an order whose end is known."""
         self._outstanding.pop(attempt_id, None)
 
-    def leave(self, attempt_id: str) -> None:
+    def abandon(self, attempt_id: str) -> None:
         """Wait no more: a report that settles the order is a late one."""
         outstanding = self._outstanding[attempt_id]
-        outstanding.left = True
+        outstanding.is_abandoned = True
         if outstanding.unread is not None:
-            self._take_late(attempt_id, outstanding, outstanding.unread)
+            self._handle_late_report(
+                attempt_id, outstanding, outstanding.unread
+            )
         while len(self._outstanding) > OUTSTANDING_LIMIT:
             self._outstanding.popitem(last=False)
             self._metrics.add('run_orders_dropped')
@@ -159,8 +161,8 @@
         if (sender, report.target) != (outstanding.owner, outstanding.target):
             self._metrics.add('run_reports_refused')
             return
-        if outstanding.left:
-            self._take_late(report.attempt_id, outstanding, report)
+        if outstanding.is_abandoned:
+            self._handle_late_report(report.attempt_id, outstanding, report)
             return
         # A report that settles the order is not lost to a later one that
         # arrives before the first has been read.
@@ -170,13 +172,13 @@
         if waker is not None and not waker.done():
             waker.set_result(None)
 
-    def _take_late(
+    def _handle_late_report(
         self,
         attempt_id: str,
         outstanding: _Outstanding,
         report: protocol.RunReport,
     ) -> None:
         if is_final(report):
-            self.settle(attempt_id)
+            self.forget(attempt_id)
             self._metrics.add('run_reports_late')
             self._on_late(outstanding.token, report)
--- a/samphiredock/coordination/once/_run_request.py
+++ b/samphiredock/coordination/once/_run_request.py
@@ -56,7 +56,7 @@
     ``may_be_stored`` says that its claim may be in the store.
     """
 
-    admitted: _run_admission.Admitted
+    admitted: _run_admission.AdmittedRequest
     token: str
     progress: _run_states.RunProgress
     task: asyncio.Task | None = None
@@ -73,7 +73,7 @@
         _run_states.step(self.progress, trigger)
 
 
-class Endings:
+class OutcomeRecorder:
     """Ends requests: towards the caller, the peers and the store."""
 
     def __init__(
@@ -87,7 +87,7 @@
         self._holders = holders
         self._quarantine = quarantine
         self._metrics = counters
-        self._unsettled: dict[str, _run_admission.Admitted] = {}
+        self._unsettled: dict[str, _run_admission.AdmittedRequest] = {}
 
     def replay(
         self, run: Run, outcome: protocol.Completed
@@ -95,28 +95,28 @@
         """Answer with the outcome of another claim."""
         run.step('complete')
         self._metrics.add('run_replayed')
-        self._give_up(run)
+        self._abandon_claim(run)
         return replayed(outcome)
 
-    def note_lost(
+    def record_target_loss(
         self,
-        admitted: _run_admission.Admitted,
+        admitted: _run_admission.AdmittedRequest,
         report: protocol.RunReport | None,
     ) -> None:
         """Tell the quarantine if a target was lost under the request."""
         if report is not None and report.target_lost:
             self._quarantine.note_lost(admitted.fingerprint, report.target)
 
-    def ran(
+    def complete(
         self,
         token: str,
-        admitted: _run_admission.Admitted,
+        admitted: _run_admission.AdmittedRequest,
         report: protocol.RunReport,
     ) -> protocol.Completed:
         """A target ran it: tell who asked, and record it in background."""
         self._quarantine.note_succeeded(admitted.fingerprint)
         outcome = protocol.Completed(report.result, report.accepted, False)
-        self._holders.change(token, _Status.DONE, outcome)
+        self._holders.update(token, _Status.DONE, outcome)
         self._metrics.add('runs_completed')
         self._close(
             admitted.place,
@@ -134,12 +134,12 @@
         ):
             return
         if _run_orders.proves_not_begun(report):
-            self._holders.change(token, _Status.NEVER_SENT)
+            self._holders.update(token, _Status.NEVER_SENT)
             self._close_not_run(token, admitted)
             return
-        self.ran(token, admitted, report)
+        self.complete(token, admitted, report)
 
-    def lose(self, run: Run, detail: str) -> protocol.Unknown:
+    def answer_unknown(self, run: Run, detail: str) -> protocol.Unknown:
         """Answer that the end is not known."""
         before = run.progress.state
         run.step('lose')
@@ -148,15 +148,15 @@
             _run_states.RunState.SENT,
             _run_states.RunState.CANCELLING,
         ):
-            self._holders.change(run.token, _Status.UNSETTLED)
+            self._holders.update(run.token, _Status.UNSETTLED)
             self._unsettled[run.token] = run.admitted
             while len(self._unsettled) > _run_orders.OUTSTANDING_LIMIT:
                 del self._unsettled[next(iter(self._unsettled))]
         else:
-            self._give_up(run)
+            self._abandon_claim(run)
         return protocol.Unknown(detail, RETRY_AFTER_MS)
 
-    def not_run(
+    def answer_not_run(
         self,
         run: Run,
         reason: protocol.NotRunReason,
@@ -174,12 +174,12 @@
             f'{run.token}: not run cannot be said in {run.progress.state}'
         )
         run.step('refuse')
-        self._give_up(run)
+        self._abandon_claim(run)
         return refusal
 
-    def _give_up(self, run: Run) -> None:
+    def _abandon_claim(self, run: Run) -> None:
         """Promise never to send, then free the key if it may be claimed."""
-        self._holders.change(run.token, _Status.NEVER_SENT)
+        self._holders.update(run.token, _Status.NEVER_SENT)
         if run.may_be_stored:
             self._metrics.add('claims_given_up')
             self._close_not_run(run.token, run.admitted)
@@ -187,7 +187,7 @@
             self._holders.forget(run.token)
 
     def _close_not_run(
-        self, token: str, admitted: _run_admission.Admitted
+        self, token: str, admitted: _run_admission.AdmittedRequest
     ) -> None:
         self._close(
             admitted.place,
@@ -199,10 +199,15 @@
         recorded.add_done_callback(lambda _: self._holders.forget(final.token))
 
 
-def open_claim(token: str, admitted: _run_admission.Admitted) -> state.Claim:
+def open_claim(
+    token: str, admitted: _run_admission.AdmittedRequest
+) -> state.Claim:
     """Return the open claim of a token for a request."""
     return state.Claim(
-        token, admitted.content, state.ClaimState.OPEN, admitted.since_ms
+        token,
+        admitted.content_digest,
+        state.ClaimState.OPEN,
+        admitted.since_ms,
     )
 
 
@@ -211,7 +216,7 @@
     return protocol.Completed(outcome.result, outcome.accepted, True)
 
 
-def stopping() -> protocol.NotRun:
+def shutting_down() -> protocol.NotRun:
     """Return the refusal of a daemon that takes nothing more."""
     return protocol.NotRun(
         protocol.NotRunReason.SHUTTING_DOWN,
--- a/samphiredock/coordination/once/_run_sending.py
+++ b/samphiredock/coordination/once/_run_sending.py
@@ -31,7 +31,7 @@
 _Status = protocol.ClaimStatus
 
 
-class View(typing.Protocol):
+class RoutingView(typing.Protocol):
     """What the runner reads of the daemon's knowledge."""
 
     @property
@@ -45,16 +45,16 @@
         """Whether a target may get new work."""
 
 
-class Sending:
+class RunSender:
     """Tries targets one after another, each proved not to have begun."""
 
     def __init__(
         self,
         site: str,
-        view: View,
+        view: RoutingView,
         orders: _run_orders.Orders,
         holders: _claim_holders.Holders,
-        endings: _run_request.Endings,
+        recorder: _run_request.OutcomeRecorder,
         clock: timers.Timers,
         randomness: random.Random,
         counters: metrics.Metrics,
@@ -65,7 +65,7 @@
         self._view = view
         self._orders = orders
         self._holders = holders
-        self._endings = endings
+        self._recorder = recorder
         self._clock = clock
         self._random = randomness
         self._metrics = counters
@@ -77,14 +77,14 @@
         detail = 'no target of the operation may get work'
         retry_after_ms = _run_request.RETRY_AFTER_MS
         for _ in range(TARGET_LIMIT):
-            refusal = self._last_check(run)
+            refusal = self._check_before_send(run)
             if refusal is not None:
-                return self._endings.refuse(run, refusal)
-            target = self._choose(run, tried)
+                return self._recorder.refuse(run, refusal)
+            target = self._choose_target(run, tried)
             if target is None:
                 break
             tried.add(target)
-            ended = await self._attempt(run, target)
+            ended = await self._try_target(run, target)
             if not isinstance(ended, protocol.RunReport):
                 return ended
             reason = _STATUS_REASON.get(
@@ -94,9 +94,13 @@
             retry_after_ms = (
                 ended.retry_after_ms or _run_request.RETRY_AFTER_MS
             )
-        return self._endings.not_run(run, reason, detail, retry_after_ms)
+        return self._recorder.answer_not_run(
+            run, reason, detail, retry_after_ms
+        )
 
-    def _last_check(self, run: _run_request.Run) -> protocol.NotRun | None:
+    def _check_before_send(
+        self, run: _run_request.Run
+    ) -> protocol.NotRun | None:
         """Check at the last moment whether the request may be sent.
 
         A process that was frozen since the claim wakes here.  Its claim is
@@ -106,7 +110,7 @@
         assert self._holders.status(run.token) is _Status.RUNNING
         admitted = run.admitted
         if self._cutoff.has_passed():
-            return _run_request.stopping()
+            return _run_request.shutting_down()
         if self._clock.now_ms() >= admitted.deadline_at_ms:
             self._metrics.add('run_too_late_to_send')
             return protocol.NotRun(
@@ -115,11 +119,13 @@
                 _run_request.RETRY_AFTER_MS,
             )
         # The monotonic clock stops when a machine is suspended.
-        return _run_admission.stale_key(
+        return _run_admission.refuse_stale_key(
             admitted.request, admitted.retention_ms, self._clock.wall_ms()
         )
 
-    def _choose(self, run: _run_request.Run, tried: set[str]) -> str | None:
+    def _choose_target(
+        self, run: _run_request.Run, tried: set[str]
+    ) -> str | None:
         targets = [
             name
             for name in run.admitted.operation.targets
@@ -127,12 +133,12 @@
         ]
         return self._random.choice(targets) if targets else None
 
-    async def _attempt(
+    async def _try_target(
         self, run: _run_request.Run, target: str
     ) -> protocol.RunOutcome | protocol.RunReport:
         """Send to one target; a report if it proves that none began."""
         run.attempts += 1
-        order = self._order(run, target)
+        order = self._build_order(run, target)
         owner = self._view.owner(target)
         run.step('send')
         if owner is None or not self._orders.send(run.token, owner, order):
@@ -143,36 +149,42 @@
                 protocol.SubStatus.NOT_OWNER,
                 detail='no dispatcher can be reached',
             )
-        report = await self._orders.report(
+        report = await self._orders.wait_report(
             order.attempt_id, self._cancel_at_ms(run)
         )
-        self._endings.note_lost(run.admitted, report)
-        seen = 'no answer in time'
+        self._recorder.record_target_loss(run.admitted, report)
+        reason_unknown = 'no answer in time'
         if report is not None:
-            seen = f'{report.status.value} {report.detail}, end not known'
+            reason_unknown = (
+                f'{report.status.value} {report.detail}, end not known'
+            )
         if report is None or not _run_orders.is_final(report):
             run.step('cancel')
             report = await self._orders.cancel(
                 order.attempt_id, run.admitted.deadline_at_ms
             )
         if report is None:
-            outcome = self._endings.lose(run, f'{target}: {seen}')
-            self._orders.leave(order.attempt_id)
+            outcome = self._recorder.answer_unknown(
+                run, f'{target}: {reason_unknown}'
+            )
+            self._orders.abandon(order.attempt_id)
             return outcome
-        self._orders.settle(order.attempt_id)
+        self._orders.forget(order.attempt_id)
         if _run_orders.proves_not_begun(report):
             run.step('disprove')
             self._metrics.add('run_proved_not_begun')
             return report
         run.step('complete')
-        return self._endings.ran(run.token, run.admitted, report)
+        return self._recorder.complete(run.token, run.admitted, report)
 
     def _cancel_at_ms(self, run: _run_request.Run) -> float:
         left_ms = run.admitted.deadline_at_ms - self._clock.now_ms()
         margin_ms = min(CANCEL_MARGIN_LIMIT_MS, left_ms * CANCEL_SHARE)
         return run.admitted.deadline_at_ms - margin_ms
 
-    def _order(self, run: _run_request.Run, target: str) -> protocol.RunOrder:
+    def _build_order(
+        self, run: _run_request.Run, target: str
+    ) -> protocol.RunOrder:
         admitted = run.admitted
         return protocol.RunOrder(
             f'{run.token}/{run.attempts}',
--- a/samphiredock/coordination/once/_claim_health.py
+++ b/samphiredock/coordination/once/_store_health.py
@@ -23,19 +23,19 @@
         self._answered_ms = clock.now_ms()
         self._probed_ms = clock.now_ms()
 
-    def begin(self) -> int:
+    def call_started(self) -> int:
         """A call was sent; return its number."""
         number = next(self._numbers)
         self._begun_ms[number] = self._clock.now_ms()
         return number
 
-    def end(self, number: int, is_answered: bool) -> None:
+    def call_ended(self, number: int, is_answered: bool) -> None:
         """A call ended, with or without an answer of the store."""
         self._begun_ms.pop(number, None)
         if is_answered:
             self._answered_ms = self._clock.now_ms()
 
-    def admits(self) -> bool:
+    def allows_call(self) -> bool:
         """Whether to try a claim; a silent store is tried now and then."""
         now_ms = self._clock.now_ms()
         # Calls keep their order in the dict: the first is the oldest.
--- a/tests/unit/test_claim_holders.py
+++ b/tests/unit/test_claim_holders.py
@@ -33,17 +33,17 @@
 
     async def test_end_is_pushed_to_who_waits(self) -> None:
         """The asker hears of the end in milliseconds, not at its next ask."""
-        self.holder.begin(_TOKEN)
+        self.holder.track(_TOKEN)
         ask = asyncio.create_task(self.asker.ask(_TOKEN, 60_000))
         await self.clock.pass_ms(3_000)
         self.assertFalse(ask.done())
-        self.holder.change(_TOKEN, _Status.DONE, _DONE)
+        self.holder.update(_TOKEN, _Status.DONE, _DONE)
         await self.clock.pass_ms(5)
         self.assertEqual(_DONE, ask.result().outcome)
 
     async def test_silent_and_restarted_holders(self) -> None:
         """Neither gives a word that frees the claim."""
-        self.holder.begin(_TOKEN)
+        self.holder.track(_TOKEN)
         self.hub.loss = 1.0
         ask = asyncio.create_task(self.asker.ask(_TOKEN, 60_000))
         await self.clock.pass_ms(_claim_holders.SILENT_MS + 300)
@@ -57,7 +57,7 @@
     async def test_word_of_another_member_does_not_count(self) -> None:
         """Only the holder itself can say that it never sent."""
         self.hub.join('entry-9')
-        self.holder.begin(_TOKEN)
+        self.holder.track(_TOKEN)
         ask = asyncio.create_task(self.asker.ask(_TOKEN, 60_000))
         await self.clock.pass_ms(1)
         self.hub.send(
@@ -68,7 +68,7 @@
         await self.clock.pass_ms(100)
         self.assertEqual(1, self.metrics.total('claim_answers_refused'))
         self.assertFalse(ask.done())
-        self.holder.change(_TOKEN, _Status.DONE, _DONE)
+        self.holder.update(_TOKEN, _Status.DONE, _DONE)
         await self.clock.pass_ms(10)
         self.assertIs(_Status.DONE, ask.result().status)
 
@@ -77,15 +77,15 @@
         for final in (_Status.DONE, _Status.NEVER_SENT):
             for status in _Status:
                 token = f'entry-1/{final.value}/{status.value}'
-                self.holder.begin(token)
-                self.holder.change(token, final)
+                self.holder.track(token)
+                self.holder.update(token, final)
                 with self.assertRaises(AssertionError):
-                    self.holder.change(token, status)
+                    self.holder.update(token, status)
 
     def test_unsettled_claims_are_bounded(self) -> None:
         """The oldest is forgotten; to its askers that means "unknown"."""
         for number in range(_claim_holders.UNSETTLED_LIMIT + 1):
-            self.holder.begin(f'entry-1/1/{number}')
-            self.holder.change(f'entry-1/1/{number}', _Status.UNSETTLED)
+            self.holder.track(f'entry-1/1/{number}')
+            self.holder.update(f'entry-1/1/{number}', _Status.UNSETTLED)
         self.assertIs(_Status.UNTRACKED, self.holder.status('entry-1/1/0'))
         self.assertIs(_Status.UNSETTLED, self.holder.status('entry-1/1/1'))
--- a/tests/unit/test_run_admission.py
+++ b/tests/unit/test_run_admission.py
@@ -15,7 +15,7 @@
 
     def admit(
         self, key: str = 'payout-7', **fields: object
-    ) -> _run_admission.Admitted | protocol.NotRun:
+    ) -> _run_admission.AdmittedRequest | protocol.NotRun:
         """Check one request."""
         request = protocol.RunRequest(
             **{
--- a/tests/unit/test_run_orders.py
+++ b/tests/unit/test_run_orders.py
@@ -50,7 +50,7 @@
         ):
             await self.report(first)
             await self.report(second)
-            read = await self.orders.report(_ORDER.attempt_id, 5_000)
+            read = await self.orders.wait_report(_ORDER.attempt_id, 5_000)
             self.assertIs(_Status.CANCELLED, read.status)
 
     async def test_only_the_dispatcher_reports(self) -> None:
@@ -59,7 +59,7 @@
         await self.report(_Status.CANCELLED, 'entry-9')
         self.assertEqual(1, self.metrics.total('run_reports_refused'))
         reading = asyncio.create_task(
-            self.orders.report(_ORDER.attempt_id, 2_000)
+            self.orders.wait_report(_ORDER.attempt_id, 2_000)
         )
         await self.clock.pass_ms(2_000)
         self.assertIsNone(reading.result())
@@ -67,7 +67,7 @@
     async def test_late_report_is_handed_on_once(self) -> None:
         """Whether it comes before or after the caller was answered."""
         await self.report(_Status.ANSWERED)
-        self.orders.leave(_ORDER.attempt_id)
+        self.orders.abandon(_ORDER.attempt_id)
         await self.report(_Status.ANSWERED)
         self.assertEqual([_Status.ANSWERED], [row.status for row in self.late])
         self.assertEqual(1, self.metrics.total('run_reports_unmatched'))
--- a/tests/unit/test_run_states.py
+++ b/tests/unit/test_run_states.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self.told: list[object] = []
 
-    def change(self, token: str, status: protocol.ClaimStatus) -> None:
+    def update(self, token: str, status: protocol.ClaimStatus) -> None:
         self.told.append(status)
 
     def forget(self, token: str) -> None:
@@ -49,9 +49,11 @@
                 run.step(trigger)
             self.assertIs(state, run.progress.state)
             recorder = _Recorder()
-            endings = _run_request.Endings(recorder, recorder, None, None)
+            recorder_under_test = _run_request.OutcomeRecorder(
+                recorder, recorder, None, None
+            )
             try:
-                endings.refuse(run, refusal)
+                recorder_under_test.refuse(run, refusal)
             except AssertionError:
                 self.assertEqual([], recorder.told)
                 continue
