--- a/samphiredock/coordination/fleet/_ownership.py
+++ b/samphiredock/coordination/fleet/_ownership.py
@@ -150,7 +150,7 @@
     target: str
     old: str | None
     new: str | None
-    old_lives: bool
+    old_is_live: bool
 
 
 class OwnershipTable:
--- a/samphiredock/coordination/targets/_dispatcher.py
+++ b/samphiredock/coordination/targets/_dispatcher.py
@@ -10,9 +10,9 @@
 from samphiredock.coordination.fleet import _ownership
 from samphiredock.coordination.targets import _exchanges
 from samphiredock.coordination.targets import _handover
-from samphiredock.coordination.targets import _lane
-from samphiredock.coordination.targets import _lane_types
 from samphiredock.coordination.targets import _outbox
+from samphiredock.coordination.targets import _scheduler
+from samphiredock.coordination.targets import _scheduler_types
 from samphiredock.coordination.targets import _shares
 from samphiredock.coordination.targets import _target_signs
 from samphiredock import metrics
@@ -21,13 +21,13 @@
 from samphiredock import timers
 from samphiredock import transport
 
-_CANCEL_MS = 500.0
-_LEAST_CANCEL_MS = 10.0
+_CANCEL_TIMEOUT_MS = 500.0
+_MIN_LEFT_TO_CANCEL_MS = 10.0
 _RETURN_PROBE_PERIOD_MS = 500.0
 _DRAIN_POLL_MS = 20.0
 
 
-def _never(fingerprint: str) -> bool:
+def _never_quarantined(fingerprint: str) -> bool:
     return False
 
 
@@ -58,7 +58,7 @@
         make_link: typing.Callable[
             [state.Target], transport.TargetLink
         ] = transport.HttpTargetLink,
-        is_quarantined: typing.Callable[[str], bool] = _never,
+        is_quarantined: typing.Callable[[str], bool] = _never_quarantined,
         signs: _target_signs.TargetSigns | None = None,
     ) -> None:
         self._peers = peers
@@ -73,15 +73,15 @@
         self._handover: _handover.Handover | None = None
         self._name: str | None = None
         self._owns: typing.Callable[[str], bool] | None = None
-        self._posts: dict[str, _exchanges.Post] = {}
+        self._managed: dict[str, _exchanges.ManagedTarget] = {}
         self._outbox = _outbox.Outbox(peers, counters)
-        self._ready: set[str] = set()
+        self._to_pump: set[str] = set()
         self._stopped = False
         self._tasks: set[asyncio.Task] = set()
         self._exchanges = _exchanges.Exchanges(
             clock, counters, signs, self._outbox.answer, self._silent_after_ms
         )
-        clock.on_gap(lambda gap_ms: self._give_back_queued())
+        clock.on_gap(lambda gap_ms: self._expire_queued())
         peers.subscribe(protocol.SubQueryBatch, self._on_batch)
         peers.subscribe(protocol.RunOrder, self._on_run)
         peers.subscribe(protocol.CancelAttempts, self._on_cancel)
@@ -93,11 +93,11 @@
         self,
         name: str,
         table: _ownership.OwnershipTable,
-        lives: typing.Callable[[str], bool],
+        is_live: typing.Callable[[str], bool],
     ) -> None:
         """Take over and give up targets as the table of owners says."""
         self._handover = _handover.Handover(
-            name, self, self._peers, self._clock, self._metrics, lives
+            name, self, self._peers, self._clock, self._metrics, is_live
         )
         table.subscribe(self._handover.on_changes)
         self._name = name
@@ -107,23 +107,25 @@
         """Apply a new revision."""
         self._configuration = configuration
         self._shares = _shares.shares_of(configuration)
-        for name, post in self._posts.items():
-            target = configuration.targets.get(name, post.target)
-            if target.url != post.target.url:
-                old_link, post.link = post.link, self._make_link(target)
+        for name, managed in self._managed.items():
+            target = configuration.targets.get(name, managed.target)
+            if target.url != managed.target.url:
+                old_link, managed.link = managed.link, self._make_link(target)
                 self._spawn(old_link.close())
-            elif target.connections != post.target.connections:
-                self._spawn(post.link.resize(target.connections))
-            post.target = target
-            post.lane.reconfigure(target, configuration.limits, self._shares)
-            self._make_ready(name)
+            elif target.connections != managed.target.connections:
+                self._spawn(managed.link.resize(target.connections))
+            managed.target = target
+            managed.scheduler.reconfigure(
+                target, configuration.limits, self._shares
+            )
+            self._schedule_pump(name)
 
     async def close(self) -> None:
         """Stop every exchange and close every connection."""
         for task in self._tasks:
             task.cancel()
-        for post in self._posts.values():
-            await post.link.close()
+        for managed in self._managed.values():
+            await managed.link.close()
 
     async def drain(self) -> None:
         """Return when everything taken in has been answered.
@@ -148,15 +150,17 @@
 
     # What the handover does with lanes and targets.
 
-    def lane(self, target: str) -> _lane.Lane | None:
+    def scheduler(self, target: str) -> _scheduler.TargetScheduler | None:
         """Return the lane of a target, None if there is no such target."""
-        post = self._post(target)
-        return post.lane if post is not None else None
+        managed = self._managed_target(target)
+        return managed.scheduler if managed is not None else None
 
-    def existing_lane(self, target: str) -> _lane.Lane | None:
+    def existing_scheduler(
+        self, target: str
+    ) -> _scheduler.TargetScheduler | None:
         """Return the lane of a target if there has been work for it."""
-        post = self._posts.get(target)
-        return post.lane if post is not None else None
+        managed = self._managed.get(target)
+        return managed.scheduler if managed is not None else None
 
     def target(self, name: str) -> state.Target | None:
         """Return a target of the configuration in force."""
@@ -170,38 +174,42 @@
 
     def probe(self, target: str) -> None:
         """Ask a target, by an empty batch, how many exchanges run there."""
-        post = self._post(target)
-        if post is not None:
-            self._spawn(self._probe(target, post))
+        managed = self._managed_target(target)
+        if managed is not None:
+            self._spawn(self._probe(target, managed))
 
-    async def _probe(self, target: str, post: _exchanges.Post) -> None:
-        await self._exchanges.probe(post)
-        self._make_ready(target)
+    async def _probe(
+        self, target: str, managed: _exchanges.ManagedTarget
+    ) -> None:
+        await self._exchanges.probe(managed)
+        self._schedule_pump(target)
 
     def _silent_after_ms(self) -> float:
         if self._configuration is None:
             return float(state.Limits().silent_after_ms)
         return float(self._configuration.limits.silent_after_ms)
 
-    def carry_out(
-        self, target: str, effects: list[_lane_types.Effect]
+    def execute(
+        self, target: str, effects: list[_scheduler_types.Effect]
     ) -> None:
         """Carry out what a lane decided, and let it start more."""
         for effect in effects:
-            if isinstance(effect, _lane_types.Refuse):
+            if isinstance(effect, _scheduler_types.Refuse):
                 self._outbox.refuse(target, effect)
             else:
-                self._outbox.sent(effect)
+                self._outbox.mark_sent(effect)
                 self._spawn(self._exchange(target, effect))
-        self._make_ready(target)
+        self._schedule_pump(target)
 
     # Work that comes in.
 
     def _on_batch(self, sender: str, batch: protocol.SubQueryBatch) -> None:
         now_ms = self._clock.now_ms()
         expires_at_ms = now_ms + batch.budget_ms - self._age_ms(sender)
-        for work in _lane_types.works_of(sender, batch, expires_at_ms, now_ms):
-            self._submit(work.item.target, work, now_ms)
+        for job in _scheduler_types.jobs_of(
+            sender, batch, expires_at_ms, now_ms
+        ):
+            self._submit(job.item.target, job, now_ms)
 
     def _age_ms(self, sender: str) -> float:
         # A message to oneself waits in no socket: once the freeze has been
@@ -212,188 +220,196 @@
 
     def _on_run(self, sender: str, order: protocol.RunOrder) -> None:
         now_ms = self._clock.now_ms()
-        work = _lane_types.work_of_run(sender, order, now_ms)
+        job = _scheduler_types.job_of_run(sender, order, now_ms)
         if self._age_ms(sender) > 0.0:
             # The order may have waited in the socket while this process was
             # frozen, and its sender has perhaps given it up since.
             self._metrics.add('runs_refused_after_freeze')
-            refusal = _lane_types.Refuse(
-                work, protocol.SubStatus.CANCELLED, 'read after a freeze'
+            refusal = _scheduler_types.Refuse(
+                job, protocol.SubStatus.CANCELLED, 'read after a freeze'
             )
             self._outbox.refuse(order.target, refusal)
             return
-        self._submit(order.target, work, now_ms)
+        self._submit(order.target, job, now_ms)
 
     def _submit(
-        self, target: str, work: _lane_types.Work, now_ms: float
+        self, target: str, job: _scheduler_types.Job, now_ms: float
     ) -> None:
-        post = None if self._stopped else self._post(target)
-        if post is None:
-            refusal = _lane_types.Refuse(
-                work, protocol.SubStatus.NOT_OWNER, 'not served here'
+        managed = None if self._stopped else self._managed_target(target)
+        if managed is None:
+            refusal = _scheduler_types.Refuse(
+                job, protocol.SubStatus.NOT_OWNER, 'not served here'
             )
             self._outbox.refuse(target, refusal)
             return
-        self._outbox.track(target, work)
-        effects = post.lane.submit(work, now_ms)
+        self._outbox.track(target, job)
+        effects = managed.scheduler.submit(job, now_ms)
         if effects:
-            self.carry_out(target, effects)
+            self.execute(target, effects)
         else:
-            self._make_ready(target)
+            self._schedule_pump(target)
 
     def _on_cancel(self, sender: str, cancel: protocol.CancelAttempts) -> None:
-        sent: dict[str, list[_outbox.Place]] = collections.defaultdict(list)
+        sent: dict[str, list[_outbox.PendingAttempt]] = (
+            collections.defaultdict(list)
+        )
         for attempt_id in cancel.attempt_ids:
-            place = self._outbox.place(attempt_id)
-            if place is None:
+            pending = self._outbox.pending(attempt_id)
+            if pending is None:
                 continue
-            if place.ticket is not None:
-                if self._worth_cancelling(place.work):
-                    sent[place.target].append(place)
+            if pending.ticket is not None:
+                if self._is_worth_cancelling(pending.job):
+                    sent[pending.target].append(pending)
                 continue
-            self._posts[place.target].lane.cancel(attempt_id)
-            self._cancelled(place)
-        for target, places in sent.items():
-            self._spawn(self._cancel_sent(target, places))
+            self._managed[pending.target].scheduler.cancel(attempt_id)
+            self._refuse_cancelled(pending)
+        for target, attempts in sent.items():
+            self._spawn(self._cancel_sent(target, attempts))
 
-    def _worth_cancelling(self, work: _lane_types.Work) -> bool:
+    def _is_worth_cancelling(self, job: _scheduler_types.Job) -> bool:
         """Whether a cancel would save the target anything.
 
         Callers drop many attempts just at the deadline, at which the target
         stops by itself; a cancel costs both sides an exchange.
         """
-        left_ms = work.expires_at_ms - self._clock.now_ms()
-        return work.item is None or left_ms > _LEAST_CANCEL_MS
+        left_ms = job.expires_at_ms - self._clock.now_ms()
+        return job.item is None or left_ms > _MIN_LEFT_TO_CANCEL_MS
 
     async def _cancel_sent(
-        self, target: str, places: list[_outbox.Place]
+        self, target: str, attempts: list[_outbox.PendingAttempt]
     ) -> None:
         """Ask the target; only its word proves that it never began."""
-        post = self._posts[target]
+        managed = self._managed[target]
         order = protocol.TargetCancel(
-            [place.work.attempt_id for place in places]
+            [pending.job.attempt_id for pending in attempts]
         )
-        reply = await post.link.cancel(order, _CANCEL_MS)
+        reply = await managed.link.cancel(order, _CANCEL_TIMEOUT_MS)
         if isinstance(reply, result.Failure):
-            self._metrics.add('cancels_unconfirmed', len(places))
+            self._metrics.add('cancels_unconfirmed', len(attempts))
             return
         answer = reply.unwrap()
         never = set(answer.never_started)
         ended = never.union(answer.stopped)
-        for place in places:
-            attempt_id = place.work.attempt_id
-            if place.ticket is not None and attempt_id in ended:
-                post.lane.settled(place.ticket, [attempt_id])
-            if attempt_id in never and self._outbox.place(attempt_id):
-                self._cancelled(place)
-
-    def _cancelled(self, place: _outbox.Place) -> None:
-        refusal = _lane_types.Refuse(
-            place.work, protocol.SubStatus.CANCELLED, 'never started'
+        for pending in attempts:
+            attempt_id = pending.job.attempt_id
+            if pending.ticket is not None and attempt_id in ended:
+                managed.scheduler.confirm_ended(pending.ticket, [attempt_id])
+            if attempt_id in never and self._outbox.pending(attempt_id):
+                self._refuse_cancelled(pending)
+
+    def _refuse_cancelled(self, pending: _outbox.PendingAttempt) -> None:
+        refusal = _scheduler_types.Refuse(
+            pending.job, protocol.SubStatus.CANCELLED, 'never started'
         )
-        self._outbox.refuse(place.target, refusal)
+        self._outbox.refuse(pending.target, refusal)
 
     # Lanes.
 
-    def _post(self, name: str) -> _exchanges.Post | None:
-        post = self._posts.get(name)
-        if post is not None:
-            return post
+    def _managed_target(self, name: str) -> _exchanges.ManagedTarget | None:
+        managed = self._managed.get(name)
+        if managed is not None:
+            return managed
         target = self.target(name)
         if target is None or self._configuration is None:
             return None
-        lane = _lane.Lane(
+        scheduler = _scheduler.TargetScheduler(
             target,
             self._configuration.limits,
             self._shares,
             self._is_quarantined,
         )
         if self._signs is not None and not self._signs.is_usable(name):
-            lane.set_leaving(True)
-        post = _exchanges.Post(lane, self._make_link(target), target)
-        self._posts[name] = post
+            scheduler.set_leaving(True)
+        managed = _exchanges.ManagedTarget(
+            scheduler, self._make_link(target), target
+        )
+        self._managed[name] = managed
         if self._handover is not None:
-            self._handover.on_new_lane(name, lane)
-        return post
+            self._handover.on_new_scheduler(name, scheduler)
+        return managed
 
-    def _make_ready(self, target: str) -> None:
+    def _schedule_pump(self, target: str) -> None:
         """Pump the lane once at the end of this turn of the event loop.
 
         What arrived in one turn, from several queries, then goes to the
         target in one exchange.
         """
-        if not self._ready:
+        if not self._to_pump:
             asyncio.get_running_loop().call_soon(self._pump)
-        self._ready.add(target)
+        self._to_pump.add(target)
 
-    def _give_back_queued(self) -> None:
+    def _expire_queued(self) -> None:
         """Answer what was queued when this process was frozen.
 
         Others took its targets over meanwhile and use all their slots, so
         nothing may be sent on the strength of what was known before.
         """
-        for target, post in self._posts.items():
-            self.carry_out(target, post.lane.give_back())
+        for target, managed in self._managed.items():
+            self.execute(target, managed.scheduler.expire_queued())
 
     def _pump(self) -> None:
         if self._freshness.just_woke():
-            self._give_back_queued()
-        ready, self._ready = self._ready, set()
+            self._expire_queued()
+        to_pump, self._to_pump = self._to_pump, set()
         now_ms = self._clock.now_ms()
-        for target in ready:
-            post = self._posts.get(target)
-            if post is None:
+        for target in to_pump:
+            managed = self._managed.get(target)
+            if managed is None:
                 continue
-            effects = post.lane.pump(now_ms)
+            effects = managed.scheduler.pump(now_ms)
             if effects:
-                self.carry_out(target, effects)
-            self._arm(target, post, now_ms)
+                self.execute(target, effects)
+            self._set_wake_timer(target, managed, now_ms)
 
-    def _arm(self, target: str, post: _exchanges.Post, now_ms: float) -> None:
-        wake_at_ms = post.lane.wake_at_ms(now_ms)
+    def _set_wake_timer(
+        self, target: str, managed: _exchanges.ManagedTarget, now_ms: float
+    ) -> None:
+        wake_at_ms = managed.scheduler.wake_at_ms(now_ms)
         if wake_at_ms is None:
             return
-        if post.timer is not None:
-            if now_ms < post.wake_at_ms <= wake_at_ms:
+        if managed.timer is not None:
+            if now_ms < managed.wake_at_ms <= wake_at_ms:
                 return
-            post.timer.cancel()
-        post.wake_at_ms = wake_at_ms
-        post.timer = self._clock.after(
-            wake_at_ms - now_ms, lambda: self._make_ready(target)
+            managed.timer.cancel()
+        managed.wake_at_ms = wake_at_ms
+        managed.timer = self._clock.after(
+            wake_at_ms - now_ms, lambda: self._schedule_pump(target)
         )
 
-    def _spawn(self, work: typing.Coroutine) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: typing.Coroutine) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     # Exchanges with targets.
 
     async def _exchange(
-        self, target: str, start: _lane_types.StartExchange
+        self, target: str, start: _scheduler_types.StartExchange
     ) -> None:
-        post = self._posts[target]
-        ending = _lane_types.Ending.LOST
+        managed = self._managed[target]
+        outcome = _scheduler_types.ExchangeOutcome.LOST
         try:
-            ending = await self._exchanges.run(post, start)
+            outcome = await self._exchanges.run(managed, start)
         finally:
             if self._freshness.just_woke():
-                self._give_back_queued()
+                self._expire_queued()
             now_ms = self._clock.now_ms()
-            effects = post.lane.ended(start.ticket, ending, now_ms)
-            effects += post.lane.lost_contact(now_ms)
-            self.carry_out(target, effects)
+            effects = managed.scheduler.end_exchange(
+                start.ticket, outcome, now_ms
+            )
+            effects += managed.scheduler.refuse_if_lost(now_ms)
+            self.execute(target, effects)
 
     # Signs of leaving.
 
     def _on_sign(self, target: str, leaving: bool) -> None:
-        post = self._posts.get(target)
-        if post is not None:
-            self.carry_out(target, post.lane.set_leaving(leaving))
+        managed = self._managed.get(target)
+        if managed is not None:
+            self.execute(target, managed.scheduler.set_leaving(leaving))
 
     def _probe_leaving(self) -> None:
         if self._signs is None:
             return
-        for target in self._signs.to_probe():
+        for target in self._signs.targets_to_probe():
             if self._owns is not None and self._owns(target):
                 self.probe(target)
--- a/samphiredock/coordination/targets/_outbox.py
+++ b/samphiredock/coordination/targets/_outbox.py
@@ -4,7 +4,7 @@
 import collections
 import dataclasses
 
-from samphiredock.coordination.targets import _lane_types
+from samphiredock.coordination.targets import _scheduler_types
 from samphiredock.coordination.targets import _target_answers
 from samphiredock import metrics
 from samphiredock import protocol
@@ -12,11 +12,11 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Place:
+class PendingAttempt:
     """Where an attempt is: queued in a lane, or in an exchange."""
 
     target: str
-    work: _lane_types.Work
+    job: _scheduler_types.Job
     ticket: int | None = None
 
 
@@ -36,49 +36,49 @@
     ) -> None:
         self._peers = peers
         self._metrics = counters
-        self._places: dict[str, Place] = {}
+        self._pending: dict[str, PendingAttempt] = {}
         self._replies: dict[tuple[str, str], list[protocol.SubAnswer]] = (
             collections.defaultdict(list)
         )
 
     def in_flight(self) -> int:
         """Return what is not answered, or whose answer has yet to leave."""
-        return len(self._places) + len(self._replies)
+        return len(self._pending) + len(self._replies)
 
-    def track(self, target: str, work: _lane_types.Work) -> None:
+    def track(self, target: str, job: _scheduler_types.Job) -> None:
         """Take an attempt in."""
-        self._places[work.attempt_id] = Place(target, work)
+        self._pending[job.attempt_id] = PendingAttempt(target, job)
 
-    def place(self, attempt_id: str) -> Place | None:
+    def pending(self, attempt_id: str) -> PendingAttempt | None:
         """Return where an attempt is, None if it has been answered."""
-        return self._places.get(attempt_id)
+        return self._pending.get(attempt_id)
 
-    def sent(self, start: _lane_types.StartExchange) -> None:
+    def mark_sent(self, start: _scheduler_types.StartExchange) -> None:
         """Note that these are in an exchange now."""
-        for work in start.works:
-            self._places[work.attempt_id].ticket = start.ticket
+        for job in start.jobs:
+            self._pending[job.attempt_id].ticket = start.ticket
 
-    def refuse(self, target: str, refusal: _lane_types.Refuse) -> None:
+    def refuse(self, target: str, refusal: _scheduler_types.Refuse) -> None:
         """Tell the origin that the target never got it."""
-        work = refusal.work
+        job = refusal.job
         self._metrics.add('dispatch_refused', status=refusal.status.value)
-        self._places.setdefault(work.attempt_id, Place(target, work))
-        self.answer(work, _target_answers.refusal_message(target, refusal))
+        self._pending.setdefault(job.attempt_id, PendingAttempt(target, job))
+        self.answer(job, _target_answers.refusal_message(target, refusal))
 
     def answer(
         self,
-        work: _lane_types.Work,
+        job: _scheduler_types.Job,
         answer: protocol.SubAnswer | protocol.RunReport,
     ) -> None:
         """Tell the origin how an attempt ended, unless it was told."""
-        if self._places.pop(work.attempt_id, None) is None:
+        if self._pending.pop(job.attempt_id, None) is None:
             return
         if isinstance(answer, protocol.RunReport):
-            self._peers.answer(work.origin, answer)
+            self._peers.answer(job.origin, answer)
             return
         if not self._replies:
             asyncio.get_running_loop().call_soon(self._flush)
-        self._replies[work.origin, work.query_id].append(answer)
+        self._replies[job.origin, job.query_id].append(answer)
 
     def _flush(self) -> None:
         replies = dict(self._replies)
--- a/samphiredock/coordination/targets/_lane_types.py
+++ b/samphiredock/coordination/targets/_scheduler_types.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
-class Work:
+class Job:
     """One sub-query or unrepeatable request that waits for a slot."""
 
     origin: str
@@ -31,7 +31,7 @@
     """Send these to the target; they take one slot until they end."""
 
     ticket: int
-    works: tuple[Work, ...]
+    jobs: tuple[Job, ...]
     deadline_at_ms: float
 
 
@@ -39,7 +39,7 @@
 class Refuse:
     """Tell the origin that this was never sent."""
 
-    work: Work
+    job: Job
     status: protocol.SubStatus
     detail: str
     retry_after_ms: int = 0
@@ -48,7 +48,7 @@
 Effect = StartExchange | Refuse
 
 
-class Ending(enum.Enum):
+class ExchangeOutcome(enum.Enum):
     """What the end of an exchange says about its slot and its target.
 
     ``FREE`` frees the slot but is no good answer: never sent, or an error
@@ -61,16 +61,16 @@
     LOST = 'lost'
 
 
-def works_of(
+def jobs_of(
     sender: str,
     batch: protocol.SubQueryBatch,
     expires_at_ms: float,
     now_ms: float,
-) -> list[Work]:
+) -> list[Job]:
     """Return the sub-queries of a message as work."""
     flow = _shares.Flow(batch.service, batch.site)
     return [
-        Work(
+        Job(
             sender,
             batch.query_id,
             item.attempt_id,
@@ -84,9 +84,9 @@
     ]
 
 
-def work_of_run(sender: str, order: protocol.RunOrder, now_ms: float) -> Work:
+def job_of_run(sender: str, order: protocol.RunOrder, now_ms: float) -> Job:
     """Return an unrepeatable request as work."""
-    return Work(
+    return Job(
         sender,
         '',
         order.attempt_id,
--- a/samphiredock/coordination/targets/_shares.py
+++ b/samphiredock/coordination/targets/_shares.py
@@ -13,7 +13,7 @@
 
 from samphiredock import state
 
-_LEAST_WEIGHT = 0.001
+_MIN_WEIGHT = 0.001
 _CAP_BURST_MS = 50.0
 
 
@@ -24,7 +24,7 @@
     site: str
 
 
-class Queued(typing.Protocol):
+class QueueItem(typing.Protocol):
     """What the queue reads of its items."""
 
     @property
@@ -86,28 +86,28 @@
         over_ms = self._level_ms - _CAP_BURST_MS
         if over_ms <= 0.0 or self._rate == math.inf:
             return 0.0
-        return self._at_ms + over_ms / max(self._rate, _LEAST_WEIGHT)
+        return self._at_ms + over_ms / max(self._rate, _MIN_WEIGHT)
 
 
-class _Line:
+class _FlowQueue:
     """The queue of one flow."""
 
     def __init__(self, weight: float, meter: _CapMeter) -> None:
         self.items: collections.deque[typing.Any] = collections.deque()
-        self.weight = max(weight, _LEAST_WEIGHT)
+        self.weight = max(weight, _MIN_WEIGHT)
         self.meter = meter
-        self.tag = 0.0
+        self.start_tag = 0.0
 
 
-class _SiteLines:
+class _SiteQueue:
     """The lines of one site."""
 
     def __init__(self, weight: float, meter: _CapMeter) -> None:
-        self.lines: dict[str, _Line] = {}
-        self.weight = max(weight, _LEAST_WEIGHT)
+        self.flow_queues: dict[str, _FlowQueue] = {}
+        self.weight = max(weight, _MIN_WEIGHT)
         self.meter = meter
-        self.tag = 0.0
-        self.virtual = 0.0
+        self.start_tag = 0.0
+        self.virtual_time = 0.0
         self.backlog = 0
 
 
@@ -128,8 +128,8 @@
         self._limit = limit
         self._slots = slots
         self._shares = shares
-        self._sites: dict[str, _SiteLines] = {}
-        self._virtual = 0.0
+        self._sites: dict[str, _SiteQueue] = {}
+        self._virtual_time = 0.0
         self._size = 0
         self.capped_until_ms: float | None = None
 
@@ -141,17 +141,17 @@
         """Whether a further item would exceed the bound."""
         return self._size >= self._limit
 
-    def push(self, item: Queued) -> None:
+    def push(self, item: QueueItem) -> None:
         """Append to the item's own line; the caller saw to the bound."""
         flow = item.flow
         site = self._site(flow.site)
-        line = self._line(site, flow)
+        flow_queue = self._flow_queue(site, flow)
         # An idle line gets no credit for the time it asked for nothing.
         if not site.backlog:
-            site.tag = max(site.tag, self._virtual)
-        if not line.items:
-            line.tag = max(line.tag, site.virtual)
-        line.items.append(item)
+            site.start_tag = max(site.start_tag, self._virtual_time)
+        if not flow_queue.items:
+            flow_queue.start_tag = max(flow_queue.start_tag, site.virtual_time)
+        flow_queue.items.append(item)
         site.backlog += 1
         self._size += 1
 
@@ -163,22 +163,22 @@
         self.capped_until_ms = None
         waiting = [site for site in self._sites.values() if site.backlog]
         while waiting:
-            site = min(waiting, key=_tag)
-            line = self._next_line(site, now_ms)
-            if line is not None:
-                return line.items[0]
+            site = min(waiting, key=_start_tag)
+            flow_queue = self._next_flow_queue(site, now_ms)
+            if flow_queue is not None:
+                return flow_queue.items[0]
             waiting.remove(site)
         return None
 
-    def take(self, item: Queued) -> None:
+    def take(self, item: QueueItem) -> None:
         """Remove the item that :meth:`head` gave and charge its line."""
         site = self._sites[item.flow.site]
-        line = site.lines[item.flow.service]
-        line.items.popleft()
-        self._virtual = site.tag
-        site.virtual = line.tag
-        site.tag += 1.0 / site.weight
-        line.tag += 1.0 / line.weight
+        flow_queue = site.flow_queues[item.flow.service]
+        flow_queue.items.popleft()
+        self._virtual_time = site.start_tag
+        site.virtual_time = flow_queue.start_tag
+        site.start_tag += 1.0 / site.weight
+        flow_queue.start_tag += 1.0 / flow_queue.weight
         site.backlog -= 1
         self._size -= 1
 
@@ -186,12 +186,12 @@
         """Count slot time that a flow used against its caps."""
         site = self._site(flow.site)
         site.meter.charge(busy_ms, now_ms)
-        self._line(site, flow).meter.charge(busy_ms, now_ms)
+        self._flow_queue(site, flow).meter.charge(busy_ms, now_ms)
 
-    def remove(self, item: Queued) -> None:
+    def remove(self, item: QueueItem) -> None:
         """Remove an item that nobody wants any more."""
         site = self._sites[item.flow.site]
-        site.lines[item.flow.service].items.remove(item)
+        site.flow_queues[item.flow.service].items.remove(item)
         site.backlog -= 1
         self._size -= 1
 
@@ -200,12 +200,12 @@
         return [
             item
             for site in self._sites.values()
-            for line in site.lines.values()
-            for item in line.items
+            for flow_queue in site.flow_queues.values()
+            for item in flow_queue.items
         ]
 
     def victim(
-        self, newcomer: Queued, useless_before_ms: float
+        self, newcomer: QueueItem, useless_before_ms: float
     ) -> typing.Any | None:
         """Return what to drop so that ``newcomer`` fits, None for itself.
 
@@ -215,12 +215,12 @@
         """
         fullest, excess = newcomer.flow, self._excess(newcomer.flow, 1)
         for site_name, site in self._sites.items():
-            for service in site.lines:
+            for service in site.flow_queues:
                 flow = Flow(service, site_name)
                 over = self._excess(flow, int(flow == newcomer.flow))
                 if over > excess:
                     fullest, excess = flow, over
-        items = self._sites[fullest.site].lines[fullest.service].items
+        items = self._sites[fullest.site].flow_queues[fullest.service].items
         for item in items:
             if item.expires_at_ms <= useless_before_ms:
                 return item
@@ -228,24 +228,30 @@
 
     def _excess(self, flow: Flow, more: int) -> float:
         site = self._site(flow.site)
-        line = self._line(site, flow)
+        flow_queue = self._flow_queue(site, flow)
         sites = sum(row.weight for row in self._sites.values())
-        lines = sum(row.weight for row in site.lines.values())
-        part = site.weight / sites * line.weight / lines
-        return len(line.items) + more - part * self._limit
-
-    def _next_line(self, site: _SiteLines, now_ms: float) -> _Line | None:
-        if not self._may_go(site.meter, now_ms):
+        flow_queues = sum(row.weight for row in site.flow_queues.values())
+        part = site.weight / sites * flow_queue.weight / flow_queues
+        return len(flow_queue.items) + more - part * self._limit
+
+    def _next_flow_queue(
+        self, site: _SiteQueue, now_ms: float
+    ) -> _FlowQueue | None:
+        if not self._is_under_cap(site.meter, now_ms):
             return None
-        waiting = [line for line in site.lines.values() if line.items]
+        waiting = [
+            flow_queue
+            for flow_queue in site.flow_queues.values()
+            if flow_queue.items
+        ]
         while waiting:
-            line = min(waiting, key=_tag)
-            if self._may_go(line.meter, now_ms):
-                return line
-            waiting.remove(line)
+            flow_queue = min(waiting, key=_start_tag)
+            if self._is_under_cap(flow_queue.meter, now_ms):
+                return flow_queue
+            waiting.remove(flow_queue)
         return None
 
-    def _may_go(self, meter: _CapMeter, now_ms: float) -> bool:
+    def _is_under_cap(self, meter: _CapMeter, now_ms: float) -> bool:
         ready_at_ms = meter.ready_at_ms()
         if ready_at_ms <= now_ms:
             return True
@@ -253,30 +259,30 @@
             self.capped_until_ms = ready_at_ms
         return False
 
-    def _site(self, name: str) -> _SiteLines:
+    def _site(self, name: str) -> _SiteQueue:
         site = self._sites.get(name)
         if site is None:
             shares = self._shares
             cap = shares.site_caps.get(name, 1.0)
-            site = _SiteLines(
-                shares.site_shares.get(name, _LEAST_WEIGHT),
+            site = _SiteQueue(
+                shares.site_shares.get(name, _MIN_WEIGHT),
                 _CapMeter(cap, self._slots),
             )
             self._sites[name] = site
         return site
 
-    def _line(self, site: _SiteLines, flow: Flow) -> _Line:
-        line = site.lines.get(flow.service)
-        if line is None:
+    def _flow_queue(self, site: _SiteQueue, flow: Flow) -> _FlowQueue:
+        flow_queue = site.flow_queues.get(flow.service)
+        if flow_queue is None:
             shares = self._shares
             cap = shares.service_caps.get(flow, 1.0)
-            line = _Line(
-                shares.service_weights.get(flow.service, _LEAST_WEIGHT),
+            flow_queue = _FlowQueue(
+                shares.service_weights.get(flow.service, _MIN_WEIGHT),
                 _CapMeter(cap, self._slots),
             )
-            site.lines[flow.service] = line
-        return line
+            site.flow_queues[flow.service] = flow_queue
+        return flow_queue
 
 
-def _tag(row: _SiteLines | _Line) -> float:
-    return row.tag
+def _start_tag(row: _SiteQueue | _FlowQueue) -> float:
+    return row.start_tag
--- a/samphiredock/coordination/targets/_target_answers.py
+++ b/samphiredock/coordination/targets/_target_answers.py
@@ -4,7 +4,7 @@
 
 from returns import result
 
-from samphiredock.coordination.targets import _lane_types
+from samphiredock.coordination.targets import _scheduler_types
 from samphiredock import protocol
 from samphiredock import transport
 
@@ -27,11 +27,11 @@
 
 
 def target_query(
-    work: _lane_types.Work, now_ms: float
+    job: _scheduler_types.Job, now_ms: float
 ) -> protocol.TargetQuery:
     """Return one item of a batch, with what is left of its deadline."""
-    request = typing.cast(protocol.SubQueryBatch, work.request)
-    item = typing.cast(protocol.SubQuery, work.item)
+    request = typing.cast(protocol.SubQueryBatch, job.request)
+    item = typing.cast(protocol.SubQuery, job.item)
     return protocol.TargetQuery(
         item.attempt_id,
         request.service,
@@ -42,7 +42,7 @@
         item.index_version,
         item.snapshot_id,
         item.shard_id,
-        int(work.expires_at_ms - now_ms),
+        int(job.expires_at_ms - now_ms),
         request.fingerprint,
     )
 
@@ -123,13 +123,13 @@
 
 
 def refusal_message(
-    target: str, refusal: _lane_types.Refuse
+    target: str, refusal: _scheduler_types.Refuse
 ) -> protocol.SubAnswer | protocol.RunReport:
     """Return the message that tells the origin of a refusal."""
-    work = refusal.work
-    kind = protocol.RunReport if work.item is None else protocol.SubAnswer
+    job = refusal.job
+    kind = protocol.RunReport if job.item is None else protocol.SubAnswer
     return kind(
-        work.attempt_id,
+        job.attempt_id,
         target,
         refusal.status,
         detail=refusal.detail,
--- a/samphiredock/coordination/targets/_target_record.py
+++ b/samphiredock/coordination/targets/_target_record.py
@@ -6,11 +6,11 @@
 
 import transitions
 
-_GOOD_TO_SERVE = 4
+_ANSWERS_TO_SERVE = 4
 _UNLOADED_PAUSE_MS = 50.0
 _SHED_PAUSE_MS = 20.0
 _LOST_PAUSE_MS = 200.0
-_LONGEST_LOST_PAUSE_MS = 2_000.0
+_MAX_LOST_PAUSE_MS = 2_000.0
 _STALE_MS = 1_000.0
 _MEDIAN_STEP = 0.05
 
@@ -43,17 +43,17 @@
 
     def __init__(self) -> None:
         self.state = _INITIAL
-        self._good = 0
+        self._good_answers = 0
         self._failures = 0
         self._resume_at_ms = 0.0
         self._lost_at_ms = 0.0
         self._item_ms: float | None = None
         self._item_at_ms = 0.0
         self._items_per_ms = 0.0
-        self._drained_at_ms: float | None = None
+        self._last_answer_at_ms: float | None = None
         self._machine: transitions.Machine | None = None
 
-    def _happened(self, event: str) -> None:
+    def _trigger(self, event: str) -> None:
         if self._machine is None:
             self._machine = transitions.Machine(
                 self,
@@ -72,16 +72,16 @@
             return
         self._failures = 0
         self._resume_at_ms = 0.0
-        self._happened('answered')
-        self._good += 1
-        if self._good >= _GOOD_TO_SERVE:
-            self._happened('warmed')
+        self._trigger('answered')
+        self._good_answers += 1
+        if self._good_answers >= _ANSWERS_TO_SERVE:
+            self._trigger('warmed')
 
     def on_unloaded(self, now_ms: float) -> None:
         """The target holds none of what it was asked for."""
-        self._good = 0
+        self._good_answers = 0
         self._resume_at_ms = now_ms + _UNLOADED_PAUSE_MS
-        self._happened('unloaded')
+        self._trigger('unloaded')
 
     def on_shed(self, now_ms: float) -> None:
         """The target refused a whole exchange; asking on only adds load."""
@@ -89,23 +89,23 @@
 
     def on_failure(self, lost: bool, now_ms: float) -> None:
         """An exchange gave no answer; ``lost``: nor did a new connection."""
-        self._good = 0
+        self._good_answers = 0
         self._failures += 1
         if lost and self.state != 'lost':
             self._lost_at_ms = now_ms
-        self._happened('gone' if lost else 'failed')
+        self._trigger('gone' if lost else 'failed')
         if self.state == 'lost':
             pause_ms = _LOST_PAUSE_MS * 2 ** min(self._failures - 1, 8)
-            self._resume_at_ms = now_ms + min(pause_ms, _LONGEST_LOST_PAUSE_MS)
+            self._resume_at_ms = now_ms + min(pause_ms, _MAX_LOST_PAUSE_MS)
 
     def set_leaving(self, leaving: bool) -> None:
         """Follow the signs; a target that returns ramps up."""
         if leaving:
-            self._happened('leave')
+            self._trigger('leave')
             return
         if self.state == 'leaving':
-            self._good = 0
-            self._happened('come_back')
+            self._good_answers = 0
+            self._trigger('come_back')
 
     def allowed_slots(self, slots: int, now_ms: float) -> int:
         """Return how many of the target's slots may be used now."""
@@ -113,7 +113,7 @@
             return 0
         return {
             'unknown': 1,
-            'warming': min(slots, 1 + self._good // 2),
+            'warming': min(slots, 1 + self._good_answers // 2),
             'serving': slots,
             'suspect': max(1, slots // 2),
             'leaving': 0,
@@ -142,7 +142,7 @@
             return 0.0
         return self._item_ms
 
-    def drain_ms(self, items: int) -> float:
+    def queue_wait_ms(self, items: int) -> float:
         """Return how long a queue of that many items takes to empty."""
         if not self._items_per_ms:
             return 100.0
@@ -157,11 +157,11 @@
         # Steps towards the median: one straggler of ten times the usual
         # must not make work look too late that is not.
         step_ms = max(self._item_ms * _MEDIAN_STEP, 0.01)
-        away_ms = each_ms - self._item_ms
-        self._item_ms += max(-step_ms, min(step_ms, away_ms))
+        error_ms = each_ms - self._item_ms
+        self._item_ms += max(-step_ms, min(step_ms, error_ms))
         self._item_at_ms = now_ms
-        if self._drained_at_ms is not None:
-            since_ms = max(now_ms - self._drained_at_ms, 0.1)
+        if self._last_answer_at_ms is not None:
+            since_ms = max(now_ms - self._last_answer_at_ms, 0.1)
             rate = items / since_ms
             self._items_per_ms += (rate - self._items_per_ms) * 0.1
-        self._drained_at_ms = now_ms
+        self._last_answer_at_ms = now_ms
--- a/samphiredock/coordination/targets/_target_signs.py
+++ b/samphiredock/coordination/targets/_target_signs.py
@@ -24,7 +24,7 @@
 TARGETS_PREFIX = 'targets/'
 
 _HOSTS_PERIOD_MS = 1_000.0
-_LONGEST_PAUSE_MS = 16_000.0
+_MAX_PAUSE_MS = 16_000.0
 _ASK_PERIOD_MS = 2_000.0
 
 _log = logs.logger('targets')
@@ -81,7 +81,7 @@
         broadcaster: transport.Broadcaster,
         clock: timers.Timers,
         counters: metrics.Metrics,
-        chance: random.Random,
+        rng: random.Random,
         members: typing.Callable[[], list[str]],
         is_watcher: typing.Callable[[], bool] = lambda: True,
     ) -> None:
@@ -90,7 +90,7 @@
         self._broadcaster = broadcaster
         self._clock = clock
         self._metrics = counters
-        self._chance = chance
+        self._rng = rng
         self._members = members
         self._is_watcher = is_watcher
         self._signs: dict[str, dict[SignSource, TargetObject]] = {}
@@ -113,12 +113,12 @@
         """Return the targets that get no new work."""
         return set(self._leaving)
 
-    def to_probe(self) -> list[str]:
+    def targets_to_probe(self) -> list[str]:
         """Return targets that only their own word still holds back."""
         return [
             name
             for name in self._leaving
-            if self._standing(name) == [SignSource.TARGET]
+            if self._leaving_sources(name) == [SignSource.TARGET]
         ]
 
     def on_object(self, stored: transport.StoredObject) -> None:
@@ -144,12 +144,12 @@
             if host.leaving == was_leaving:
                 continue
             status = TargetObject(host.leaving, now_ms)
-            self._learn_from_list(host.name, status)
+            self._learn_from_host_list(host.name, status)
             self._broadcaster.broadcast(
                 protocol.TargetSign(host.name, host.leaving, now_ms, True)
             )
 
-    def _learn_from_list(self, name: str, status: TargetObject) -> None:
+    def _learn_from_host_list(self, name: str, status: TargetObject) -> None:
         known = self._signs.get(name, {}).get(SignSource.HOST_LIST)
         if known is not None and known.leaving and not status.leaving:
             # Dated back, so that a return that another daemon has
@@ -157,7 +157,7 @@
             self._learn(name, SignSource.TARGET, known)
         self._learn(name, SignSource.HOST_LIST, status)
 
-    def on_target_word(
+    def on_target_report(
         self, target: str, leaving: bool, asked_at_ms: int | None = None
     ) -> None:
         """Take what a target itself answered, and tell the others.
@@ -204,7 +204,7 @@
 
     def start(self) -> None:
         """Poll the host list and now and then ask a peer for its signs."""
-        self._clock.every(_ASK_PERIOD_MS, self._ask_a_peer)
+        self._clock.every(_ASK_PERIOD_MS, self._ask_peer)
         self._task = asyncio.create_task(self._poll_hosts())
 
     def close(self) -> None:
@@ -212,7 +212,7 @@
         if self._task is not None:
             self._task.cancel()
 
-    def _standing(self, target: str) -> list[SignSource]:
+    def _leaving_sources(self, target: str) -> list[SignSource]:
         signs = self._signs.get(target, {})
         return [source for source, sign in signs.items() if sign.leaving]
 
@@ -225,7 +225,7 @@
             return
         signs[source] = status
         self._digest = 0
-        is_leaving = bool(self._standing(target))
+        is_leaving = bool(self._leaving_sources(target))
         if is_leaving == (target in self._leaving):
             return
         if is_leaving:
@@ -245,7 +245,7 @@
     def _on_peer_sign(self, sender: str, sign: protocol.TargetSign) -> None:
         status = TargetObject(sign.leaving, sign.at_ms)
         if sign.from_host_list:
-            self._learn_from_list(sign.target, status)
+            self._learn_from_host_list(sign.target, status)
         else:
             self._learn(sign.target, SignSource.TARGET, status)
 
@@ -254,10 +254,10 @@
     ) -> None:
         if wanted.digest and wanted.digest == self._own_digest():
             return
-        for sign in self._told_signs():
+        for sign in self._shared_signs():
             self._peers.send(sender, sign)
 
-    def _told_signs(self) -> list[protocol.TargetSign]:
+    def _shared_signs(self) -> list[protocol.TargetSign]:
         """Return what daemons tell each other, oldest first.
 
         An operator's word is left out: everybody follows its object.
@@ -278,19 +278,19 @@
     def _own_digest(self) -> int:
         if not self._digest:
             rows = sorted(
-                self._told_signs(),
+                self._shared_signs(),
                 key=lambda row: (row.target, row.from_host_list),
             )
             content = msgspec.msgpack.encode(rows)
             self._digest = xxhash.xxh64_intdigest(content) or 1
         return self._digest
 
-    def _ask_a_peer(self) -> None:
+    def _ask_peer(self) -> None:
         # A broadcast may be lost, and a new daemon has heard none.
         names = sorted(self._members())
         if names:
             self._peers.send(
-                self._chance.choice(names),
+                self._rng.choice(names),
                 protocol.TargetSignsWanted(self._own_digest()),
             )
 
@@ -307,7 +307,7 @@
                 self.on_hosts(found.unwrap())
                 pause_ms = _HOSTS_PERIOD_MS
             else:
-                pause_ms = min(pause_ms * 2, _LONGEST_PAUSE_MS)
+                pause_ms = min(pause_ms * 2, _MAX_PAUSE_MS)
             await _pause.pause(self._clock, pause_ms)
 
 
--- a/tests/failure/test_leaving_targets.py
+++ b/tests/failure/test_leaving_targets.py
@@ -128,7 +128,7 @@
         daemons are told with a sign that is newer than the leaving one.
         """
         self.link.draining = True
-        self.signs.on_target_word('t1', True)
+        self.signs.on_target_report('t1', True)
         await self._assert_sends_nothing()
         self.clock.advance(500.0)
         await dispatching.settle()
--- a/tests/failure/test_limits.py
+++ b/tests/failure/test_limits.py
@@ -10,8 +10,8 @@
 from aiohttp import web
 
 from samphiredock.coordination.targets import _dispatcher
-from samphiredock.coordination.targets import _lane
-from samphiredock.coordination.targets import _lane_types
+from samphiredock.coordination.targets import _scheduler
+from samphiredock.coordination.targets import _scheduler_types
 from samphiredock import metrics
 from samphiredock import protocol
 from samphiredock import state
@@ -137,12 +137,19 @@
         for naive in (False, True):
             async with _Bench() as bench:
                 bench.faults.service_ms, bench.faults.sigma = 300.0, 0.0
-                ended = _lane.Lane.ended
-
-                def free(lane, ticket, ending, now_ms):
-                    return ended(lane, ticket, _lane_types.Ending.FREE, now_ms)
-
-                patched = mock.patch.object(_lane.Lane, 'ended', free)
+                ended = _scheduler.TargetScheduler.end_exchange
+
+                def free(scheduler, ticket, outcome, now_ms):
+                    return ended(
+                        scheduler,
+                        ticket,
+                        _scheduler_types.ExchangeOutcome.FREE,
+                        now_ms,
+                    )
+
+                patched = mock.patch.object(
+                    _scheduler.TargetScheduler, 'end_exchange', free
+                )
                 if naive:
                     patched.start()
                 try:
--- a/tests/failure/test_shares.py
+++ b/tests/failure/test_shares.py
@@ -3,8 +3,8 @@
 import dataclasses
 import unittest
 
-from samphiredock.coordination.targets import _lane
-from samphiredock.coordination.targets import _lane_types
+from samphiredock.coordination.targets import _scheduler
+from samphiredock.coordination.targets import _scheduler_types
 from samphiredock.coordination.targets import _shares
 from samphiredock import state
 from tests.unit import dispatching
@@ -22,12 +22,14 @@
 
     def __init__(self, by_site: bool = True) -> None:
         self._by_site = by_site
-        self._lane = _lane.Lane(
+        self._scheduler = _scheduler.TargetScheduler(
             dispatching.target(slots=2),
             state.Limits(queue_per_target=60, batch_items=2),
             _SHARES,
         )
-        self._ends: list[tuple[float, int, tuple[_lane_types.Work, ...]]] = []
+        self._ends: list[
+            tuple[float, int, tuple[_scheduler_types.Job, ...]]
+        ] = []
         self._numbers = 0
         self.served = dict.fromkeys(_SITES, 0)
         self.shed = dict.fromkeys(_SITES, 0)
@@ -37,35 +39,38 @@
         owed = dict.fromkeys(rates, 0.0)
         for now_ms in range(from_ms, to_ms):
             while self._ends and self._ends[0][0] <= now_ms:
-                _, ticket, works = self._ends.pop(0)
-                for work in works:
-                    self.served[work.request.site] += 1
-                ending = _lane_types.Ending.ANSWERED
-                self._take(self._lane.ended(ticket, ending, now_ms), now_ms)
+                _, ticket, jobs = self._ends.pop(0)
+                for job in jobs:
+                    self.served[job.request.site] += 1
+                outcome = _scheduler_types.ExchangeOutcome.ANSWERED
+                self._take(
+                    self._scheduler.end_exchange(ticket, outcome, now_ms),
+                    now_ms,
+                )
             for site, rate in rates.items():
                 owed[site] += rate
                 while owed[site] >= 1.0:
                     owed[site] -= 1.0
                     self._submit(site, now_ms)
-            self._take(self._lane.pump(now_ms), now_ms)
+            self._take(self._scheduler.pump(now_ms), now_ms)
 
     def _submit(self, site: str, now_ms: int) -> None:
         self._numbers += 1
-        work = dispatching.work(
-            f'{self._numbers}', now_ms + 2_000.0, site=site
-        )
+        job = dispatching.job(f'{self._numbers}', now_ms + 2_000.0, site=site)
         if not self._by_site:
             one_line = _shares.Flow('svc', 'all')
-            work = dataclasses.replace(work, flow=one_line)
-        self._take(self._lane.submit(work, now_ms), now_ms)
+            job = dataclasses.replace(job, flow=one_line)
+        self._take(self._scheduler.submit(job, now_ms), now_ms)
 
-    def _take(self, effects: list[_lane_types.Effect], now_ms: int) -> None:
+    def _take(
+        self, effects: list[_scheduler_types.Effect], now_ms: int
+    ) -> None:
         for effect in effects:
-            if isinstance(effect, _lane_types.StartExchange):
-                end = (now_ms + _SERVICE_MS, effect.ticket, effect.works)
+            if isinstance(effect, _scheduler_types.StartExchange):
+                end = (now_ms + _SERVICE_MS, effect.ticket, effect.jobs)
                 self._ends.append(end)
             else:
-                self.shed[effect.work.request.site] += 1
+                self.shed[effect.job.request.site] += 1
 
 
 class FloodTest(unittest.TestCase):
--- a/tests/unit/dispatching.py
+++ b/tests/unit/dispatching.py
@@ -4,7 +4,7 @@
 import typing
 
 
-from samphiredock.coordination.targets import _lane_types
+from samphiredock.coordination.targets import _scheduler_types
 from samphiredock.coordination.targets import _shares
 from samphiredock import protocol
 from samphiredock import state
@@ -83,36 +83,38 @@
     )
 
 
-def work(
+def job(
     attempt_id: str,
     expires_at_ms: float = 1_000.0,
     hedge: bool = False,
     **fields: typing.Any,
-) -> _lane_types.Work:
+) -> _scheduler_types.Job:
     """Return a sub-query that waits at a dispatcher."""
     sub_query = item(attempt_id, hedge=hedge)
     request = batch(sub_query, **fields)
     flow = _shares.Flow('svc', request.site)
-    return _lane_types.Work(
+    return _scheduler_types.Job(
         'd', 'q', attempt_id, expires_at_ms, request, sub_query, flow
     )
 
 
-def sent(effects: typing.Iterable[_lane_types.Effect]) -> list[list[str]]:
+def sent(effects: typing.Iterable[_scheduler_types.Effect]) -> list[list[str]]:
     """Return the attempts of each exchange that was started."""
     return [
-        [row.attempt_id for row in effect.works]
+        [row.attempt_id for row in effect.jobs]
         for effect in effects
-        if isinstance(effect, _lane_types.StartExchange)
+        if isinstance(effect, _scheduler_types.StartExchange)
     ]
 
 
-def refused(effects: typing.Iterable[_lane_types.Effect]) -> dict[str, str]:
+def refused(
+    effects: typing.Iterable[_scheduler_types.Effect],
+) -> dict[str, str]:
     """Return the status of each refused attempt."""
     return {
-        effect.work.attempt_id: effect.status.value
+        effect.job.attempt_id: effect.status.value
         for effect in effects
-        if isinstance(effect, _lane_types.Refuse)
+        if isinstance(effect, _scheduler_types.Refuse)
     }
 
 
--- a/tests/unit/test_dispatcher.py
+++ b/tests/unit/test_dispatcher.py
@@ -68,7 +68,7 @@
     async def test_broken_batch_tells_who_ran_alone(self) -> None:
         for names, healthy in (('1', True), ('2', False), ('34', False)):
             self.setUp()
-            self.dispatcher.lane('t1')
+            self.dispatcher.scheduler('t1')
             self.link.healthy = healthy
             items = [dispatching.item(name) for name in names]
             await self._deliver(dispatching.batch(*items))
@@ -90,7 +90,7 @@
         them finds no connection. It has begun at none, so that neither
         counts as crashed by it, or its content would be quarantined.
         """
-        self.dispatcher.lane('t1')
+        self.dispatcher.scheduler('t1')
         self.link.healthy = False
         await self._deliver(dispatching.batch(dispatching.item('1')))
         self.link.batches[0][1].set_result(
--- a/tests/unit/test_ownership.py
+++ b/tests/unit/test_ownership.py
@@ -153,10 +153,10 @@
         self.table.refresh()
 
     def _idle(self) -> int:
-        lane = self.dispatcher.lane('t1')
+        scheduler = self.dispatcher.scheduler('t1')
         for _ in range(4):
-            lane.record.on_answer(0, 0.0, 0.0)
-        return lane.idle_slots(self.clock.now_ms())
+            scheduler.record.on_answer(0, 0.0, 0.0)
+        return scheduler.idle_slots(self.clock.now_ms())
 
     def test_members_are_gone_through_only_when_they_change(self) -> None:
         """At 490 members a walk is 0.1 ms, and traffic asks each 20 ms."""
@@ -240,7 +240,7 @@
     async def test_own_orders_wait_in_no_socket_after_a_freeze(self) -> None:
         """Only a peer's order may have been sent before the freeze."""
         self._set_live('d1')
-        self.dispatcher.lane('t1')
+        self.dispatcher.scheduler('t1')
         await dispatching.settle()
         self.clock.freeze(4_000.0)
         self.peers.deliver(dispatching.order('1'), 'd1')
--- a/tests/unit/test_shares.py
+++ b/tests/unit/test_shares.py
@@ -20,7 +20,7 @@
 
 def _fill(queue: _shares.FairQueue, site: str, count: int) -> None:
     for number in range(count):
-        queue.push(dispatching.work(f'{site}{number}', site=site))
+        queue.push(dispatching.job(f'{site}{number}', site=site))
 
 
 class FairQueueTest(unittest.TestCase):
@@ -45,12 +45,12 @@
         queue = _shares.FairQueue(100, 2, _SHARES)
         _fill(queue, 'b', 100)
         for number in range(75):
-            newcomer = dispatching.work(f'a{number}', site='a')
+            newcomer = dispatching.job(f'a{number}', site='a')
             victim = queue.victim(newcomer, 0.0)
             self.assertEqual('b', victim.flow.site)
             queue.remove(victim)
             queue.push(newcomer)
-        self.assertIsNone(queue.victim(dispatching.work('a', site='a'), 0.0))
+        self.assertIsNone(queue.victim(dispatching.job('a', site='a'), 0.0))
 
     def test_cap_holds_while_the_others_are_idle(self) -> None:
         shares = _shares.Shares({'b': 0.25}, {'b': 0.5}, {'svc': 1.0}, {})
--- a/tests/unit/test_target_signs.py
+++ b/tests/unit/test_target_signs.py
@@ -72,32 +72,32 @@
         self._assert_usable(True)
 
     def test_list_that_lags_does_not_undo_the_targets_own_word(self) -> None:
-        self.signs.on_target_word('t1', True)
+        self.signs.on_target_report('t1', True)
         self._hosts(False)
         self._assert_usable(False)
-        self.assertEqual(['t1'], self.signs.to_probe())
+        self.assertEqual(['t1'], self.signs.targets_to_probe())
 
     def test_return_in_the_list_needs_a_probe(self) -> None:
         self._hosts(True)
-        self.assertEqual([], self.signs.to_probe())
+        self.assertEqual([], self.signs.targets_to_probe())
         self.clock.advance(1_000.0)
         self._hosts(False)
         self._assert_usable(False)
-        self.assertEqual(['t1'], self.signs.to_probe())
+        self.assertEqual(['t1'], self.signs.targets_to_probe())
         self.clock.advance(1.0)
-        self.signs.on_target_word('t1', False)
+        self.signs.on_target_report('t1', False)
         self._assert_usable(True)
 
     def test_new_sign_is_told_and_an_older_return_does_not_undo_it(
         self,
     ) -> None:
-        self.signs.on_target_word('t1', True)
+        self.signs.on_target_report('t1', True)
         sign = self.peers.of(protocol.TargetSign)[0]
         self.peers.deliver(protocol.TargetSign('t1', False, sign.at_ms - 1))
         self._assert_usable(False)
         self.peers.deliver(protocol.TargetSign('t1', False, sign.at_ms + 1))
         self._assert_usable(True)
-        self.signs.on_target_word('t1', True)
+        self.signs.on_target_report('t1', True)
         self._assert_usable(False)
         self.assertGreater(
             self.peers.of(protocol.TargetSign)[1].at_ms, sign.at_ms + 1
@@ -106,16 +106,16 @@
     def test_word_asked_before_a_sign_came_is_no_return(self) -> None:
         asked_at_ms = self.clock.wall_ms()
         self.clock.advance(5.0)
-        self.signs.on_target_word('t1', True)
-        self.signs.on_target_word('t1', False, asked_at_ms)
+        self.signs.on_target_report('t1', True)
+        self.signs.on_target_report('t1', False, asked_at_ms)
         self._assert_usable(False)
         told = [row.leaving for row in self.peers.of(protocol.TargetSign)]
         self.assertEqual([True], told)
-        self.signs.on_target_word('t1', False, asked_at_ms + 6)
+        self.signs.on_target_report('t1', False, asked_at_ms + 6)
         self._assert_usable(True)
 
     def test_peer_that_asks_is_told_what_is_known(self) -> None:
-        self.signs.on_target_word('t1', True)
+        self.signs.on_target_report('t1', True)
         self.peers.sent.clear()
         self.peers.deliver(protocol.TargetSignsWanted(), 'd3')
         self.assertEqual('d3', self.peers.sent[0][0])
@@ -124,7 +124,7 @@
     async def test_operator_writes_and_settles_the_targets_own_sign(
         self,
     ) -> None:
-        self.signs.on_target_word('t1', True)
+        self.signs.on_target_report('t1', True)
         self.clock.advance(5.0)
         reply = await self.signs.set_leaving('t1', False)
         self.assertEqual(1, reply.unwrap())
@@ -170,15 +170,15 @@
             self._hosts(leaving)
             self._exchange()
             self.assertEqual(self._view(self.signs), self._view(self.other))
-        self.assertEqual(['t1'], self.other.to_probe())
+        self.assertEqual(['t1'], self.other.targets_to_probe())
         self._assert_usable(False)
 
     def _view(self, signs: _target_signs.TargetSigns) -> tuple:
-        return signs.leaving(), signs.to_probe()
+        return signs.leaving(), signs.targets_to_probe()
 
     def _exchange(self) -> int:
         """Let the other ask; return how many signs it was told."""
-        self.other._ask_a_peer()
+        self.other._ask_peer()
         asked = self.other_peers.of(protocol.TargetSignsWanted)[-1]
         self.peers.sent.clear()
         self.peers.deliver(asked)
