--- a/samphiredock/coordination/targets/_dispatcher.py
+++ b/samphiredock/coordination/targets/_dispatcher.py
@@ -387,15 +387,15 @@
         self, target: str, start: _scheduler_types.StartExchange
     ) -> None:
         managed = self._managed[target]
-        outcome = _scheduler_types.ExchangeOutcome.LOST
+        exchange_end = _scheduler_types.ExchangeEnd.LOST
         try:
-            outcome = await self._exchanges.run(managed, start)
+            exchange_end = await self._exchanges.run(managed, start)
         finally:
             if self._freshness.just_woke():
                 self._expire_queued()
             now_ms = self._clock.now_ms()
             effects = managed.scheduler.end_exchange(
-                start.ticket, outcome, now_ms
+                start.ticket, exchange_end, now_ms
             )
             effects += managed.scheduler.refuse_if_lost(now_ms)
             self.execute(target, effects)
--- a/samphiredock/coordination/targets/_exchanges.py
+++ b/samphiredock/coordination/targets/_exchanges.py
@@ -67,15 +67,15 @@
 
     async def run(
         self, managed: ManagedTarget, start: _scheduler_types.StartExchange
-    ) -> _scheduler_types.ExchangeOutcome:
+    ) -> _scheduler_types.ExchangeEnd:
         """Do one exchange and answer its work; return what became of it."""
         if start.jobs[0].item is None:
-            outcome = await self._run(managed, start)
+            exchange_end = await self._run(managed, start)
         else:
-            outcome = await self._batch(managed, start)
-        if outcome is _scheduler_types.ExchangeOutcome.LOST:
+            exchange_end = await self._batch(managed, start)
+        if exchange_end is _scheduler_types.ExchangeEnd.LOST:
             self._metrics.add('slots_held_after_loss')
-        return outcome
+        return exchange_end
 
     async def probe(self, managed: ManagedTarget) -> None:
         """Ask a target, by an empty batch, what runs there and if it drains.
@@ -98,7 +98,7 @@
 
     async def _batch(
         self, managed: ManagedTarget, start: _scheduler_types.StartExchange
-    ) -> _scheduler_types.ExchangeOutcome:
+    ) -> _scheduler_types.ExchangeEnd:
         started_ms = self._clock.now_ms()
         jobs = start.jobs
         items = [_target_answers.target_query(job, started_ms) for job in jobs]
@@ -126,28 +126,28 @@
         managed: ManagedTarget,
         reply: protocol.TargetBatchAnswer,
         answers: list[protocol.TargetAnswer],
-    ) -> _scheduler_types.ExchangeOutcome:
+    ) -> _scheduler_types.ExchangeEnd:
         """Take in what a batch's answer says of the target itself."""
         statuses = {answer.status for answer in answers}
         if managed.scheduler.foreign_slots(self._clock.now_ms()):
             managed.scheduler.observe_running(reply.running)
         if reply.draining or protocol.TargetStatus.DRAINING in statuses:
             self._report_leaving(managed.target.name)
-            return _scheduler_types.ExchangeOutcome.FREE
+            return _scheduler_types.ExchangeEnd.FREE
         if protocol.TargetStatus.OK in statuses:
-            return _scheduler_types.ExchangeOutcome.ANSWERED
+            return _scheduler_types.ExchangeEnd.ANSWERED
         if statuses == {protocol.TargetStatus.NOT_LOADED}:
             managed.scheduler.record.on_unloaded(self._clock.now_ms())
         elif statuses == {protocol.TargetStatus.SHED}:
             managed.scheduler.record.on_shed(self._clock.now_ms())
-        return _scheduler_types.ExchangeOutcome.FREE
+        return _scheduler_types.ExchangeEnd.FREE
 
     async def _batch_failed(
         self,
         managed: ManagedTarget,
         jobs: tuple[_scheduler_types.Job, ...],
         error: transport.LinkError,
-    ) -> _scheduler_types.ExchangeOutcome:
+    ) -> _scheduler_types.ExchangeEnd:
         lost = await self._record_failure(managed, error)
         for job in jobs:
             answer = _target_answers.failed_answer(
@@ -158,11 +158,11 @@
                 lost,
             )
             self._answer(job, answer)
-        return _outcome_of(error)
+        return _exchange_end_of(error)
 
     async def _run(
         self, managed: ManagedTarget, start: _scheduler_types.StartExchange
-    ) -> _scheduler_types.ExchangeOutcome:
+    ) -> _scheduler_types.ExchangeEnd:
         job = start.jobs[0]
         order = typing.cast(protocol.RunOrder, job.request)
         # A run waits for its whole budget: giving up earlier would only
@@ -174,19 +174,19 @@
         lost = False
         if isinstance(reply, result.Failure):
             lost = await self._record_failure(managed, reply.failure())
-            outcome = _outcome_of(reply.failure())
+            exchange_end = _exchange_end_of(reply.failure())
         else:
             status = reply.unwrap().status
             if reply.unwrap().draining:
                 self._report_leaving(managed.target.name)
-            outcome = _scheduler_types.ExchangeOutcome.FREE
+            exchange_end = _scheduler_types.ExchangeEnd.FREE
             if status is protocol.TargetStatus.OK:
-                outcome = _scheduler_types.ExchangeOutcome.ANSWERED
+                exchange_end = _scheduler_types.ExchangeEnd.ANSWERED
         report = _target_answers.run_report(
             order.attempt_id, managed.target.name, reply, lost
         )
         self._answer(job, report)
-        return outcome
+        return exchange_end
 
     async def _record_failure(
         self, managed: ManagedTarget, error: transport.LinkError
@@ -224,9 +224,9 @@
             self._signs.on_target_report(target, True)
 
 
-def _outcome_of(
+def _exchange_end_of(
     error: transport.LinkError,
-) -> _scheduler_types.ExchangeOutcome:
+) -> _scheduler_types.ExchangeEnd:
     if error.ended or error.kind is transport.LinkErrorKind.UNREACHABLE:
-        return _scheduler_types.ExchangeOutcome.FREE
-    return _scheduler_types.ExchangeOutcome.LOST
+        return _scheduler_types.ExchangeEnd.FREE
+    return _scheduler_types.ExchangeEnd.LOST
--- a/samphiredock/coordination/targets/_scheduler.py
+++ b/samphiredock/coordination/targets/_scheduler.py
@@ -134,7 +134,7 @@
     def end_exchange(
         self,
         ticket: int,
-        outcome: _scheduler_types.ExchangeOutcome,
+        exchange_end: _scheduler_types.ExchangeEnd,
         now_ms: float,
     ) -> list[_scheduler_types.Effect]:
         """An exchange ended; its slot is free unless it was lost."""
@@ -144,7 +144,7 @@
         slack_ms = _DEADLINE_SLACK_MS + self._target.connect_ms
         until_ms = exchange.deadline_at_ms + slack_ms
         if (
-            outcome is _scheduler_types.ExchangeOutcome.LOST
+            exchange_end is _scheduler_types.ExchangeEnd.LOST
             and exchange.unconfirmed
         ):
             # The caller stopped waiting, the target perhaps did not.
@@ -154,7 +154,7 @@
         flows = collections.Counter([job.flow for job in exchange.jobs])
         for flow, count in flows.items():
             self._queue.charge(flow, part_ms * count, now_ms)
-        if outcome is _scheduler_types.ExchangeOutcome.ANSWERED:
+        if exchange_end is _scheduler_types.ExchangeEnd.ANSWERED:
             self.record.on_answer(len(exchange.jobs), busy_ms, now_ms)
         return self.pump(now_ms)
 
--- a/samphiredock/coordination/targets/_scheduler_types.py
+++ b/samphiredock/coordination/targets/_scheduler_types.py
@@ -48,7 +48,7 @@
 Effect = StartExchange | Refuse
 
 
-class ExchangeOutcome(enum.Enum):
+class ExchangeEnd(enum.Enum):
     """What the end of an exchange says about its slot and its target.
 
     ``FREE`` frees the slot but is no good answer: never sent, or an error
--- a/tests/failure/test_limits.py
+++ b/tests/failure/test_limits.py
@@ -139,11 +139,11 @@
                 bench.faults.service_ms, bench.faults.sigma = 300.0, 0.0
                 ended = _scheduler.TargetScheduler.end_exchange
 
-                def free(scheduler, ticket, outcome, now_ms):
+                def free(scheduler, ticket, exchange_end, now_ms):
                     return ended(
                         scheduler,
                         ticket,
-                        _scheduler_types.ExchangeOutcome.FREE,
+                        _scheduler_types.ExchangeEnd.FREE,
                         now_ms,
                     )
 
--- a/tests/failure/test_shares.py
+++ b/tests/failure/test_shares.py
@@ -42,9 +42,9 @@
                 _, ticket, jobs = self._ends.pop(0)
                 for job in jobs:
                     self.served[job.request.site] += 1
-                outcome = _scheduler_types.ExchangeOutcome.ANSWERED
+                exchange_end = _scheduler_types.ExchangeEnd.ANSWERED
                 self._take(
-                    self._scheduler.end_exchange(ticket, outcome, now_ms),
+                    self._scheduler.end_exchange(ticket, exchange_end, now_ms),
                     now_ms,
                 )
             for site, rate in rates.items():
--- a/tests/unit/test_scheduler.py
+++ b/tests/unit/test_scheduler.py
@@ -11,8 +11,8 @@
 from samphiredock import state
 from tests.unit import dispatching
 
-_ANSWERED = _scheduler_types.ExchangeOutcome.ANSWERED
-_LOST = _scheduler_types.ExchangeOutcome.LOST
+_ANSWERED = _scheduler_types.ExchangeEnd.ANSWERED
+_LOST = _scheduler_types.ExchangeEnd.LOST
 
 
 def _scheduler_of(
@@ -76,10 +76,10 @@
                 now_ms += amount
             elif out:
                 ticket = out.pop(0)
-                outcome = _ANSWERED if step == 'answer' else _LOST
-                if outcome is _ANSWERED:
+                exchange_end = _ANSWERED if step == 'answer' else _LOST
+                if exchange_end is _ANSWERED:
                     runs_until.pop(ticket)
-                effects += scheduler.end_exchange(ticket, outcome, now_ms)
+                effects += scheduler.end_exchange(ticket, exchange_end, now_ms)
             effects += scheduler.pump(now_ms)
             for effect in effects:
                 if isinstance(effect, _scheduler_types.StartExchange):
