--- a/benchmarks/scatter_cost.py
+++ b/benchmarks/scatter_cost.py
@@ -92,9 +92,9 @@
 def _tools(snapshot: state.Snapshot, seed: int) -> coordination.Tools:
     return coordination.Tools(
         _Routes(snapshot),
-        coordination.Replicas(random.Random(seed), lambda target: True),
+        coordination.ReplicaSelector(random.Random(seed), lambda target: True),
         coordination.Latencies(),
-        coordination.ExtraBudget(),
+        coordination.RetryBudget(),
         _NoSuspicions(),
     )
 
--- a/samphiredock/coordination/__init__.py
+++ b/samphiredock/coordination/__init__.py
@@ -44,8 +44,8 @@
         ),
         'targets': (
             'Dispatcher',
-            'ExtraBudget',
-            'Replicas',
+            'RetryBudget',
+            'ReplicaSelector',
             'TARGETS_PREFIX',
             'TargetSigns',
         ),
--- a/samphiredock/coordination/config/_spread.py
+++ b/samphiredock/coordination/config/_spread.py
@@ -61,7 +61,7 @@
         self.exchange = _exchange.ObjectExchange(
             name, knowledge, peers, membership.broadcast, clock, counters
         )
-        membership.on_peer_holds(self.exchange.on_peer_holds)
+        membership.on_peer_versions(self.exchange.on_peer_holds)
         watcher.share_among(
             self.is_watcher, lambda: len(membership.live()), self._share
         )
--- a/samphiredock/coordination/fleet/_directory.py
+++ b/samphiredock/coordination/fleet/_directory.py
@@ -125,7 +125,7 @@
         self._absent_since = {
             name: self._absent_since.get(name, now_ms) for name in absent
         }
-        if _relay.tree_of(live, MEMBERS_PREFIX)[:1] != [self._me().name]:
+        if _relay.relay_order(live, MEMBERS_PREFIX)[:1] != [self._me().name]:
             return
         for name, since_ms in self._absent_since.items():
             if now_ms - since_ms < _GONE_AFTER_MS:
--- a/samphiredock/coordination/fleet/_membership.py
+++ b/samphiredock/coordination/fleet/_membership.py
@@ -168,7 +168,7 @@
         """Call back with the members that joined and were lost."""
         self._on_change.append(callback)
 
-    def on_peer_holds(self, callback: _Holds) -> None:
+    def on_peer_versions(self, callback: _Holds) -> None:
         """Call back with what a peer says it holds."""
         self._on_holds.append(callback)
 
@@ -337,4 +337,4 @@
 ) -> list[str]:
     """Return the members of a site that watch the store for the others."""
     names = [member.name for member in members if member.site == site]
-    return list(itertools.islice(_relay.tree_of(names, 'watchers'), count))
+    return list(itertools.islice(_relay.relay_order(names, 'watchers'), count))
--- a/samphiredock/coordination/fleet/_freshness.py
+++ b/samphiredock/coordination/fleet/_message_age.py
@@ -6,7 +6,7 @@
 """Messages that waited in the sockets are read within this time."""
 
 
-class Freshness:
+class MessageAge:
     """The unknown age of messages read just after a freeze.
 
     A frozen process (stopped, swapped, its host paused) finds messages
--- a/samphiredock/coordination/fleet/_relay.py
+++ b/samphiredock/coordination/fleet/_relay.py
@@ -53,14 +53,14 @@
     name: str, members: typing.Iterable[str], message_id: str
 ) -> list[str]:
     """Return whom ``name`` passes a message to among its site's members."""
-    order = tree_of(members, message_id)
+    order = relay_order(members, message_id)
     if name not in order:
         return []
     first = FAN_OUT * order.index(name) + 1
     return order[first : first + FAN_OUT]
 
 
-def tree_of(members: typing.Iterable[str], message_id: str) -> list[str]:
+def relay_order(members: typing.Iterable[str], message_id: str) -> list[str]:
     """Return the members in the order of one message's tree."""
     return sorted(
         members,
@@ -132,7 +132,7 @@
         for member in others:
             sites[member.site].append(member.name)
         for names in sites.values():
-            for name in tree_of(names, message_id)[:1]:
+            for name in relay_order(names, message_id)[:1]:
                 self._peers.send(name, envelope)
 
     def _note(self, message_id: str) -> bool:
--- a/samphiredock/coordination/forwarding/_flight_sender.py
+++ b/samphiredock/coordination/forwarding/_flight_sender.py
@@ -10,7 +10,7 @@
 from samphiredock.coordination.forwarding import _order_flights
 from samphiredock.coordination.forwarding import _orders
 from samphiredock.coordination.search import _scatter_types
-from samphiredock.coordination.targets import _replicas
+from samphiredock.coordination.targets import _replica_selector
 from samphiredock import protocol
 from samphiredock import timers
 
@@ -36,7 +36,7 @@
         self,
         asker: _asking.TargetAsker,
         orders: _orders.Orders | None,
-        replicas: _replicas.Replicas,
+        replicas: _replica_selector.ReplicaSelector,
         clock: timers.Timers,
     ) -> None:
         self._asker = asker
@@ -174,7 +174,7 @@
         exchange = flight.exchanges.pop(attempt_id)
         if exchange.lingers:
             took_ms = self._clock.now_ms() - exchange.sent_ms
-            self._replicas.ended(exchange.target, took_ms)
+            self._replicas.record_ended(exchange.target, took_ms)
 
     def _drop(self, flight: _flights.Flight, attempt_id: str) -> None:
         exchange = flight.exchanges.get(attempt_id)
@@ -192,7 +192,7 @@
         if exchange is None or exchange.task is None:
             return
         exchange.lingers = True
-        self._replicas.lingers(exchange.target, exchange.sent_ms)
+        self._replicas.keep_in_flight(exchange.target, exchange.sent_ms)
         self._clock.after(_flights.LOSER_GRACE_MS, exchange.task.cancel)
 
     # A target that is asked from here.
--- a/samphiredock/coordination/forwarding/_live_targets.py
+++ b/samphiredock/coordination/forwarding/_live_targets.py
@@ -3,7 +3,7 @@
 import collections
 import typing
 
-from samphiredock.coordination.targets import _target_record
+from samphiredock.coordination.targets import _observed_health
 from samphiredock import logs
 from samphiredock import state
 from samphiredock import timers
@@ -31,7 +31,7 @@
     def __init__(self, clock: timers.Timers) -> None:
         self._clock = clock
         self._targets: dict[str, state.LiveTarget] = {}
-        self._records: dict[str, _target_record.TargetRecord] = {}
+        self._records: dict[str, _observed_health.ObservedHealth] = {}
         self._by_service: dict[str, list[str]] = {}
         self._missing: dict[str, float] = {}
         self._misdirected: set[str] = set()
@@ -45,7 +45,7 @@
         """Return a target that is registered."""
         return self._targets.get(target_id)
 
-    def record(self, target_id: str) -> _target_record.TargetRecord:
+    def record(self, target_id: str) -> _observed_health.ObservedHealth:
         """Return what was observed of a registered target."""
         return self._records[target_id]
 
@@ -110,7 +110,9 @@
         turned = [row for row in changed if self._turned(row)]
         for target in changed:
             if target.target_id not in self._records:
-                self._records[target.target_id] = _target_record.TargetRecord()
+                self._records[target.target_id] = (
+                    _observed_health.ObservedHealth()
+                )
             self._records[target.target_id].set_leaving(target.leaving)
             self._targets[target.target_id] = target
         self._index()
--- a/samphiredock/coordination/forwarding/_merge_ways.py
+++ b/samphiredock/coordination/forwarding/_merge_ways.py
@@ -9,7 +9,7 @@
 import typing
 
 from samphiredock.coordination.forwarding import _live_targets
-from samphiredock.coordination.targets import _replicas
+from samphiredock.coordination.targets import _replica_selector
 from samphiredock import state
 
 LEAST_PARTS = 4
@@ -98,7 +98,7 @@
 def choose_mergers(
     sites: typing.Iterable[str],
     peers: _live_targets.LiveTargets,
-    loads: _replicas.Replicas,
+    loads: _replica_selector.ReplicaSelector,
 ) -> dict[str, str]:
     """Return a daemon for each site that has one; the least loaded.
 
--- a/samphiredock/coordination/forwarding/_orders.py
+++ b/samphiredock/coordination/forwarding/_orders.py
@@ -8,7 +8,7 @@
 from samphiredock.coordination.forwarding import _forward_types
 from samphiredock.coordination.forwarding import _live_targets
 from samphiredock.coordination.forwarding import _merge_ways
-from samphiredock.coordination.targets import _replicas
+from samphiredock.coordination.targets import _replica_selector
 from samphiredock import logs
 from samphiredock import metrics
 from samphiredock import protocol
@@ -49,7 +49,7 @@
         targets: _live_targets.LiveTargets,
         peers: _live_targets.LiveTargets,
         links: _forward_types.Links,
-        loads: _replicas.Replicas,
+        loads: _replica_selector.ReplicaSelector,
         clock: timers.Timers,
         counters: metrics.Metrics,
     ) -> None:
@@ -102,7 +102,7 @@
                 return
             on_report(read.unwrap())
 
-        self._loads.sent(merger)
+        self._loads.record_sent(merger)
         took_ms: float | None = None
         try:
             reply = await self._links.exchange(
@@ -115,7 +115,7 @@
             if first_ms < math.inf:
                 took_ms = first_ms - began_ms
         finally:
-            self._loads.ended(merger, took_ms)
+            self._loads.record_ended(merger, took_ms)
         return self._status_of(merger, reply, broken)
 
     def _status_of(
@@ -150,11 +150,11 @@
     def is_late(self, merger: str) -> None:
         """A daemon has reported nothing in time: others come first."""
         self._metrics.add('orders_late')
-        self._loads.failed(merger)
+        self._loads.record_failure(merger)
 
     def _failed(self, merger: str, why: str) -> None:
         self._metrics.add('orders_failed')
-        self._loads.failed(merger)
+        self._loads.record_failure(merger)
         _log.info('order failed', daemon=merger, why=why)
 
 
--- a/samphiredock/coordination/search/_coordinator.py
+++ b/samphiredock/coordination/search/_coordinator.py
@@ -17,7 +17,7 @@
 from samphiredock.coordination.search import _scatter
 from samphiredock.coordination.search import _scatter_types
 from samphiredock.coordination.targets import _budget
-from samphiredock.coordination.targets import _replicas
+from samphiredock.coordination.targets import _replica_selector
 from samphiredock import metrics
 from samphiredock import protocol
 from samphiredock import state
@@ -98,9 +98,9 @@
         self._verdicts = _canary.Verdicts(quarantine, clock)
         self._tools = _scatter_types.Tools(
             view,
-            _replicas.Replicas(rng, self._is_near),
+            _replica_selector.ReplicaSelector(rng, self._is_near),
             _hedging.Latencies(),
-            _budget.ExtraBudget(),
+            _budget.RetryBudget(),
             self._verdicts,
         )
         self._numbers = itertools.count(1)
--- a/samphiredock/coordination/search/_scatter.py
+++ b/samphiredock/coordination/search/_scatter.py
@@ -281,7 +281,7 @@
         useful = verdict is _Verdict.WHOLE
         self._attempts.end(attempt, took_ms if useful else None)
         if verdict in _scatter_judge.TARGET_FAULTS:
-            self._tools.replicas.failed(attempt.item.target)
+            self._tools.replicas.record_failure(attempt.item.target)
         began = status not in protocol.NEVER_STARTED
         charged = status in self._tools.budget.also_charged
         if began:
--- a/samphiredock/coordination/search/_scatter_attempts.py
+++ b/samphiredock/coordination/search/_scatter_attempts.py
@@ -90,7 +90,7 @@
         shard.tried.add(target)
         shard.ran.add(target)
         shard.outstanding += 1
-        self._replicas.sent(target)
+        self._replicas.record_sent(target)
         key = (dispatcher, alone)
         box = self._outbox.get(key)
         if box is None:
@@ -110,7 +110,7 @@
         del self._out[item.attempt_id]
         self._alone -= attempt.alone
         attempt.shard.outstanding -= 1
-        self._replicas.ended(item.target, took_ms)
+        self._replicas.record_ended(item.target, took_ms)
 
     def on(
         self, shard: _scatter_round.ShardState
--- a/samphiredock/coordination/search/_scatter_types.py
+++ b/samphiredock/coordination/search/_scatter_types.py
@@ -4,7 +4,7 @@
 import typing
 
 from samphiredock.coordination.search import _hedging
-from samphiredock.coordination.targets import _replicas
+from samphiredock.coordination.targets import _replica_selector
 from samphiredock import protocol
 from samphiredock import state
 
@@ -127,7 +127,7 @@
     """What the searches of one coordinator share."""
 
     routes: Routes
-    replicas: _replicas.Replicas
+    replicas: _replica_selector.ReplicaSelector
     latencies: _hedging.Latencies
     budget: Budget
     suspicions: Suspicions
--- a/samphiredock/coordination/targets/__init__.py
+++ b/samphiredock/coordination/targets/__init__.py
@@ -5,9 +5,9 @@
 __getattr__, __dir__, __all__ = lazy.public_names(
     __name__,
     {
-        '_budget': ('ExtraBudget',),
+        '_budget': ('RetryBudget',),
         '_dispatcher': ('Dispatcher',),
-        '_replicas': ('Replicas',),
+        '_replica_selector': ('ReplicaSelector',),
         '_target_signs': (
             'TARGETS_PREFIX',
             'TargetSigns',
--- a/samphiredock/coordination/targets/_budget.py
+++ b/samphiredock/coordination/targets/_budget.py
@@ -8,7 +8,7 @@
 _DEBT_TOKENS = 100.0
 
 
-class ExtraBudget:
+class RetryBudget:
     """A token bucket filled by needed sub-queries, drained by extra ones.
 
     Hedges and retries draw from the same bucket, so that a fault which
--- a/samphiredock/coordination/targets/_dispatcher.py
+++ b/samphiredock/coordination/targets/_dispatcher.py
@@ -6,7 +6,7 @@
 
 from returns import result
 
-from samphiredock.coordination.fleet import _freshness
+from samphiredock.coordination.fleet import _message_age
 from samphiredock.coordination.fleet import _ownership
 from samphiredock.coordination.targets import _exchanges
 from samphiredock.coordination.targets import _handover
@@ -67,7 +67,7 @@
         self._make_link = make_link
         self._is_quarantined = is_quarantined
         self._signs = signs
-        self._freshness = _freshness.Freshness(clock)
+        self._freshness = _message_age.MessageAge(clock)
         self._configuration: state.Configuration | None = None
         self._shares = _shares.NO_SHARES
         self._handover: _handover.Handover | None = None
--- a/samphiredock/coordination/targets/_target_record.py
+++ b/samphiredock/coordination/targets/_observed_health.py
@@ -32,7 +32,7 @@
 """Trigger, sources, destination; any other pair changes nothing."""
 
 
-class TargetRecord:
+class ObservedHealth:
     """The life of one target and its service time.
 
     The machine is triggered only when something changes: an event costs
--- a/samphiredock/coordination/targets/_replicas.py
+++ b/samphiredock/coordination/targets/_replica_selector.py
@@ -70,7 +70,7 @@
     return 0.5 ** (age_ms / _FORGET_HALF_MS)
 
 
-class Replicas:
+class ReplicaSelector:
     """Least expected wait among two replicas drawn at random.
 
     The wait is the target's smoothed latency times what this coordinator
@@ -163,18 +163,18 @@
         failures = 1.0 + _FAILURE_FACTOR * load.failing_share(now_ms)
         return (len(load.started_ms) + 1) * latency_ms * failures
 
-    def sent(self, target: str) -> None:
+    def record_sent(self, target: str) -> None:
         """Count an attempt as in flight."""
         self._load(target).started_ms.append(self._now_ms())
 
-    def ended(self, target: str, took_ms: float | None) -> None:
+    def record_ended(self, target: str, took_ms: float | None) -> None:
         """Count an attempt as ended; ``took_ms`` None leaves the record."""
         load = self._load(target)
         load.started_ms.popleft()
         if took_ms is not None:
-            self.measured(target, took_ms)
+            self.record_latency(target, took_ms)
 
-    def lingers(self, target: str, sent_ms: float) -> None:
+    def keep_in_flight(self, target: str, sent_ms: float) -> None:
         """Count an attempt as in flight that was ended here, but runs on.
 
         :meth:`ended` follows when its exchange has ended.
@@ -186,14 +186,14 @@
                 sorted(started_ms)
             )
 
-    def measured(self, target: str, took_ms: float) -> None:
+    def record_latency(self, target: str, took_ms: float) -> None:
         """Take in a latency; also of an attempt that was ended before."""
         load = self._load(target)
         load.latency_ms += _SMOOTHING * (took_ms - load.latency_ms)
         load.measured_ms = self._now_ms()
         load.judge(False, load.measured_ms)
 
-    def failed(self, target: str) -> None:
+    def record_failure(self, target: str) -> None:
         """Take in that a target refused, broke or spoilt an attempt."""
         self._load(target).judge(True, self._now_ms())
 
--- a/samphiredock/coordination/targets/_scheduler.py
+++ b/samphiredock/coordination/targets/_scheduler.py
@@ -9,9 +9,9 @@
 import math
 import typing
 
+from samphiredock.coordination.targets import _observed_health
 from samphiredock.coordination.targets import _scheduler_types
 from samphiredock.coordination.targets import _shares
-from samphiredock.coordination.targets import _target_record
 from samphiredock import protocol
 from samphiredock import state
 
@@ -78,7 +78,7 @@
         self._window_ends_ms = 0.0
         self._leaving = False
         self._released = False
-        self.record = _target_record.TargetRecord()
+        self.record = _observed_health.ObservedHealth()
 
     def reconfigure(
         self,
--- a/samphiredock/daemon/_entry_service.py
+++ b/samphiredock/daemon/_entry_service.py
@@ -153,7 +153,7 @@
     def _make_forwarder(self) -> forwarding.Forwarder:
         settings = self._settings
         knowledge = self._knowledge
-        replicas = coordination.Replicas(
+        replicas = coordination.ReplicaSelector(
             random.Random(settings.name),
             knowledge.is_near,
             settings.other_site_factor,
@@ -194,7 +194,7 @@
             self._knowledge.targets,
             self._knowledge.peers,
             self._peer_links,
-            coordination.Replicas(
+            coordination.ReplicaSelector(
                 random.Random(settings.name),
                 lambda peer: True,
                 now_ms=self._clock.now_ms,
@@ -210,14 +210,14 @@
         knowledge = self._knowledge
         tools = coordination.Tools(
             knowledge.peers,
-            coordination.Replicas(
+            coordination.ReplicaSelector(
                 random.Random(settings.name),
                 knowledge.is_near_peer,
                 now_ms=self._clock.now_ms,
                 near_only=True,
             ),
             coordination.Latencies(),
-            coordination.ExtraBudget(),
+            coordination.RetryBudget(),
             forwarding.NoSuspicions(),
         )
         return forwarding.Forwarder(
--- a/standins/memory_links.py
+++ b/standins/memory_links.py
@@ -196,9 +196,9 @@
             orders=self.make_orders(),
         )
 
-    def make_replicas(self) -> coordination.Replicas:
+    def make_replicas(self) -> coordination.ReplicaSelector:
         """Return the records of targets; here all are near."""
-        return coordination.Replicas(
+        return coordination.ReplicaSelector(
             random.Random(SEED),
             lambda target: True,
             now_ms=self.clock.now_ms,
--- a/standins/memory_orders.py
+++ b/standins/memory_orders.py
@@ -143,9 +143,9 @@
             state.LiveTarget(name, service, '127.0.0.1:1', site, 2, **changes)
         )
 
-    def make_replicas(self) -> coordination.Replicas:
+    def make_replicas(self) -> coordination.ReplicaSelector:
         """Return the records of targets; those of this site come first."""
-        return coordination.Replicas(
+        return coordination.ReplicaSelector(
             random.Random(memory_links.SEED),
             lambda name: self.targets.get(name).site == 'here',
             3.0,
@@ -154,7 +154,7 @@
 
     def make_orders(self) -> forwarding.Orders:
         """Return what sends this desk's orders."""
-        loads = coordination.Replicas(
+        loads = coordination.ReplicaSelector(
             random.Random(memory_links.SEED),
             lambda name: True,
             now_ms=self.clock.now_ms,
--- a/standins/search_desk.py
+++ b/standins/search_desk.py
@@ -40,9 +40,11 @@
         self.suspected = False
         self.tools = coordination.Tools(
             self,
-            coordination.Replicas(random.Random(SEED), lambda target: True),
+            coordination.ReplicaSelector(
+                random.Random(SEED), lambda target: True
+            ),
             coordination.Latencies(),
-            coordination.ExtraBudget(),
+            coordination.RetryBudget(),
             self,
         )
         self.begin()
--- a/tests/failure/test_hedging.py
+++ b/tests/failure/test_hedging.py
@@ -234,7 +234,7 @@
 
     def test_hedges_leave_a_reserve_for_retries(self) -> None:
         """A lost key range costs more than a late one."""
-        budget = coordination.ExtraBudget()
+        budget = coordination.RetryBudget()
         while budget.spend_hedge():
             pass
         self.assertTrue(budget.spend_retry())
--- a/tests/failure/test_spread.py
+++ b/tests/failure/test_spread.py
@@ -156,7 +156,7 @@
                 for name in names
                 for child in _relay.children_of(name, names, 'message-1')
             ]
-            root = _relay.tree_of(names, 'message-1')[0]
+            root = _relay.relay_order(names, 'message-1')[0]
             self.assertEqual(sorted(names), sorted([root, *children]))
 
     def test_repeats_are_dropped(self) -> None:
--- a/tests/unit/test_coordinator.py
+++ b/tests/unit/test_coordinator.py
@@ -110,8 +110,8 @@
         replicas = search_desk.Desk().tools.replicas
         for _ in range(50):
             for target, took_ms in (('fast', 2.0), ('slow', 40.0)):
-                replicas.sent(target)
-                replicas.ended(target, took_ms)
+                replicas.record_sent(target)
+                replicas.record_ended(target, took_ms)
         chosen = [replicas.choose(['fast', 'slow']) for _ in range(2_000)]
         self.assertGreater(chosen.count('fast'), 1_900)
         self.assertGreater(chosen.count('slow'), 0)
@@ -122,5 +122,5 @@
         chosen = []
         for _ in range(100):
             chosen.append(replicas.choose(['a', 'b']))
-            replicas.sent(chosen[-1])
+            replicas.record_sent(chosen[-1])
         self.assertLess(abs(chosen.count('a') - 50), 6)
--- a/tests/unit/test_merge_ways.py
+++ b/tests/unit/test_merge_ways.py
@@ -22,7 +22,7 @@
             self.peers.put(
                 state.LiveTarget(name, 'coordinators', 'x:1', name[0], 1)
             )
-        self.loads = coordination.Replicas(
+        self.loads = coordination.ReplicaSelector(
             random.Random(7), lambda name: True, now_ms=self.clock.now_ms
         )
 
@@ -76,7 +76,7 @@
 
     def test_a_daemon_that_hangs_gets_few_orders(self) -> None:
         """A frozen one answers nothing, so only its age tells."""
-        self.loads.sent('b-0')
+        self.loads.record_sent('b-0')
         self.clock.advance(500.0)
         chosen = [
             _merge_ways.choose_mergers('b', self.peers, self.loads)['b']
--- a/tests/unit/test_target_record.py
+++ b/tests/unit/test_observed_health.py
@@ -2,14 +2,14 @@
 
 import unittest
 
-from samphiredock.coordination.targets import _target_record
+from samphiredock.coordination.targets import _observed_health
 
 
 class TargetRecordTest(unittest.TestCase):
     """States, ramp and service time."""
 
     def setUp(self) -> None:
-        self.record = _target_record.TargetRecord()
+        self.record = _observed_health.ObservedHealth()
 
     def _answer(self, count: int, now_ms: float = 0.0) -> None:
         for _ in range(count):
