--- a/samphiredock/coordination/fleet/_directory.py
+++ b/samphiredock/coordination/fleet/_directory.py
@@ -22,9 +22,9 @@
 MEMBERS_PREFIX = 'members/'
 
 _RETRY_MS = 500.0
-_REREAD_MS = 20_000.0
-_SIZE_OF_REREAD = 8
-_GONE_AFTER_MS = 3 * 3_600_000.0
+_REREAD_INTERVAL_MS = 20_000.0
+_MEMBERS_PER_REREAD = 8
+_STALE_AFTER_MS = 3 * 3_600_000.0
 
 _MEMBER = msgspec.json.Decoder(state.Member)
 _log = logs.logger('directory')
@@ -77,14 +77,14 @@
                 # The entry of a daemon that was cut off for long may have
                 # been removed as one of a host long gone.
                 registered = any(stored.key == own for stored in found)
-                await self._remove_gone(found)
+                await self._remove_stale(found)
             await _pause.pause(self._clock, self._wait_ms(found, registered))
 
     def _wait_ms(self, found: object, registered: bool) -> float:
         if found is None or not registered:
             return _RETRY_MS * self._rng.uniform(0.8, 1.6)
-        scale = max(1.0, len(self._live()) / _SIZE_OF_REREAD)
-        return _REREAD_MS * scale * self._rng.uniform(0.75, 1.25)
+        scale = max(1.0, len(self._live()) / _MEMBERS_PER_REREAD)
+        return _REREAD_INTERVAL_MS * scale * self._rng.uniform(0.75, 1.25)
 
     async def _read(self) -> tuple[transport.StoredObject, ...] | None:
         found = await self._platform.scan(MEMBERS_PREFIX)
@@ -114,7 +114,7 @@
         put = await self._platform.put(key, value, version)
         return isinstance(put, result.Success)
 
-    async def _remove_gone(
+    async def _remove_stale(
         self, found: tuple[transport.StoredObject, ...]
     ) -> None:
         """Let one member remove the entries of hosts long gone."""
@@ -128,7 +128,7 @@
         if _relay.relay_order(live, MEMBERS_PREFIX)[:1] != [self._me().name]:
             return
         for name, since_ms in self._absent_since.items():
-            if now_ms - since_ms < _GONE_AFTER_MS:
+            if now_ms - since_ms < _STALE_AFTER_MS:
                 continue
             stored = listed[name]
             await self._platform.delete(stored.key, stored.version)
--- a/samphiredock/coordination/fleet/_gossip.py
+++ b/samphiredock/coordination/fleet/_gossip.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from samphiredock.coordination.fleet import _gossip_parts
+from samphiredock.coordination.fleet import _gossip_state
 from samphiredock.coordination.fleet import _member_table
 from samphiredock.coordination.fleet import _neighbours
 from samphiredock.coordination.fleet import _reports
@@ -19,20 +19,20 @@
 
 TICK_MS = 100.0
 _GAP_MS = 1_500.0
-_DIRECT_MS = 300.0
-_INDIRECT_MS = 400.0
+_DIRECT_TIMEOUT_MS = 300.0
+_INDIRECT_TIMEOUT_MS = 400.0
 _INDIRECT_PROBES = 3
-_LOST_PROBE_MS = 2_000.0
-_LOST_KEEP_MS = 2 * 3_600_000.0
-_EXCHANGE_MS = 10_000.0
+_LOST_PROBE_INTERVAL_MS = 2_000.0
+_LOST_RETENTION_MS = 2 * 3_600_000.0
+_EXCHANGE_INTERVAL_MS = 10_000.0
 _VERIFY_PER_TICK = 5
-_ASK_UNKNOWN = 8
-_RELEARN_PEERS = 3
+_MAX_UNKNOWN_ASKED = 8
+_REFRESH_PEERS = 3
 
 _ALIVE = protocol.MemberState.ALIVE
 _SUSPECT = protocol.MemberState.SUSPECT
 
-_Effects = list[_gossip_parts.GossipEffect]
+_Effects = list[_gossip_state.GossipEffect]
 
 
 class Gossip:
@@ -60,7 +60,7 @@
         rng: random.Random,
         versions: typing.Callable[[], protocol.HeldVersions],
         settled: typing.Callable[[], bool],
-        behind: typing.Callable[[], bool],
+        is_behind: typing.Callable[[], bool],
         now_ms: float,
     ) -> None:
         self._reports = _reports.Reports(me)
@@ -69,15 +69,17 @@
         self._rng = rng
         self._versions = versions
         self._settled = settled
-        self._behind = behind
-        self._numbers = 0
-        self._probes = _gossip_parts.Probes(rng)
+        self._is_behind = is_behind
+        self._last_number = 0
+        self._probes = _gossip_state.Probes(rng)
         self._neighbours = _neighbours.Neighbours(me.name)
-        self._freshness = _gossip_parts.Freshness()
+        self._view_freshness = _gossip_state.ViewFreshness()
         self._last_ms = now_ms
         self._next_probe_ms = now_ms
-        self._next_lost_ms = now_ms + _LOST_PROBE_MS
-        self._next_exchange_ms = now_ms + rng.uniform(0, _EXCHANGE_MS / 4)
+        self._next_lost_ms = now_ms + _LOST_PROBE_INTERVAL_MS
+        self._next_exchange_ms = now_ms + rng.uniform(
+            0, _EXCHANGE_INTERVAL_MS / 4
+        )
 
     @property
     def me(self) -> protocol.MemberRow:
@@ -91,7 +93,7 @@
     def is_current(self, now_ms: float) -> bool:
         """Whether the view is not older than a gap in this process."""
         late_ms = now_ms - self._last_ms
-        return late_ms < _GAP_MS and not self._freshness.is_stale
+        return late_ms < _GAP_MS and not self._view_freshness.is_stale
 
     # Inputs.
 
@@ -99,20 +101,20 @@
         """Do what is due; to be called each ``TICK_MS``."""
         effects = self._check_gap(now_ms)
         self._last_ms = now_ms
-        effects += self._relearn(now_ms)
+        effects += self._refresh_view(now_ms)
         effects += self._expire_probes(now_ms)
         effects += self._reports.expire_suspicions(now_ms)
-        effects += self._verify_some()
+        effects += self._verify_reports()
         if now_ms >= self._next_probe_ms:
             self._next_probe_ms = now_ms + self._reports.period_ms()
             effects += self._probe_next(now_ms)
         if now_ms >= self._next_lost_ms:
-            self._next_lost_ms = now_ms + _LOST_PROBE_MS
+            self._next_lost_ms = now_ms + _LOST_PROBE_INTERVAL_MS
             effects += self._probe_lost(now_ms)
         if now_ms >= self._next_exchange_ms:
             spread = self._rng.uniform(0.75, 1.25)
-            self._next_exchange_ms = now_ms + _EXCHANGE_MS * spread
-            effects += self._ask_state(self._others(1))
+            self._next_exchange_ms = now_ms + _EXCHANGE_INTERVAL_MS * spread
+            effects += self._ask_state(self._random_neighbours(1))
         return effects
 
     def on_message(
@@ -132,14 +134,18 @@
         no member: the member's own answer does.
         """
         unknown = [row for row in rows if not self.table.is_live(row.name)]
-        chosen = self._rng.sample(unknown, min(_ASK_UNKNOWN, len(unknown)))
-        effects: _Effects = [_gossip_parts.Learned(row) for row in chosen]
+        chosen = self._rng.sample(
+            unknown, min(_MAX_UNKNOWN_ASKED, len(unknown))
+        )
+        effects: _Effects = [
+            _gossip_state.MemberChanged(row) for row in chosen
+        ]
         names = [row.name for row in chosen]
-        return effects + self._ask_state(names, everything=True)
+        return effects + self._ask_state(names, full=True)
 
     def ask_some(self) -> _Effects:
         """Ask some members what they hold."""
-        return self._ask_state(self._others(_RELEARN_PEERS))
+        return self._ask_state(self._random_neighbours(_REFRESH_PEERS))
 
     def leave(self) -> protocol.MemberRow:
         """Mark this daemon as leaving; return its row to be told."""
@@ -167,60 +173,60 @@
         would suspect everybody, and act on what it owned before.
         """
         last_ms, self._last_ms = self._last_ms, now_ms
-        if not self._freshness.is_stale:
+        if not self._view_freshness.is_stale:
             self._reports.refute(self.me)
         gap_ms = now_ms - last_ms
         self._reports.postpone_suspicions(gap_ms)
-        self._freshness.on_gap(now_ms)
+        self._view_freshness.on_gap(now_ms)
         self._probes.clear()
         return []
 
-    def _relearn(self, now_ms: float) -> _Effects:
-        if not self._freshness.is_stale:
+    def _refresh_view(self, now_ms: float) -> _Effects:
+        if not self._view_freshness.is_stale:
             return []
-        wanted = min(_RELEARN_PEERS, len(self.table.names()) - 1)
-        if self._freshness.should_ask(now_ms, wanted, self._behind()):
-            return self._ask_state(self._others(2 * _RELEARN_PEERS))
+        wanted = min(_REFRESH_PEERS, len(self.table.names()) - 1)
+        if self._view_freshness.should_ask(now_ms, wanted, self._is_behind()):
+            return self._ask_state(self._random_neighbours(2 * _REFRESH_PEERS))
         return []
 
     # Probes.
 
-    def _number(self) -> int:
-        self._numbers += 1
-        return self._numbers
+    def _next_number(self) -> int:
+        self._last_number += 1
+        return self._last_number
 
-    def _others(self, count: int) -> list[str]:
+    def _random_neighbours(self, count: int) -> list[str]:
         names = self.neighbours()
         return self._rng.sample(names, min(count, len(names)))
 
     def _probe(
         self, name: str, due_ms: float, asked_by: str = '', asked: int = 0
     ) -> _Effects:
-        number = self._number()
+        number = self._next_number()
         self._probes.add(
             number,
-            _gossip_parts.OpenProbe(
+            _gossip_state.OpenProbe(
                 name, due_ms, asked_by=asked_by, asked_number=asked
             ),
         )
         message = protocol.Probe(
             number, self._versions(), self._reports.rows_for(name)
         )
-        return [_gossip_parts.SendTo(name, message)]
+        return [_gossip_state.SendTo(name, message)]
 
     def _probe_next(self, now_ms: float) -> _Effects:
         name = self._probes.next_target(self.neighbours())
-        return self._probe(name, now_ms + _DIRECT_MS) if name else []
+        return self._probe(name, now_ms + _DIRECT_TIMEOUT_MS) if name else []
 
     def _probe_lost(self, now_ms: float) -> _Effects:
         """Probe one dead member, so that the end of a cut is found."""
         effects: _Effects = []
-        for name in self._reports.forget_lost(now_ms - _LOST_KEEP_MS):
-            effects.append(_gossip_parts.Forgotten(name))
+        for name in self._reports.forget_lost(now_ms - _LOST_RETENTION_MS):
+            effects.append(_gossip_state.MemberForgotten(name))
         if not self._reports.lost_since:
             return effects
         name = self._rng.choice(sorted(self._reports.lost_since))
-        return effects + self._probe(name, now_ms + _DIRECT_MS)
+        return effects + self._probe(name, now_ms + _DIRECT_TIMEOUT_MS)
 
     def _expire_probes(self, now_ms: float) -> _Effects:
         effects: _Effects = []
@@ -233,19 +239,19 @@
                     effects += self._reports.suspect(row, now_ms)
                 continue
             probe.indirect = True
-            probe.due_ms = now_ms + _INDIRECT_MS
+            probe.due_ms = now_ms + _INDIRECT_TIMEOUT_MS
             effects += self._probe_through_others(number, probe.target)
         return effects
 
     def _probe_through_others(self, number: int, target: str) -> _Effects:
         helpers = [
             name
-            for name in self._others(_INDIRECT_PROBES + 1)
+            for name in self._random_neighbours(_INDIRECT_PROBES + 1)
             if name != target
         ][:_INDIRECT_PROBES]
         versions = self._versions()
         return [
-            _gossip_parts.SendTo(
+            _gossip_state.SendTo(
                 name,
                 protocol.ProbeAsk(
                     number, target, versions, self._reports.rows_for(name)
@@ -254,37 +260,39 @@
             for name in helpers
         ]
 
-    def _verify_some(self) -> _Effects:
+    def _verify_reports(self) -> _Effects:
         effects: _Effects = []
-        doubtful = self._reports.doubtful
-        for _ in range(min(_VERIFY_PER_TICK, len(doubtful))):
-            row = doubtful.popleft()
+        unverified = self._reports.unverified
+        for _ in range(min(_VERIFY_PER_TICK, len(unverified))):
+            row = unverified.popleft()
             if not self.table.beats(row):
                 continue
-            message = protocol.Probe(self._number(), self._versions(), [row])
-            effects.append(_gossip_parts.SendTo(row.name, message))
+            message = protocol.Probe(
+                self._next_number(), self._versions(), [row]
+            )
+            effects.append(_gossip_state.SendTo(row.name, message))
         return effects
 
     # Messages.
 
-    def _ask_state(
-        self, names: list[str], everything: bool = False
-    ) -> _Effects:
-        digests = [] if everything else self.table.digests()
+    def _ask_state(self, names: list[str], full: bool = False) -> _Effects:
+        digests = [] if full else self.table.digests()
         message = protocol.StateAsk(
-            self._number(), self.me, digests, self._versions()
+            self._next_number(), self.me, digests, self._versions()
         )
-        return [_gossip_parts.SendTo(name, message) for name in names]
+        return [_gossip_state.SendTo(name, message) for name in names]
 
     def state_ask(self) -> protocol.StateAsk:
         """Return the message that asks a bare address for all it knows."""
-        return protocol.StateAsk(self._number(), self.me, [], self._versions())
+        return protocol.StateAsk(
+            self._next_number(), self.me, [], self._versions()
+        )
 
     def _on_probe(
         self, sender: str, message: protocol.Probe, now_ms: float
     ) -> _Effects:
         effects = self._reports.merge(message.rows, now_ms)
-        effects.append(_gossip_parts.PeerHolds(sender, message.versions))
+        effects.append(_gossip_state.PeerVersions(sender, message.versions))
         rows = self._reports.rows_for(sender)
         doubted = any(row.name == self._name for row in message.rows)
         leaving = self.me.state is protocol.MemberState.LEFT
@@ -293,50 +301,50 @@
             # who probes a leaving daemon may have missed that it leaves.
             rows.append(self.me)
         answer = protocol.ProbeAnswer(message.number, self._versions(), rows)
-        return [*effects, _gossip_parts.SendTo(sender, answer)]
+        return [*effects, _gossip_state.SendTo(sender, answer)]
 
     def _on_probe_answer(
         self, sender: str, message: protocol.ProbeAnswer, now_ms: float
     ) -> _Effects:
         was_lost = sender in self._reports.lost_since
         effects = self._reports.merge(message.rows, now_ms)
-        effects.append(_gossip_parts.PeerHolds(sender, message.versions))
+        effects.append(_gossip_state.PeerVersions(sender, message.versions))
         probe = self._probes.get(message.number)
         if probe is not None and probe.target == sender:
             self._probes.close(message.number)
             if probe.asked_by:
-                effects += self._pass_answer(probe, message)
+                effects += self._relay_answer(probe, message)
         elif probe is not None and probe.indirect:
             # Another one reaches it: the connection between the two is
             # silent.  If it is so the other way, its probes find that.
             self._probes.close(message.number)
-            effects.append(_gossip_parts.ResetPeer(probe.target))
+            effects.append(_gossip_state.ResetPeer(probe.target))
         if was_lost and sender not in self._reports.lost_since:
             effects += self._ask_state([sender])
         return effects
 
-    def _pass_answer(
-        self, probe: _gossip_parts.OpenProbe, message: protocol.ProbeAnswer
+    def _relay_answer(
+        self, probe: _gossip_state.OpenProbe, message: protocol.ProbeAnswer
     ) -> _Effects:
         answer = protocol.ProbeAnswer(
             probe.asked_number, self._versions(), message.rows
         )
-        return [_gossip_parts.SendTo(probe.asked_by, answer)]
+        return [_gossip_state.SendTo(probe.asked_by, answer)]
 
     def _on_probe_ask(
         self, sender: str, message: protocol.ProbeAsk, now_ms: float
     ) -> _Effects:
         effects = self._reports.merge(message.rows, now_ms)
-        effects.append(_gossip_parts.PeerHolds(sender, message.versions))
+        effects.append(_gossip_state.PeerVersions(sender, message.versions))
         return effects + self._probe(
-            message.target, now_ms + _DIRECT_MS, sender, message.number
+            message.target, now_ms + _DIRECT_TIMEOUT_MS, sender, message.number
         )
 
     def _on_state_ask(
         self, sender: str, message: protocol.StateAsk, now_ms: float
     ) -> _Effects:
         effects = self._reports.merge([message.row], now_ms)
-        effects.append(_gossip_parts.PeerHolds(sender, message.versions))
+        effects.append(_gossip_state.PeerVersions(sender, message.versions))
         buckets = self.table.differing(message.digests)
         answer = protocol.StateAnswer(
             message.number,
@@ -345,7 +353,7 @@
             self._versions(),
             self._settled(),
         )
-        return [*effects, _gossip_parts.SendTo(sender, answer)]
+        return [*effects, _gossip_state.SendTo(sender, answer)]
 
     def _on_state_answer(
         self, sender: str, message: protocol.StateAnswer, now_ms: float
@@ -353,10 +361,10 @@
         theirs = {
             row.name: _member_table.order_of(row) for row in message.rows
         }
-        effects = self._reports.merge(message.rows, now_ms, hearsay=True)
-        effects.append(_gossip_parts.PeerHolds(sender, message.versions))
-        effects.append(_gossip_parts.PeerAnswered(sender, message.settled))
-        self._freshness.on_answer(sender)
+        effects = self._reports.merge(message.rows, now_ms, from_exchange=True)
+        effects.append(_gossip_state.PeerVersions(sender, message.versions))
+        effects.append(_gossip_state.PeerAnswered(sender, message.settled))
+        self._view_freshness.on_answer(sender)
         lacking = [
             row
             for row in self.table.in_buckets(message.buckets)
@@ -365,14 +373,14 @@
         ]
         if lacking:
             effects.append(
-                _gossip_parts.SendTo(sender, protocol.StatePush(lacking))
+                _gossip_state.SendTo(sender, protocol.StatePush(lacking))
             )
         return effects
 
     def _on_state_push(
         self, sender: str, message: protocol.StatePush, now_ms: float
     ) -> _Effects:
-        return self._reports.merge(message.rows, now_ms, hearsay=True)
+        return self._reports.merge(message.rows, now_ms, from_exchange=True)
 
 
 _HANDLERS: dict[type, typing.Callable[..., _Effects]] = {
--- a/samphiredock/coordination/fleet/_gossip_parts.py
+++ b/samphiredock/coordination/fleet/_gossip_state.py
@@ -9,11 +9,11 @@
 
 from samphiredock import protocol
 
-_RELEARN_RETRY_MS = 500.0
-_RELEARN_LIMIT_MS = 3_000.0
+_REFRESH_RETRY_MS = 500.0
+_MAX_REFRESH_MS = 3_000.0
 _ROWS_PER_MESSAGE = 8
-_TELLINGS_PER_DECADE = 4
-_TELLINGS_LEAST = 8
+_SENDS_PER_DECADE = 4
+_MIN_SENDS = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -32,21 +32,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Learned:
+class MemberChanged:
     """A member's row changed; its address may be new."""
 
     row: protocol.MemberRow
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Forgotten:
+class MemberForgotten:
     """A member has been dead so long that its row was dropped."""
 
     member: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PeerHolds:
+class PeerVersions:
     """What a peer says it holds of configuration and snapshots."""
 
     member: str
@@ -62,7 +62,12 @@
 
 
 GossipEffect = (
-    SendTo | ResetPeer | Learned | Forgotten | PeerHolds | PeerAnswered
+    SendTo
+    | ResetPeer
+    | MemberChanged
+    | MemberForgotten
+    | PeerVersions
+    | PeerAnswered
 )
 
 
@@ -132,7 +137,7 @@
         return self._round.pop() if self._round else None
 
 
-class News:
+class PiggybackQueue:
     """Names of members whose rows are still to be told to others.
 
     Each is told a number of times that grows with the logarithm of the
@@ -144,8 +149,8 @@
 
     def add(self, name: str, size: int) -> None:
         """Tell of a member to others from now on."""
-        tellings = _TELLINGS_PER_DECADE * math.ceil(math.log10(size + 2))
-        self._left[name] = max(_TELLINGS_LEAST, tellings)
+        sends = _SENDS_PER_DECADE * math.ceil(math.log10(size + 2))
+        self._left[name] = max(_MIN_SENDS, sends)
 
     def take(self) -> list[str]:
         """Choose the names for one message, the least told ones first."""
@@ -162,7 +167,7 @@
         self._left.clear()
 
 
-class Freshness:
+class ViewFreshness:
     """Whether the view is left over from before a freeze."""
 
     def __init__(self) -> None:
@@ -185,7 +190,7 @@
         """A peer has told what it knows."""
         self._answered.add(member)
 
-    def should_ask(self, now_ms: float, wanted: int, behind: bool) -> bool:
+    def should_ask(self, now_ms: float, wanted: int, is_behind: bool) -> bool:
         """Whether to ask peers now; ends the staleness when it may end.
 
         Parameters
@@ -200,14 +205,14 @@
         """
         if self._stale_since_ms is None:
             return False
-        enough = len(self._answered) >= wanted and not behind
+        enough = len(self._answered) >= wanted and not is_behind
         # All daemons may have been frozen at once, or all others be gone:
         # nobody answers, and waiting longer would teach nothing.
-        late = now_ms - self._stale_since_ms >= _RELEARN_LIMIT_MS
+        late = now_ms - self._stale_since_ms >= _MAX_REFRESH_MS
         if enough or late:
             self._stale_since_ms = None
             return False
         if now_ms < self._next_ask_ms:
             return False
-        self._next_ask_ms = now_ms + _RELEARN_RETRY_MS
+        self._next_ask_ms = now_ms + _REFRESH_RETRY_MS
         return True
--- a/samphiredock/coordination/fleet/_membership.py
+++ b/samphiredock/coordination/fleet/_membership.py
@@ -13,7 +13,7 @@
 
 from samphiredock.coordination.fleet import _directory
 from samphiredock.coordination.fleet import _gossip
-from samphiredock.coordination.fleet import _gossip_parts
+from samphiredock.coordination.fleet import _gossip_state
 from samphiredock.coordination.fleet import _member_table
 from samphiredock.coordination.fleet import _relay
 from samphiredock.coordination.fleet import _settling
@@ -25,14 +25,14 @@
 from samphiredock import transport
 
 _JOIN_RETRY_MS = 500.0
-_IDLE_MS = 60_000.0
+_IDLE_CHECK_MS = 60_000.0
 
 _log = logs.logger('membership')
 
-_Change = typing.Callable[
+_ChangeCallback = typing.Callable[
     [tuple[state.Member, ...], tuple[state.Member, ...]], None
 ]
-_Holds = typing.Callable[[str, protocol.HeldVersions], None]
+_VersionsCallback = typing.Callable[[str, protocol.HeldVersions], None]
 
 
 class Membership:
@@ -98,10 +98,10 @@
         self._relay = _relay.Relay(me, peers, codec, self.live, counters)
         self._listed: list[protocol.MemberRow] = []
         self._revisions: dict[str, int] = {}
-        self._seen: dict[str, state.Member] = {}
+        self._reported_members: dict[str, state.Member] = {}
         self._seen_version = -1
-        self._on_change: list[_Change] = []
-        self._on_holds: list[_Holds] = []
+        self._change_callbacks: list[_ChangeCallback] = []
+        self._versions_callbacks: list[_VersionsCallback] = []
         self._joined = False
         self._task: asyncio.Task | None = None
         self._timers: list[timers.Subscription] = []
@@ -164,13 +164,13 @@
         now_ms = self._clock.now_ms()
         return self._settling.is_settled(now_ms, self._versions())
 
-    def on_change(self, callback: _Change) -> None:
+    def on_change(self, callback: _ChangeCallback) -> None:
         """Call back with the members that joined and were lost."""
-        self._on_change.append(callback)
+        self._change_callbacks.append(callback)
 
-    def on_peer_versions(self, callback: _Holds) -> None:
+    def on_peer_versions(self, callback: _VersionsCallback) -> None:
         """Call back with what a peer says it holds."""
-        self._on_holds.append(callback)
+        self._versions_callbacks.append(callback)
 
     def broadcast(
         self, message: msgspec.Struct, site: str | None = None
@@ -185,7 +185,7 @@
         self._timers = [
             self._clock.every(_gossip.TICK_MS, self._tick),
             self._clock.every(_JOIN_RETRY_MS, self._join),
-            self._clock.every(_IDLE_MS, self._peers.close_idle),
+            self._clock.every(_IDLE_CHECK_MS, self._peers.close_idle),
         ]
         self._task = asyncio.create_task(self._directory.follow())
         self._ask_seeds()
@@ -198,7 +198,7 @@
         """Say that this daemon takes no more dispatching."""
         row = self._gossip.leave()
         self.broadcast(protocol.StatePush([row]))
-        self._carry_out([])
+        self._execute([])
 
     def close(self) -> None:
         """Stop."""
@@ -213,19 +213,19 @@
         return _member_table.member_of(self._gossip.me)
 
     def _tick(self) -> None:
-        self._carry_out(self._gossip.tick(self._clock.now_ms()))
+        self._execute(self._gossip.tick(self._clock.now_ms()))
 
     def _on_gap(self, gap_ms: float) -> None:
         self._metrics.add('process_gaps')
         _log.warn('process was frozen', gap_ms=int(gap_ms))
-        self._carry_out(self._gossip.on_gap(self._clock.now_ms()))
+        self._execute(self._gossip.on_gap(self._clock.now_ms()))
 
     def _on_message(self, sender: str, message: msgspec.Struct) -> None:
         now_ms = self._clock.now_ms()
-        self._carry_out(self._gossip.on_message(sender, message, now_ms))
+        self._execute(self._gossip.on_message(sender, message, now_ms))
 
     def _on_revision(self, sender: str, held: protocol.RevisionHeld) -> None:
-        self._note_revision(sender, held.revision)
+        self._record_revision(sender, held.revision)
 
     def _on_directory(self, members: list[state.Member] | None) -> None:
         if members is None:
@@ -236,7 +236,7 @@
             return
         self._listed = [_member_table.row_of(member) for member in members]
         self._settling.on_directory({member.name for member in members})
-        self._carry_out(self._gossip.ask_unknown(self._listed))
+        self._execute(self._gossip.ask_unknown(self._listed))
 
     def _seed_names(self) -> set[str]:
         return {f'@{address}' for address in self._seeds}
@@ -245,8 +245,8 @@
         if self._joined and self.is_settled():
             return
         self._ask_seeds()
-        self._carry_out(self._gossip.ask_unknown(self._listed))
-        self._carry_out(self._gossip.ask_some())
+        self._execute(self._gossip.ask_unknown(self._listed))
+        self._execute(self._gossip.ask_some())
 
     def _ask_seeds(self) -> None:
         if self._joined:
@@ -258,7 +258,7 @@
 
     # Effects.
 
-    def _carry_out(self, effects: list[_gossip_parts.GossipEffect]) -> None:
+    def _execute(self, effects: list[_gossip_state.GossipEffect]) -> None:
         for effect in effects:
             _EFFECTS[type(effect)](self, effect)
         if self._gossip.table.version != self._seen_version:
@@ -267,7 +267,7 @@
     def _report_change(self) -> None:
         self._seen_version = self._gossip.table.version
         now = {member.name: member for member in self.live()}
-        before, self._seen = self._seen, now
+        before, self._reported_members = self._reported_members, now
         joined = tuple(
             member
             for name, member in now.items()
@@ -284,51 +284,53 @@
             _log.notice('member lost', name=member.name, site=member.site)
         self._metrics.add('members_joined', len(joined))
         self._metrics.add('members_lost', len(lost))
-        for callback in self._on_change:
+        for callback in self._change_callbacks:
             callback(joined, lost)
 
-    def _send(self, effect: _gossip_parts.SendTo) -> None:
+    def _send(self, effect: _gossip_state.SendTo) -> None:
         self._peers.send(effect.member, effect.message)
 
-    def _reset(self, effect: _gossip_parts.ResetPeer) -> None:
+    def _reset(self, effect: _gossip_state.ResetPeer) -> None:
         self._metrics.add('peer_connections_reset')
         self._peers.reset(effect.member)
 
-    def _learn(self, effect: _gossip_parts.Learned) -> None:
+    def _on_member_changed(self, effect: _gossip_state.MemberChanged) -> None:
         row = effect.row
         self._peers.set_address(row.name, row.peer_address)
-        before = self._seen.get(row.name)
+        before = self._reported_members.get(row.name)
         if before is not None and before.incarnation != row.incarnation:
             self._revisions.pop(row.name, None)
 
-    def _forget(self, effect: _gossip_parts.Forgotten) -> None:
+    def _on_member_forgotten(
+        self, effect: _gossip_state.MemberForgotten
+    ) -> None:
         self._revisions.pop(effect.member, None)
         self._peers.reset(effect.member)
 
-    def _holds(self, effect: _gossip_parts.PeerHolds) -> None:
-        self._note_revision(effect.member, effect.versions.revision)
+    def _record_versions(self, effect: _gossip_state.PeerVersions) -> None:
+        self._record_revision(effect.member, effect.versions.revision)
         self._settling.on_versions(effect.versions)
-        for callback in self._on_holds:
+        for callback in self._versions_callbacks:
             callback(effect.member, effect.versions)
 
-    def _note_revision(self, member: str, revision: int) -> None:
+    def _record_revision(self, member: str, revision: int) -> None:
         # Messages may be delivered late; a member's revision only rises
         # within one start.
         known = self._revisions.get(member, 0)
         self._revisions[member] = max(known, revision)
 
-    def _answered(self, effect: _gossip_parts.PeerAnswered) -> None:
+    def _on_peer_answered(self, effect: _gossip_state.PeerAnswered) -> None:
         self._joined = True
         self._settling.on_answer(effect.member, effect.settled)
 
 
 _EFFECTS: dict[type, typing.Callable[..., None]] = {
-    _gossip_parts.SendTo: Membership._send,
-    _gossip_parts.ResetPeer: Membership._reset,
-    _gossip_parts.Learned: Membership._learn,
-    _gossip_parts.Forgotten: Membership._forget,
-    _gossip_parts.PeerHolds: Membership._holds,
-    _gossip_parts.PeerAnswered: Membership._answered,
+    _gossip_state.SendTo: Membership._send,
+    _gossip_state.ResetPeer: Membership._reset,
+    _gossip_state.MemberChanged: Membership._on_member_changed,
+    _gossip_state.MemberForgotten: Membership._on_member_forgotten,
+    _gossip_state.PeerVersions: Membership._record_versions,
+    _gossip_state.PeerAnswered: Membership._on_peer_answered,
 }
 
 
--- a/samphiredock/coordination/fleet/_message_age.py
+++ b/samphiredock/coordination/fleet/_message_age.py
@@ -20,14 +20,14 @@
         self._gap_at_ms = float('-inf')
         clock.on_gap(self._on_gap)
 
-    def just_woke(self) -> bool:
+    def has_unnoticed_gap(self) -> bool:
         """Whether there was a freeze that the timer has not noticed yet."""
         return self._clock.frozen_for_ms() > timers.GAP_MS
 
-    def age_ms(self) -> float:
+    def max_age_ms(self) -> float:
         """Return the most that a message read now may have waited."""
         # The socket may be read before the timer that notices the gap.
-        if self.just_woke():
+        if self.has_unnoticed_gap():
             return self._clock.frozen_for_ms()
         if self._clock.now_ms() - self._gap_at_ms <= _AFTER_GAP_MS:
             return self._gap_ms
--- a/samphiredock/coordination/fleet/_neighbours.py
+++ b/samphiredock/coordination/fleet/_neighbours.py
@@ -11,8 +11,8 @@
 
 from samphiredock.coordination.fleet import _member_table
 
-COUNT = 24
-_EVERYBODY_UP_TO = 32
+NEIGHBOUR_COUNT = 24
+_FULL_MESH_SIZE = 32
 
 
 class Neighbours:
@@ -34,8 +34,8 @@
         if table.version != self._version:
             self._version = table.version
             others = table.names() - {self._name}
-            if len(others) > _EVERYBODY_UP_TO:
-                others = sorted(others, key=self._weight)[:COUNT]
+            if len(others) > _FULL_MESH_SIZE:
+                others = sorted(others, key=self._weight)[:NEIGHBOUR_COUNT]
             self._names = sorted(others)
         return self._names
 
--- a/samphiredock/coordination/fleet/_ownership.py
+++ b/samphiredock/coordination/fleet/_ownership.py
@@ -49,12 +49,12 @@
         for shard in index.shards:
             for replica in shard.replicas:
                 holds[replica].add(index_name)
-    alike: dict[_Kind, list[str]] = collections.defaultdict(list)
+    names_by_kind: dict[_Kind, list[str]] = collections.defaultdict(list)
     for name in sorted(targets):
         held = tuple(sorted(holds.get(name, ())))
-        alike[targets[name].site, held].append(name)
+        names_by_kind[targets[name].site, held].append(name)
     groups = {}
-    for kind, names in alike.items():
+    for kind, names in names_by_kind.items():
         count = -(-len(names) // GROUP_SIZE)
         groups[kind] = [tuple(names[start::count]) for start in range(count)]
     return groups
@@ -75,25 +75,25 @@
     """
     live = sorted(members, key=lambda member: member.name)
     kinds = _groups_by_kind(targets, snapshot)
-    held_at: collections.Counter[str] = collections.Counter()
+    group_counts: collections.Counter[str] = collections.Counter()
     for (site, _), groups in kinds.items():
-        held_at[site] += len(groups)
-    near = {site: _nearest(site, live, sites) for site in held_at}
-    taken = {
-        site: _Taken(held_at[site], near[site])
-        for site in held_at
-        if near[site]
+        group_counts[site] += len(groups)
+    nearest = {site: _nearest(site, live, sites) for site in group_counts}
+    assignments = {
+        site: _SiteAssignment(group_counts[site], nearest[site])
+        for site in group_counts
+        if nearest[site]
     }
     owners = {}
     for (site, _), groups in kinds.items():
-        if site not in taken:
+        if site not in assignments:
             continue
-        for group, owner in taken[site].share_out(groups):
+        for group, owner in assignments[site].assign(groups):
             owners.update(dict.fromkeys(group, owner))
     return owners
 
 
-class _Taken:
+class _SiteAssignment:
     """How many groups of one site its daemons own so far.
 
     A daemon owns at most its even part, rounded up, of the site's groups
@@ -102,35 +102,38 @@
 
     def __init__(self, groups: int, members: list[state.Member]) -> None:
         self._names = [member.name for member in members]
-        self._most = self._even_part(groups)
-        self._all: collections.Counter[str] = collections.Counter()
+        self._max_groups = self._even_share(groups)
+        self._owned_groups: collections.Counter[str] = collections.Counter()
 
-    def _even_part(self, groups: int) -> int:
+    def _even_share(self, groups: int) -> int:
         return -(-groups // len(self._names))
 
-    def share_out(
+    def assign(
         self, groups: list[_Group]
     ) -> typing.Iterator[tuple[_Group, str]]:
         """Give the groups of one kind their owners."""
-        most = self._even_part(len(groups))
-        alike: collections.Counter[str] = collections.Counter()
+        max_of_kind = self._even_share(len(groups))
+        owned_of_kind: collections.Counter[str] = collections.Counter()
         for group in groups:
-            open_to = [
+            candidates = [
                 name
                 for name in self._names
-                if self._all[name] < self._most and alike[name] < most
+                if self._owned_groups[name] < self._max_groups
+                and owned_of_kind[name] < max_of_kind
             ]
             owner = max(
-                open_to or self._least_taken(),
+                candidates or self._least_loaded(),
                 key=lambda name: _weight(group[0], name),
             )
-            self._all[owner] += 1
-            alike[owner] += 1
+            self._owned_groups[owner] += 1
+            owned_of_kind[owner] += 1
             yield group, owner
 
-    def _least_taken(self) -> list[str]:
-        least = min(self._all[name] for name in self._names)
-        return [name for name in self._names if self._all[name] == least]
+    def _least_loaded(self) -> list[str]:
+        least = min(self._owned_groups[name] for name in self._names)
+        return [
+            name for name in self._names if self._owned_groups[name] == least
+        ]
 
 
 def owner_of(
@@ -177,8 +180,10 @@
         self._live = live
         self._clock = clock
         self._fresh_until_ms = float('-inf')
-        self._looked_at: tuple[object, ...] = ()
-        self._basis: tuple[int, int, frozenset[tuple[str, str]]] | None = None
+        self._last_inputs: tuple[object, ...] = ()
+        self._table_key: tuple[int, int, frozenset[tuple[str, str]]] | None = (
+            None
+        )
         self._owners: dict[str, str] = {}
         self._listeners: list[typing.Callable[[list[OwnerChange]], None]] = []
 
@@ -205,27 +210,29 @@
         live = self._live()
         # Looked at up to 50 times a second: the members are gone through
         # only when membership gives another tuple.
-        seen, self._looked_at = (
-            self._looked_at,
+        previous_inputs, self._last_inputs = (
+            self._last_inputs,
             (configuration, snapshot, live),
         )
-        if seen and all(map(operator.is_, seen, self._looked_at)):
+        if previous_inputs and all(
+            map(operator.is_, previous_inputs, self._last_inputs)
+        ):
             return
         names = frozenset((row.name, row.site) for row in live)
         snapshot_id = snapshot.snapshot_id if snapshot else 0
-        basis = (configuration.revision, snapshot_id, names)
-        if basis == self._basis:
+        table_key = (configuration.revision, snapshot_id, names)
+        if table_key == self._table_key:
             return
-        self._basis = basis
+        self._table_key = table_key
         old, self._owners = (
             self._owners,
             owners_of(
                 configuration.targets, snapshot, live, configuration.sites
             ),
         )
-        self._tell(old, {row.name for row in live})
+        self._notify(old, {row.name for row in live})
 
-    def _tell(self, old: dict[str, str], live: set[str]) -> None:
+    def _notify(self, old: dict[str, str], live: set[str]) -> None:
         changes = []
         for target in sorted(old.keys() | self._owners.keys()):
             before, after = old.get(target), self._owners.get(target)
--- a/samphiredock/coordination/fleet/_relay.py
+++ b/samphiredock/coordination/fleet/_relay.py
@@ -21,8 +21,8 @@
 
 DIRECT_LIMIT = 30
 FAN_OUT = 8
-_HOPS = 4
-_WINDOW = 4_096
+_MAX_HOPS = 4
+_SEEN_LIMIT = 4_096
 
 
 class PeerLinks(typing.Protocol):
@@ -100,8 +100,8 @@
         self._codec = codec
         self._live = live
         self._metrics = counters
-        self._numbers = itertools.count(1)
-        self._seen: collections.OrderedDict[str, None] = (
+        self._message_numbers = itertools.count(1)
+        self._seen_ids: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
         peers.subscribe(protocol.Envelope, self._on_envelope)
@@ -121,13 +121,13 @@
                 self._peers.send(member.name, message)
             return
         message_id = f'{self._me.name}-{self._me.incarnation}-' + str(
-            next(self._numbers)
+            next(self._message_numbers)
         )
         kind, body = self._codec.encode(message)
         envelope = protocol.Envelope(
-            message_id, self._me.name, _HOPS, kind, body
+            message_id, self._me.name, _MAX_HOPS, kind, body
         )
-        self._note(message_id)
+        self._remember(message_id)
         sites = collections.defaultdict(list)
         for member in others:
             sites[member.site].append(member.name)
@@ -135,29 +135,29 @@
             for name in relay_order(names, message_id)[:1]:
                 self._peers.send(name, envelope)
 
-    def _note(self, message_id: str) -> bool:
-        if message_id in self._seen:
+    def _remember(self, message_id: str) -> bool:
+        if message_id in self._seen_ids:
             return False
-        self._seen[message_id] = None
-        if len(self._seen) > _WINDOW:
-            self._seen.popitem(last=False)
+        self._seen_ids[message_id] = None
+        if len(self._seen_ids) > _SEEN_LIMIT:
+            self._seen_ids.popitem(last=False)
         return True
 
     def _on_envelope(self, sender: str, envelope: protocol.Envelope) -> None:
-        if not self._note(envelope.message_id):
+        if not self._remember(envelope.message_id):
             self._metrics.add('relayed_repeats')
             return
         message = self._codec.decode(envelope.kind, envelope.body)
         if isinstance(message, protocol.CodecError):
             self._metrics.add('peer_messages_unreadable')
             return
-        self._pass_on(envelope)
+        self._forward(envelope)
         # A notice of a version is answered by who passed it on, so that
         # large objects follow the tree and nobody has to serve everyone.
         notice = isinstance(message, protocol.ObjectVersion)
         self._peers.deliver(sender if notice else envelope.origin, message)
 
-    def _pass_on(self, envelope: protocol.Envelope) -> None:
+    def _forward(self, envelope: protocol.Envelope) -> None:
         if envelope.hops <= 0:
             return
         names = [
@@ -165,6 +165,6 @@
             for member in self._live()
             if member.site == self._me.site and member.name != envelope.origin
         ]
-        further = msgspec.structs.replace(envelope, hops=envelope.hops - 1)
+        forwarded = msgspec.structs.replace(envelope, hops=envelope.hops - 1)
         for name in children_of(self._me.name, names, envelope.message_id):
-            self._peers.send(name, further)
+            self._peers.send(name, forwarded)
--- a/samphiredock/coordination/fleet/_reports.py
+++ b/samphiredock/coordination/fleet/_reports.py
@@ -6,16 +6,16 @@
 
 import msgspec
 
-from samphiredock.coordination.fleet import _gossip_parts
+from samphiredock.coordination.fleet import _gossip_state
 from samphiredock.coordination.fleet import _member_table
 from samphiredock import protocol
 
-_SMALL = 16
+_SMALL_FLEET_SIZE = 16
 _PERIOD_MS = 500.0
-_SMALL_PERIOD_MS = 300.0
-_SUSPICION_LEAST_MS = 1_000.0
-_DOUBTFUL_LIMIT = 1_024
-_STOPPED_LIMIT = 1_024
+_SMALL_FLEET_PERIOD_MS = 300.0
+_MIN_SUSPICION_MS = 1_000.0
+_MAX_UNVERIFIED = 1_024
+_MAX_LEFT = 1_024
 
 _ALIVE = protocol.MemberState.ALIVE
 _SUSPECT = protocol.MemberState.SUSPECT
@@ -23,7 +23,7 @@
 _LEFT = protocol.MemberState.LEFT
 _GONE = (_DEAD, _LEFT)
 
-_Effects = list[_gossip_parts.GossipEffect]
+_Effects = list[_gossip_state.GossipEffect]
 
 
 class Reports:
@@ -40,18 +40,18 @@
 
     def __init__(self, me: protocol.MemberRow) -> None:
         self.table = _member_table.MemberTable(me)
-        self.news = _gossip_parts.News()
+        self.piggyback = _gossip_state.PiggybackQueue()
         self.lost_since: dict[str, float] = {}
-        self.doubtful: collections.deque[protocol.MemberRow] = (
-            collections.deque(maxlen=_DOUBTFUL_LIMIT)
+        self.unverified: collections.deque[protocol.MemberRow] = (
+            collections.deque(maxlen=_MAX_UNVERIFIED)
         )
         # Starts known to have ended, of members that are not in the table.
-        self._stopped: collections.OrderedDict[str, int] = (
+        self._left_incarnations: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
         self._name = me.name
         self._suspected_until: dict[str, float] = {}
-        self.tell(me.name)
+        self.disseminate(me.name)
 
     @property
     def me(self) -> protocol.MemberRow:
@@ -60,8 +60,8 @@
 
     def period_ms(self) -> float:
         """Return the time between two probes at the present size."""
-        small = len(self.table.names()) <= _SMALL
-        return _SMALL_PERIOD_MS if small else _PERIOD_MS
+        small = len(self.table.names()) <= _SMALL_FLEET_SIZE
+        return _SMALL_FLEET_PERIOD_MS if small else _PERIOD_MS
 
     def suspicion_ms(self) -> float:
         """Return the time a suspect has to refute.
@@ -70,15 +70,15 @@
         the suspicion reaches the suspect and its answer comes back.
         """
         rounds = math.log2(len(self.table.names()) + 1)
-        return max(_SUSPICION_LEAST_MS, self.period_ms() * rounds)
+        return max(_MIN_SUSPICION_MS, self.period_ms() * rounds)
 
-    def tell(self, name: str) -> None:
+    def disseminate(self, name: str) -> None:
         """Send a member's row along with the next messages."""
-        self.news.add(name, len(self.table.names()))
+        self.piggyback.add(name, len(self.table.names()))
 
     def rows_for(self, receiver: str) -> list[protocol.MemberRow]:
         """Return the rows to send along with a message."""
-        rows = [self.table.get(name) for name in self.news.take()]
+        rows = [self.table.get(name) for name in self.piggyback.take()]
         about = self.table.get(receiver)
         if about is not None and about.state is not _ALIVE:
             # Who is held suspect or dead is told so, to refute it; and who
@@ -91,7 +91,7 @@
         self,
         rows: typing.Iterable[protocol.MemberRow],
         now_ms: float,
-        hearsay: bool = False,
+        from_exchange: bool = False,
     ) -> _Effects:
         """Take in what is said of members.
 
@@ -103,29 +103,29 @@
         effects: _Effects = []
         for row in rows:
             if row.name == self._name:
-                self._take_own(row)
-            elif not self.table.beats(row) or self._is_past(row):
-                self._note_stopped(row)
-            elif hearsay and self._is_doubtful(row):
+                self._refute_if_needed(row)
+            elif not self.table.beats(row) or self._is_outdated(row):
+                self._record_left(row)
+            elif from_exchange and self._needs_verification(row):
                 # After a cut each side holds the other's members dead.
                 # Believing that would take every member out for a moment
                 # on both sides; the member itself is asked instead.
-                self.doubtful.append(row)
+                self.unverified.append(row)
             else:
-                effects += self._take(row, now_ms)
-                if not hearsay:
-                    self.tell(row.name)
+                effects += self._accept(row, now_ms)
+                if not from_exchange:
+                    self.disseminate(row.name)
         return effects
 
-    def _is_past(self, row: protocol.MemberRow) -> bool:
+    def _is_outdated(self, row: protocol.MemberRow) -> bool:
         # Each daemon forgets the dead at a time of its own.  Learning them
         # again from each other, they would never be forgotten.
         if self.table.get(row.name) is not None:
             return False
-        is_stopped = self._stopped.get(row.name, -1) >= row.incarnation
-        return row.state in _GONE or is_stopped
+        has_left = self._left_incarnations.get(row.name, -1) >= row.incarnation
+        return row.state in _GONE or has_left
 
-    def _note_stopped(self, row: protocol.MemberRow) -> None:
+    def _record_left(self, row: protocol.MemberRow) -> None:
         """Keep in mind that a start which left is over.
 
         A fresh daemon may hear of it before it hears, from someone who
@@ -134,12 +134,12 @@
         """
         if row.state is not _LEFT or self.table.get(row.name) is not None:
             return
-        known = self._stopped.pop(row.name, row.incarnation)
-        self._stopped[row.name] = max(known, row.incarnation)
-        if len(self._stopped) > _STOPPED_LIMIT:
-            self._stopped.popitem(last=False)
+        known = self._left_incarnations.pop(row.name, row.incarnation)
+        self._left_incarnations[row.name] = max(known, row.incarnation)
+        if len(self._left_incarnations) > _MAX_LEFT:
+            self._left_incarnations.popitem(last=False)
 
-    def _is_doubtful(self, row: protocol.MemberRow) -> bool:
+    def _needs_verification(self, row: protocol.MemberRow) -> bool:
         held = self.table.get(row.name)
         return (
             held is not None
@@ -148,7 +148,7 @@
             and row.state in (_SUSPECT, _DEAD)
         )
 
-    def _take_own(self, row: protocol.MemberRow) -> None:
+    def _refute_if_needed(self, row: protocol.MemberRow) -> None:
         mine = self.me
         newer_start = row.incarnation > mine.incarnation
         if mine.state is _LEFT and not newer_start:
@@ -169,9 +169,9 @@
                 mine, incarnation=incarnation, refutation=refutation
             )
         )
-        self.tell(self._name)
+        self.disseminate(self._name)
 
-    def _take(self, row: protocol.MemberRow, now_ms: float) -> _Effects:
+    def _accept(self, row: protocol.MemberRow, now_ms: float) -> _Effects:
         name = row.name
         self.table.set(row)
         self._suspected_until.pop(name, None)
@@ -181,7 +181,7 @@
             self.lost_since.setdefault(name, now_ms)
         else:
             self.lost_since.pop(name, None)
-        return [_gossip_parts.Learned(row)]
+        return [_gossip_state.MemberChanged(row)]
 
     def suspect(self, row: protocol.MemberRow, now_ms: float) -> _Effects:
         """Hold a member suspect; it is dead if it does not refute that."""
@@ -208,7 +208,7 @@
     def leave(self) -> protocol.MemberRow:
         """Hold this daemon as leaving; return its row."""
         self.table.set(_member_table.with_state(self.me, _LEFT))
-        self.tell(self._name)
+        self.disseminate(self._name)
         return self.me
 
     def forget_lost(self, before_ms: float) -> list[str]:
--- a/samphiredock/coordination/fleet/_settling.py
+++ b/samphiredock/coordination/fleet/_settling.py
@@ -8,9 +8,9 @@
 
 from samphiredock import protocol
 
-_ENOUGH_PEERS = 2
-_LIMIT_MS = 3_000.0
-_BEHIND_LIMIT_MS = 30_000.0
+_MIN_PEERS = 2
+_MAX_WAIT_MS = 3_000.0
+_MAX_BEHIND_WAIT_MS = 30_000.0
 
 
 class Settling:
@@ -55,7 +55,7 @@
     def is_settled(self, now_ms: float, held: protocol.HeldVersions) -> bool:
         """Whether the daemon may become ready; it stays so."""
         if not self._settled:
-            self._settled = self._judge(now_ms, held)
+            self._settled = self._decide(now_ms, held)
         return self._settled
 
     def is_behind(self, held: protocol.HeldVersions) -> bool:
@@ -65,21 +65,21 @@
             or held.snapshot_id < self._highest.snapshot_id
         )
 
-    def _judge(self, now_ms: float, held: protocol.HeldVersions) -> bool:
+    def _decide(self, now_ms: float, held: protocol.HeldVersions) -> bool:
         if not held.revision:
             return False
         age_ms = now_ms - self._started_ms
         if self.is_behind(held):
             # Whoever told of it may have died, with the store restored
             # from a backup: then it can't be had any more.
-            return age_ms >= _BEHIND_LIMIT_MS
+            return age_ms >= _MAX_BEHIND_WAIT_MS
         # All listed peers may be gone, or frozen.
         asked = self._store_asked and self._peers_asked()
-        return asked or age_ms >= _LIMIT_MS
+        return asked or age_ms >= _MAX_WAIT_MS
 
     def _peers_asked(self) -> bool:
         if not self._directory_read:
             return False
-        enough = min(_ENOUGH_PEERS, len(self._listed))
+        enough = min(_MIN_PEERS, len(self._listed))
         everyone = self._listed <= self._answered
         return everyone or len(self._answered_settled) >= enough
--- a/samphiredock/coordination/targets/_dispatcher.py
+++ b/samphiredock/coordination/targets/_dispatcher.py
@@ -67,7 +67,7 @@
         self._make_link = make_link
         self._is_quarantined = is_quarantined
         self._signs = signs
-        self._freshness = _message_age.MessageAge(clock)
+        self._message_age = _message_age.MessageAge(clock)
         self._configuration: state.Configuration | None = None
         self._shares = _shares.NO_SHARES
         self._handover: _handover.Handover | None = None
@@ -205,23 +205,23 @@
 
     def _on_batch(self, sender: str, batch: protocol.SubQueryBatch) -> None:
         now_ms = self._clock.now_ms()
-        expires_at_ms = now_ms + batch.budget_ms - self._age_ms(sender)
+        expires_at_ms = now_ms + batch.budget_ms - self._max_age_ms(sender)
         for job in _scheduler_types.jobs_of(
             sender, batch, expires_at_ms, now_ms
         ):
             self._submit(job.item.target, job, now_ms)
 
-    def _age_ms(self, sender: str) -> float:
+    def _max_age_ms(self, sender: str) -> float:
         # A message to oneself waits in no socket: once the freeze has been
         # noticed it is as fresh as it says.
-        if sender == self._name and not self._freshness.just_woke():
+        if sender == self._name and not self._message_age.has_unnoticed_gap():
             return 0.0
-        return self._freshness.age_ms()
+        return self._message_age.max_age_ms()
 
     def _on_run(self, sender: str, order: protocol.RunOrder) -> None:
         now_ms = self._clock.now_ms()
         job = _scheduler_types.job_of_run(sender, order, now_ms)
-        if self._age_ms(sender) > 0.0:
+        if self._max_age_ms(sender) > 0.0:
             # The order may have waited in the socket while this process was
             # frozen, and its sender has perhaps given it up since.
             self._metrics.add('runs_refused_after_freeze')
@@ -348,7 +348,7 @@
             self.execute(target, managed.scheduler.expire_queued())
 
     def _pump(self) -> None:
-        if self._freshness.just_woke():
+        if self._message_age.has_unnoticed_gap():
             self._expire_queued()
         to_pump, self._to_pump = self._to_pump, set()
         now_ms = self._clock.now_ms()
@@ -391,7 +391,7 @@
         try:
             exchange_end = await self._exchanges.run(managed, start)
         finally:
-            if self._freshness.just_woke():
+            if self._message_age.has_unnoticed_gap():
                 self._expire_queued()
             now_ms = self._clock.now_ms()
             effects = managed.scheduler.end_exchange(
--- a/tests/unit/test_gossip.py
+++ b/tests/unit/test_gossip.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from samphiredock.coordination.fleet import _gossip
-from samphiredock.coordination.fleet import _gossip_parts
+from samphiredock.coordination.fleet import _gossip_state
 from samphiredock.coordination.fleet import _member_table
 from samphiredock import protocol
 from samphiredock import state
@@ -80,14 +80,14 @@
 
     def test_not_current_while_behind_what_peers_told(self) -> None:
         """All peers have answered, but the newer object is on its way."""
-        self.gossip._behind = lambda: True
+        self.gossip._is_behind = lambda: True
         self.gossip.tick(5_000.0)
         answer = protocol.StateAnswer(1, [], [], HELD, True)
         for name in ('b', 'c'):
             self.gossip.on_message(name, answer, 5_010.0)
         self.gossip.tick(5_100.0)
         self.assertFalse(self.gossip.is_current(5_100.0))
-        self.gossip._behind = lambda: False
+        self.gossip._is_behind = lambda: False
         self.gossip.tick(5_200.0)
         self.assertTrue(self.gossip.is_current(5_200.0))
 
@@ -120,16 +120,16 @@
         dead = changed(row('b'), state=STATES.DEAD)
         probe = protocol.Probe(1, HELD, [dead])
         self.gossip.on_message('c', probe, 0.0)
-        self.gossip._reports.news.clear()
+        self.gossip._reports.piggyback.clear()
         answer = self.gossip.on_message('b', protocol.Probe(2, HELD), 0.0)
         self.assertIn(dead, answer[-1].message.rows)
 
     def test_old_report_of_itself_is_answered(self) -> None:
         """The prober's report is older than the news of its refutation."""
-        self.gossip._reports.news.clear()
+        self.gossip._reports.piggyback.clear()
         dead = changed(row('a'), state=STATES.DEAD)
         for _ in range(2):
-            self.gossip._reports.news.clear()
+            self.gossip._reports.piggyback.clear()
             probe = protocol.Probe(1, HELD, [dead])
             answer = self.gossip.on_message('b', probe, 0.0)
             self.assertIn(self.gossip.me, answer[-1].message.rows)
@@ -161,7 +161,7 @@
             (answer,) = [
                 effect.message
                 for effect in self.gossip.on_message('b', probe, 0.0)
-                if isinstance(effect, _gossip_parts.SendTo)
+                if isinstance(effect, _gossip_state.SendTo)
             ]
             told = [each.state for each in answer.rows if each.name == 'a']
             self.assertEqual([STATES.LEFT], told)
@@ -176,7 +176,7 @@
         probes = [
             effect.message
             for effect in self.tick_to(4_000, 12_000)
-            if isinstance(effect, _gossip_parts.SendTo)
+            if isinstance(effect, _gossip_state.SendTo)
             and effect.member == 'b'
             and isinstance(effect.message, protocol.Probe)
         ]
@@ -187,9 +187,9 @@
     def test_lost_members_are_forgotten_in_the_end(self) -> None:
         """The list of lost members is bounded in time."""
         self.push(changed(row('b'), state=STATES.LEFT))
-        self.gossip._reports.lost_since['b'] = -_gossip._LOST_KEEP_MS
+        self.gossip._reports.lost_since['b'] = -_gossip._LOST_RETENTION_MS
         effects = self.tick_to(0, 2_200)
-        self.assertIn(_gossip_parts.Forgotten('b'), effects)
+        self.assertIn(_gossip_state.MemberForgotten('b'), effects)
         self.assertIsNone(self.gossip.table.get('b'))
         self.push(changed(row('b'), state=STATES.LEFT))
         self.assertIsNone(self.gossip.table.get('b'))
--- a/tests/unit/test_neighbours.py
+++ b/tests/unit/test_neighbours.py
@@ -40,7 +40,8 @@
         """Nobody is left unprobed, and news reaches everybody."""
         graph = graph_of(490)
         self.assertEqual(
-            {_neighbours.COUNT}, {len(names) for names in graph.values()}
+            {_neighbours.NEIGHBOUR_COUNT},
+            {len(names) for names in graph.values()},
         )
         probed = [name for names in graph.values() for name in names]
         least = min(probed.count(name) for name in graph)
