--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,6 +1,6 @@
 """Store calls, conflicts and bytes of claims, for docs/design/claims.md.
 
-The claim books of many daemons share one store in memory; time is moved by
+The claim registries of many daemons share one store; time is moved by
 hand, so that the figures do not depend on the machine.
 """
 
@@ -10,7 +10,7 @@
 import click
 
 from samphiredock.coordination import _pause
-from samphiredock.coordination.once import _claim_book
+from samphiredock.coordination.once import _claim_registry
 from samphiredock import metrics
 from samphiredock import state
 from samphiredock.state import _claims
@@ -28,14 +28,16 @@
     platform = memory_platform.MemoryPlatform(store, clock, (0.0, 5.0))
     counters = metrics.Metrics('benchmark')
     randomness = random.Random(seed + 1)
-    books = [
-        _claim_book.ClaimBook(platform, clock, randomness, counters)
+    registries = [
+        _claim_registry.ClaimRegistry(platform, clock, randomness, counters)
         for _ in range(daemons)
     ]
     waits_ms: list[float] = []
     granted: list[bool] = []
 
-    async def one(number: int, book: _claim_book.ClaimBook) -> None:
+    async def one(
+        number: int, registry: _claim_registry.ClaimRegistry
+    ) -> None:
         token = f'entry-{number % daemons}/1700000000000/{number}'
         place = state.place_of('payout', f'key-{number}')
         content = state.content_digest('release', {'n': str(number)})
@@ -43,14 +45,14 @@
         wanted = state.Claim(
             token, content, state.ClaimState.OPEN, clock.wall_ms()
         )
-        opened = await book.open(place, wanted, started_ms + 2_000)
+        opened = await registry.open(place, wanted, started_ms + 2_000)
         waits_ms.append(clock.now_ms() - started_ms)
         granted.append(
             isinstance(opened.opened, state.Opened)
             and opened.opened.verdict is state.Verdict.GRANTED
         )
         await _pause.pause(clock, randomness.uniform(5, 50))
-        await book.close(place, state.done_claim(wanted, True, _RECEIPT))
+        await registry.close(place, state.done_claim(wanted, True, _RECEIPT))
 
     tasks = []
     due_ms = 0.0
@@ -58,8 +60,8 @@
         gap_ms = randomness.expovariate(rate_per_s) * 1_000
         due_ms += gap_ms
         await clock.pass_ms(gap_ms)
-        book = randomness.choice(books)
-        tasks.append(asyncio.create_task(one(len(tasks), book)))
+        registry = randomness.choice(registries)
+        tasks.append(asyncio.create_task(one(len(tasks), registry)))
     await clock.pass_ms(5_000)
     count = len(tasks)
     sizes = [len(found.value) for found in store.objects.values()]
--- a/benchmarks/control_slopes.py
+++ b/benchmarks/control_slopes.py
@@ -100,7 +100,7 @@
     async def change(self) -> None:
         """Accept one change, and wait until it is in force everywhere."""
         place = self.rng.choice(self.running())
-        revision = place.knowledge.revision
+        revision = place.current_state.revision
         change = protocol.ConfigurationChange(
             revision, f'change-{revision}', 'bench', self.base, {}
         )
@@ -110,9 +110,9 @@
         if not isinstance(outcome, protocol.ChangeAccepted):
             return
         accepted_ms = self.network.clock.now_ms()
-        place.spread.announce_configuration()
+        place.distribution.announce_configuration()
         while any(
-            daemon.knowledge.revision < outcome.revision
+            daemon.current_state.revision < outcome.revision
             for daemon in self.running()
         ):
             await asyncio.sleep(0)
--- a/samphiredock/coordination/__init__.py
+++ b/samphiredock/coordination/__init__.py
@@ -8,11 +8,11 @@
         'config': (
             'Acceptor',
             'CONFIGURATION_KEY',
-            'Knowledge',
-            'SnapshotDoor',
-            'Spread',
+            'CurrentState',
+            'SnapshotValidator',
+            'ObjectDistribution',
             'Watcher',
-            'follow_knowledge',
+            'follow_configuration',
         ),
         'fleet': (
             'MemberTable',
--- a/samphiredock/coordination/config/__init__.py
+++ b/samphiredock/coordination/config/__init__.py
@@ -6,14 +6,14 @@
     __name__,
     {
         '_accept': ('Acceptor',),
-        '_knowledge': (
+        '_current_state': (
             'CONFIGURATION_KEY',
-            'Knowledge',
+            'CurrentState',
         ),
-        '_snapshot_door': ('SnapshotDoor',),
-        '_spread': (
-            'Spread',
-            'follow_knowledge',
+        '_snapshot_validator': ('SnapshotValidator',),
+        '_distribution': (
+            'ObjectDistribution',
+            'follow_configuration',
         ),
         '_watcher': ('Watcher',),
     },
--- a/samphiredock/coordination/config/_accept.py
+++ b/samphiredock/coordination/config/_accept.py
@@ -12,7 +12,7 @@
 from returns import result
 
 from samphiredock.coordination import _pause
-from samphiredock.coordination.config import _knowledge
+from samphiredock.coordination.config import _current_state
 from samphiredock import logs
 from samphiredock import metrics
 from samphiredock import protocol
@@ -84,7 +84,7 @@
     ----------
     platform
         The object service.
-    knowledge
+    current_state
         What is in force here; an accepted change is offered to it at once.
     clock, counters
         The timer service and the metrics of this daemon.
@@ -93,12 +93,12 @@
     def __init__(
         self,
         platform: transport.Platform,
-        knowledge: _knowledge.Knowledge,
+        current_state: _current_state.CurrentState,
         clock: timers.Timers,
         counters: metrics.Metrics,
     ) -> None:
         self._platform = platform
-        self._knowledge = knowledge
+        self._current_state = current_state
         self._clock = clock
         self._metrics = counters
         # Changes whose write may have taken effect: a later call for the
@@ -128,7 +128,7 @@
     async def history(self) -> list[protocol.ChangeSummary]:
         """Return the last changes, newest first, from store or memory."""
         found = await self._read()
-        held = self._knowledge.source
+        held = self._current_state.source
         rows = [source for source in (found.value_or(None), held) if source]
         if not rows:
             return []
@@ -146,9 +146,9 @@
             if not isinstance(step, str):
                 return step
             detail = step
-        return self.unfinished(change, detail)
+        return self.abandoned_outcome(change, detail)
 
-    def unfinished(
+    def abandoned_outcome(
         self, change: protocol.ConfigurationChange, detail: str
     ) -> protocol.ChangeOutcome:
         """Return what is true of a change that is not tried any more."""
@@ -160,7 +160,7 @@
         self, change: protocol.ConfigurationChange
     ) -> protocol.ChangeOutcome | str:
         """Read, judge and write once; a text means: try again."""
-        found = await self._platform.get(_knowledge.CONFIGURATION_KEY)
+        found = await self._platform.get(_current_state.CONFIGURATION_KEY)
         stored, version = None, transport.CREATE_ONLY
         if isinstance(found, result.Success):
             version = found.unwrap().version
@@ -186,7 +186,7 @@
         # A store restored from a backup shows an older revision than is in
         # force.  Numbering on from it would give two changes one number,
         # and daemons would ignore the second for ever.
-        held = self._knowledge.source
+        held = self._current_state.source
         rows = [source for source in (stored, held) if source]
         return max(rows, key=lambda row: row.revision, default=None)
 
@@ -197,7 +197,7 @@
         newest: state.ConfigurationSource | None,
     ) -> protocol.ChangeOutcome | str:
         if standing is Standing.ACCEPTED:
-            self._knowledge.offer_source(newest)
+            self._current_state.offer_source(newest)
             return protocol.ChangeAccepted(change.base_revision + 1)
         if standing is Standing.BEATEN:
             return protocol.ChangeConflict(newest.revision, newest.author)
@@ -224,11 +224,11 @@
         was_unsure = change.change_id in self._unsure
         self._unsure.add(change.change_id)
         put = await self._platform.put(
-            _knowledge.CONFIGURATION_KEY, value, version
+            _current_state.CONFIGURATION_KEY, value, version
         )
         if isinstance(put, result.Success):
             self._unsure.discard(change.change_id)
-            self._knowledge.offer_source(source, value)
+            self._current_state.offer_source(source, value)
             return protocol.ChangeAccepted(source.revision)
         error = put.failure()
         if error.kind is not transport.StoreErrorKind.LOST and not was_unsure:
@@ -258,7 +258,7 @@
     async def _read(
         self,
     ) -> result.Result[state.ConfigurationSource, object]:
-        found = await self._platform.get(_knowledge.CONFIGURATION_KEY)
+        found = await self._platform.get(_current_state.CONFIGURATION_KEY)
         return found.bind(lambda stored: _decode(stored.value))
 
 
--- a/samphiredock/coordination/config/_knowledge.py
+++ b/samphiredock/coordination/config/_current_state.py
@@ -25,7 +25,7 @@
 _log: logbook.Logger = logs.logger('spread')
 
 
-class Knowledge:
+class CurrentState:
     """The configuration and snapshot in force at this daemon."""
 
     def __init__(self, counters: metrics.Metrics) -> None:
--- a/samphiredock/coordination/config/_spread.py
+++ b/samphiredock/coordination/config/_distribution.py
@@ -5,8 +5,8 @@
 lost.
 """
 
+from samphiredock.coordination.config import _current_state
 from samphiredock.coordination.config import _exchange
-from samphiredock.coordination.config import _knowledge
 from samphiredock.coordination.config import _watcher
 from samphiredock.coordination.fleet import _membership
 from samphiredock.coordination.fleet import _relay
@@ -19,26 +19,26 @@
 _RELAY_LIMIT_BYTES = 65_536
 
 
-def follow_knowledge(
-    watcher: _watcher.Watcher, knowledge: _knowledge.Knowledge
+def follow_configuration(
+    watcher: _watcher.Watcher, current_state: _current_state.CurrentState
 ) -> None:
-    """Feed the configuration and the snapshots to ``knowledge``."""
+    """Feed the configuration and the snapshots to ``current_state``."""
 
     def take(stored: transport.StoredObject) -> None:
-        knowledge.offer(stored.key, stored.value)
+        current_state.offer(stored.key, stored.value)
 
-    watcher.follow(_knowledge.CONFIGURATION_KEY, take)
-    watcher.follow(_knowledge.SNAPSHOT_KEY, take)
+    watcher.follow(_current_state.CONFIGURATION_KEY, take)
+    watcher.follow(_current_state.SNAPSHOT_KEY, take)
 
 
-class Spread:
+class ObjectDistribution:
     """Wires watcher, exchange and membership of one daemon together.
 
     Parameters
     ----------
     name, site
         This daemon.
-    knowledge, watcher, membership, peers, clock, counters
+    current_state, watcher, membership, peers, clock, counters
         The parts.
     """
 
@@ -46,7 +46,7 @@
         self,
         name: str,
         site: str,
-        knowledge: _knowledge.Knowledge,
+        current_state: _current_state.CurrentState,
         watcher: _watcher.Watcher,
         membership: _membership.Membership,
         peers: _relay.PeerLinks,
@@ -59,10 +59,10 @@
         self._membership = membership
         self._metrics = counters
         self.exchange = _exchange.ObjectExchange(
-            name, knowledge, peers, membership.broadcast, clock, counters
+            name, current_state, peers, membership.broadcast, clock, counters
         )
         membership.on_peer_versions(self.exchange.on_peer_holds)
-        watcher.share_among(
+        watcher.watch_only_while(
             self.is_watcher, lambda: len(membership.live()), self._share
         )
         watcher.on_first_read(membership.on_store_read)
@@ -70,7 +70,7 @@
 
     def announce_configuration(self) -> None:
         """Push a revision that was accepted here to all daemons."""
-        self.exchange.announce(_knowledge.CONFIGURATION_KEY)
+        self.exchange.announce(_current_state.CONFIGURATION_KEY)
 
     def is_watcher(self) -> bool:
         """Whether this daemon reads the platform for its site."""
@@ -81,8 +81,8 @@
 
     def _share(self, stored: transport.StoredObject) -> None:
         if stored.key in (
-            _knowledge.CONFIGURATION_KEY,
-            _knowledge.SNAPSHOT_KEY,
+            _current_state.CONFIGURATION_KEY,
+            _current_state.SNAPSHOT_KEY,
         ):
             self.exchange.announce(stored.key, self._site)
             return
@@ -97,8 +97,8 @@
 
     def _on_object(self, sender: str, changed: protocol.ObjectChanged) -> None:
         if changed.key in (
-            _knowledge.CONFIGURATION_KEY,
-            _knowledge.SNAPSHOT_KEY,
+            _current_state.CONFIGURATION_KEY,
+            _current_state.SNAPSHOT_KEY,
         ):
             return
         stored = transport.StoredObject(
--- a/samphiredock/coordination/config/_exchange.py
+++ b/samphiredock/coordination/config/_exchange.py
@@ -9,7 +9,7 @@
 
 import typing
 
-from samphiredock.coordination.config import _knowledge
+from samphiredock.coordination.config import _current_state
 from samphiredock.coordination.fleet import _relay
 from samphiredock import metrics
 from samphiredock import protocol
@@ -26,7 +26,7 @@
     ----------
     name
         This daemon's name.
-    knowledge
+    current_state
         What is held here.
     peers
         The peer sockets.
@@ -39,14 +39,14 @@
     def __init__(
         self,
         name: str,
-        knowledge: _knowledge.Knowledge,
+        current_state: _current_state.CurrentState,
         peers: _relay.PeerLinks,
         broadcast: typing.Callable[..., None],
         clock: timers.Timers,
         counters: metrics.Metrics,
     ) -> None:
         self._name = name
-        self._knowledge = knowledge
+        self._current_state = current_state
         self._peers = peers
         self._broadcast = broadcast
         self._clock = clock
@@ -55,14 +55,14 @@
         self._waiting: dict[str, dict[str, int]] = {}
         self._refused: dict[str, int] = {}
         self._origins: dict[tuple[str, int], str] = {}
-        knowledge.on_adopted(self._on_adopted)
+        current_state.on_adopted(self._on_adopted)
         peers.subscribe(protocol.ObjectVersion, self._on_notice)
         peers.subscribe(protocol.ObjectAsk, self._on_ask)
         peers.subscribe(protocol.ObjectChanged, self._on_object)
 
     def announce(self, key: str, site: str | None = None) -> None:
         """Tell all members, or a site's, which version is held here."""
-        version = self._knowledge.version(key)
+        version = self._current_state.version(key)
         if version:
             notice = protocol.ObjectVersion(key, version, self._name)
             self._broadcast(notice, site)
@@ -71,13 +71,13 @@
         self, member: str, versions: protocol.HeldVersions
     ) -> None:
         """Ask a peer that holds something newer."""
-        keys = _knowledge.CONFIGURATION_KEY, _knowledge.SNAPSHOT_KEY
+        keys = _current_state.CONFIGURATION_KEY, _current_state.SNAPSHOT_KEY
         held = versions.revision, versions.snapshot_id
         for key, version in zip(keys, held):
             self._ask(member, key, version)
 
     def _ask(self, member: str, key: str, version: int) -> None:
-        known = self._knowledge.version(key)
+        known = self._current_state.version(key)
         if version <= max(known, self._refused.get(key, 0)):
             return
         asked, at_ms = self._asked.get(key, (0, 0.0))
@@ -88,14 +88,14 @@
         self._peers.send(member, protocol.ObjectAsk(key, version))
 
     def _on_notice(self, sender: str, notice: protocol.ObjectVersion) -> None:
-        if notice.version <= self._knowledge.version(notice.key):
+        if notice.version <= self._current_state.version(notice.key):
             self._confirm(notice.key, notice.version, notice.origin)
             return
         self._origins[notice.key, notice.version] = notice.origin
         self._ask(sender, notice.key, notice.version)
 
     def _on_ask(self, sender: str, ask: protocol.ObjectAsk) -> None:
-        if self._knowledge.version(ask.key) >= ask.version:
+        if self._current_state.version(ask.key) >= ask.version:
             self._give(sender, ask.key)
             return
         waiting = self._waiting.setdefault(ask.key, {})
@@ -103,19 +103,19 @@
             waiting[sender] = ask.version
 
     def _give(self, member: str, key: str) -> None:
-        value = self._knowledge.value(key)
-        version = self._knowledge.version(key)
+        value = self._current_state.value(key)
+        version = self._current_state.version(key)
         self._metrics.add('objects_given', key=key)
         self._peers.send(member, protocol.ObjectChanged(key, version, value))
 
     def _on_object(self, sender: str, changed: protocol.ObjectChanged) -> None:
         if changed.key in (
-            _knowledge.CONFIGURATION_KEY,
-            _knowledge.SNAPSHOT_KEY,
+            _current_state.CONFIGURATION_KEY,
+            _current_state.SNAPSHOT_KEY,
         ):
             self._metrics.add('objects_received', key=changed.key)
-            self._knowledge.offer(changed.key, changed.value)
-            if self._knowledge.version(changed.key) < changed.version:
+            self._current_state.offer(changed.key, changed.value)
+            if self._current_state.version(changed.key) < changed.version:
                 # It can't be read here; asking again would not help.
                 self._refused[changed.key] = changed.version
 
@@ -132,5 +132,5 @@
                 self._confirm(key, told, origin)
 
     def _confirm(self, key: str, version: int, origin: str) -> None:
-        if key == _knowledge.CONFIGURATION_KEY and origin != self._name:
+        if key == _current_state.CONFIGURATION_KEY and origin != self._name:
             self._peers.send(origin, protocol.RevisionHeld(version))
--- a/samphiredock/coordination/config/_snapshot_door.py
+++ b/samphiredock/coordination/config/_snapshot_validator.py
@@ -7,7 +7,7 @@
 _log = logs.logger('snapshots')
 
 
-class SnapshotDoor:
+class SnapshotValidator:
     """Keep the older snapshot when a published one is malformed.
 
     A gap in the shard ranges would make every answer partial, an overlap
--- a/samphiredock/coordination/config/_watcher.py
+++ b/samphiredock/coordination/config/_watcher.py
@@ -134,7 +134,7 @@
             for prefix in prefixes
         )
 
-    def heard_within(self, span_ms: float) -> bool:
+    def has_heard_within(self, span_ms: float) -> bool:
         """Whether a watch of every prefix has answered not long ago."""
         since_ms = self._clock.now_ms() - span_ms
         prefixes = [*self._handlers, *self._page_handlers]
@@ -146,7 +146,7 @@
         """Call back at each call that the store did not answer."""
         self._on_outage.append(callback)
 
-    def share_among(
+    def watch_only_while(
         self,
         is_watcher: typing.Callable[[], bool],
         size: typing.Callable[[], int],
--- a/samphiredock/coordination/once/_claim_acquirer.py
+++ b/samphiredock/coordination/once/_claim_acquirer.py
@@ -1,8 +1,8 @@
 """Claim a request's key, or learn what became of the claim in the way."""
 
-from samphiredock.coordination.once import _claim_book
 from samphiredock.coordination.once import _claim_bucket
-from samphiredock.coordination.once import _claim_holders
+from samphiredock.coordination.once import _claim_registry
+from samphiredock.coordination.once import _claim_statuses
 from samphiredock.coordination.once import _cutoff
 from samphiredock.coordination.once import _run_request
 from samphiredock.coordination.once import _run_states
@@ -18,15 +18,15 @@
 
     def __init__(
         self,
-        book: _claim_book.ClaimBook,
-        holders: _claim_holders.Holders,
+        claims: _claim_registry.ClaimRegistry,
+        statuses: _claim_statuses.ClaimStatuses,
         recorder: _run_request.OutcomeRecorder,
         counters: metrics.Metrics,
         cutoff: _cutoff.Cutoff,
     ) -> None:
         self._cutoff = cutoff
-        self._book = book
-        self._holders = holders
+        self._claims = claims
+        self._statuses = statuses
         self._recorder = recorder
         self._metrics = counters
 
@@ -38,7 +38,7 @@
         found: state.Claim | None = None
         replaces: str | None = None
         while True:
-            ended = await self._book.open(
+            ended = await self._claims.open(
                 run.admitted.place,
                 run.claim,
                 run.admitted.deadline_at_ms,
@@ -62,7 +62,7 @@
                 )
             found = opened.claim
             run.step('meet')
-            answer = await self._holders.ask(
+            answer = await self._statuses.ask(
                 found.token, run.admitted.deadline_at_ms
             )
             if answer is not None and answer.status is _Status.DONE:
--- a/samphiredock/coordination/once/_claim_bucket.py
+++ b/samphiredock/coordination/once/_claim_bucket.py
@@ -32,11 +32,11 @@
 class OpenChange:
     """A claim to open.
 
-    ``put_sent`` says that a put with this change has been sent, so that the
-    claim may be in the store whatever the answer was: an HTTP client may
-    send a PUT again after a lost connection, and the second one meets a
-    conflict with the first, or an outage.  ``answer_lost`` says that a put got no
-    answer: the claim is looked for before the request is refused.
+    ``put_sent`` is set once a put with this change has been sent: the claim
+    may be in the store then, whatever the answer was.  An HTTP client may
+    send a PUT again after a lost connection, and the second PUT meets a
+    conflict with the first one, or an outage.  ``answer_lost`` is set if a
+    put got no answer: the claim is read back before the request is refused.
     """
 
     digest: str
--- a/samphiredock/coordination/once/_claim_book.py
+++ b/samphiredock/coordination/once/_claim_registry.py
@@ -5,8 +5,8 @@
 import random
 
 from samphiredock.coordination.once import _claim_bucket
-from samphiredock.coordination.once import _store_health
 from samphiredock.coordination.once import _cutoff
+from samphiredock.coordination.once import _store_health
 from samphiredock import metrics
 from samphiredock import state
 from samphiredock import timers
@@ -25,7 +25,7 @@
     may_be_stored: bool
 
 
-class ClaimBook:
+class ClaimRegistry:
     """Opens and closes claims; one writer a bucket that is in use."""
 
     def __init__(
@@ -45,7 +45,7 @@
         self._writers: dict[str, _claim_bucket.BucketWriter] = {}
         self._unrecorded: set[asyncio.Future] = set()
 
-    def unrecorded(self) -> int:
+    def unrecorded_count(self) -> int:
         """Return how many ends of claims are not in the store yet."""
         return len(self._unrecorded)
 
--- a/samphiredock/coordination/once/_claim_holders.py
+++ b/samphiredock/coordination/once/_claim_statuses.py
@@ -44,7 +44,7 @@
     waiting_peers: set[str] = dataclasses.field(default_factory=set)
 
 
-class Holders:
+class ClaimStatuses:
     """Answer for the own claims and ask for those of others."""
 
     def __init__(
--- a/samphiredock/coordination/once/_run_once.py
+++ b/samphiredock/coordination/once/_run_once.py
@@ -9,12 +9,12 @@
 import itertools
 import random
 
-from samphiredock.coordination.once import _claim_book
+from samphiredock.coordination.once import _claim_acquirer
 from samphiredock.coordination.once import _claim_bucket
-from samphiredock.coordination.once import _claim_holders
+from samphiredock.coordination.once import _claim_registry
+from samphiredock.coordination.once import _claim_statuses
 from samphiredock.coordination.once import _cutoff
 from samphiredock.coordination.once import _run_admission
-from samphiredock.coordination.once import _claim_acquirer
 from samphiredock.coordination.once import _run_orders
 from samphiredock.coordination.once import _run_request
 from samphiredock.coordination.once import _run_sending
@@ -71,14 +71,14 @@
         self._runs: dict[str, _run_request.Run] = {}
         self._draining = False
         self._cutoff = _cutoff.Cutoff(clock)
-        self._book = _claim_book.ClaimBook(
+        self._claims = _claim_registry.ClaimRegistry(
             platform, clock, randomness, counters, self._cutoff
         )
-        self._holders = _claim_holders.Holders(
+        self._statuses = _claim_statuses.ClaimStatuses(
             peers, clock, counters, self._cutoff
         )
         self._recorder = _run_request.OutcomeRecorder(
-            self._book, self._holders, self._quarantine, counters
+            self._claims, self._statuses, self._quarantine, counters
         )
         orders = _run_orders.Orders(
             peers,
@@ -88,13 +88,17 @@
             self._cutoff,
         )
         self._acquirer = _claim_acquirer.ClaimAcquirer(
-            self._book, self._holders, self._recorder, counters, self._cutoff
+            self._claims,
+            self._statuses,
+            self._recorder,
+            counters,
+            self._cutoff,
         )
         self._sender = _run_sending.RunSender(
             site,
             view,
             orders,
-            self._holders,
+            self._statuses,
             self._recorder,
             clock,
             randomness,
@@ -106,9 +110,9 @@
         """Return how many requests are not answered yet."""
         return len(self._runs)
 
-    def unrecorded(self) -> int:
+    def unrecorded_count(self) -> int:
         """Return how many ends of claims are not in the store yet."""
-        return self._book.unrecorded()
+        return self._claims.unrecorded_count()
 
     async def run(
         self, request: protocol.RunRequest, idempotency_key: str
@@ -133,7 +137,7 @@
         # balancer cut off must find the recorded outcome when it retries.
         return self._count_not_run(await asyncio.shield(run.task))
 
-    def end(self) -> None:
+    def finish_all(self) -> None:
         """Take no new request and end those there are, each truthfully.
 
         Each is answered as at its deadline, at the latest
@@ -151,8 +155,8 @@
         until_ms = self._clock.now_ms() + limit_ms
         for run in list(self._runs.values()):
             await _claim_bucket.wait_until(self._clock, run.task, until_ms)
-        await self._book.wait_recorded(until_ms)
-        left = self._book.unrecorded()
+        await self._claims.wait_recorded(until_ms)
+        left = self._claims.unrecorded_count()
         if left:
             _log.warning('outcomes not recorded', count=left)
         return left
@@ -161,7 +165,7 @@
         """Stop everything at once."""
         for run in self._runs.values():
             run.task.cancel()
-        self._book.stop()
+        self._claims.stop()
 
     def _start(
         self, admitted: _run_admission.AdmittedRequest
@@ -173,7 +177,7 @@
             admitted, str(token), _run_states.new_progress()
         )
         self._runs[admitted.place.digest] = run
-        self._holders.track(run.token)
+        self._statuses.track(run.token)
         run.task = asyncio.create_task(self._run_to_outcome(run))
         return run
 
@@ -213,9 +217,9 @@
                 outcome = await self._sender.execute(run)
             return outcome
         finally:
-            if self._holders.status(run.token) is _Status.RUNNING:
+            if self._statuses.status(run.token) is _Status.RUNNING:
                 # Stopped from outside: the claim stays, nobody reruns it.
-                self._holders.update(run.token, _Status.UNSETTLED)
+                self._statuses.update(run.token, _Status.UNSETTLED)
             _run_states.release(run.progress)
             del self._runs[run.admitted.place.digest]
             self._metrics.observe(
--- a/samphiredock/coordination/once/_run_request.py
+++ b/samphiredock/coordination/once/_run_request.py
@@ -8,8 +8,8 @@
 import dataclasses
 import typing
 
-from samphiredock.coordination.once import _claim_book
-from samphiredock.coordination.once import _claim_holders
+from samphiredock.coordination.once import _claim_registry
+from samphiredock.coordination.once import _claim_statuses
 from samphiredock.coordination.once import _run_admission
 from samphiredock.coordination.once import _run_orders
 from samphiredock.coordination.once import _run_states
@@ -78,13 +78,13 @@
 
     def __init__(
         self,
-        book: _claim_book.ClaimBook,
-        holders: _claim_holders.Holders,
+        claims: _claim_registry.ClaimRegistry,
+        statuses: _claim_statuses.ClaimStatuses,
         quarantine: RunQuarantine,
         counters: metrics.Metrics,
     ) -> None:
-        self._book = book
-        self._holders = holders
+        self._claims = claims
+        self._statuses = statuses
         self._quarantine = quarantine
         self._metrics = counters
         self._unsettled: dict[str, _run_admission.AdmittedRequest] = {}
@@ -116,7 +116,7 @@
         """A target ran it: tell who asked, and record it in background."""
         self._quarantine.note_succeeded(admitted.fingerprint)
         outcome = protocol.Completed(report.result, report.accepted, False)
-        self._holders.update(token, _Status.DONE, outcome)
+        self._statuses.update(token, _Status.DONE, outcome)
         self._metrics.add('runs_completed')
         self._close(
             admitted.place,
@@ -130,11 +130,11 @@
         """Record the true end of a request that was called unknown."""
         admitted = self._unsettled.pop(token, None)
         if admitted is None or (
-            self._holders.status(token) is not _Status.UNSETTLED
+            self._statuses.status(token) is not _Status.UNSETTLED
         ):
             return
         if _run_orders.proves_not_begun(report):
-            self._holders.update(token, _Status.NEVER_SENT)
+            self._statuses.update(token, _Status.NEVER_SENT)
             self._close_not_run(token, admitted)
             return
         self.complete(token, admitted, report)
@@ -148,7 +148,7 @@
             _run_states.RunState.SENT,
             _run_states.RunState.CANCELLING,
         ):
-            self._holders.update(run.token, _Status.UNSETTLED)
+            self._statuses.update(run.token, _Status.UNSETTLED)
             self._unsettled[run.token] = run.admitted
             while len(self._unsettled) > _run_orders.OUTSTANDING_LIMIT:
                 del self._unsettled[next(iter(self._unsettled))]
@@ -179,12 +179,12 @@
 
     def _abandon_claim(self, run: Run) -> None:
         """Promise never to send, then free the key if it may be claimed."""
-        self._holders.update(run.token, _Status.NEVER_SENT)
+        self._statuses.update(run.token, _Status.NEVER_SENT)
         if run.may_be_stored:
             self._metrics.add('claims_given_up')
             self._close_not_run(run.token, run.admitted)
         else:
-            self._holders.forget(run.token)
+            self._statuses.forget(run.token)
 
     def _close_not_run(
         self, token: str, admitted: _run_admission.AdmittedRequest
@@ -195,8 +195,10 @@
         )
 
     def _close(self, place: state.Place, final: state.Claim) -> None:
-        recorded = self._book.close(place, final)
-        recorded.add_done_callback(lambda _: self._holders.forget(final.token))
+        recorded = self._claims.close(place, final)
+        recorded.add_done_callback(
+            lambda _: self._statuses.forget(final.token)
+        )
 
 
 def open_claim(
--- a/samphiredock/coordination/once/_run_sending.py
+++ b/samphiredock/coordination/once/_run_sending.py
@@ -3,7 +3,7 @@
 import random
 import typing
 
-from samphiredock.coordination.once import _claim_holders
+from samphiredock.coordination.once import _claim_statuses
 from samphiredock.coordination.once import _cutoff
 from samphiredock.coordination.once import _run_admission
 from samphiredock.coordination.once import _run_orders
@@ -53,7 +53,7 @@
         site: str,
         view: RoutingView,
         orders: _run_orders.Orders,
-        holders: _claim_holders.Holders,
+        statuses: _claim_statuses.ClaimStatuses,
         recorder: _run_request.OutcomeRecorder,
         clock: timers.Timers,
         randomness: random.Random,
@@ -64,7 +64,7 @@
         self._site = site
         self._view = view
         self._orders = orders
-        self._holders = holders
+        self._statuses = statuses
         self._recorder = recorder
         self._clock = clock
         self._random = randomness
@@ -107,7 +107,7 @@
         still its own, for nobody takes one from a silent holder; but its
         deadline may have passed, and its caller be gone.
         """
-        assert self._holders.status(run.token) is _Status.RUNNING
+        assert self._statuses.status(run.token) is _Status.RUNNING
         admitted = run.admitted
         if self._cutoff.has_passed():
             return _run_request.shutting_down()
--- a/samphiredock/daemon/_entry_knowledge.py
+++ b/samphiredock/daemon/_entry_knowledge.py
@@ -110,7 +110,7 @@
             self._settings.watch_ms,
             {adapter.targets_prefix: self._collect_ms},
         )
-        watcher.share_among(self._watches, lambda: 1, lambda stored: None)
+        watcher.watch_only_while(self._watches, lambda: 1, lambda stored: None)
         watcher.poll_stale(self._stale_period_ms)
         watcher.follow_pages(adapter.routing_prefix, self._on_routing)
         watcher.follow_pages(adapter.targets_prefix, self._on_targets)
@@ -189,7 +189,7 @@
     def hears_store(self) -> bool:
         """Whether the store has answered this daemon's watches lately."""
         fresh_ms = self._settings.watch_ms + _WATCH_SLACK_MS
-        return self._watcher.heard_within(fresh_ms)
+        return self._watcher.has_heard_within(fresh_ms)
 
     def needs_vouching(self) -> bool:
         """Whether others are to be asked what they know of the store.
@@ -198,7 +198,7 @@
         counts as old.
         """
         late_ms = self._settings.watch_ms + _WATCH_SLACK_MS / 2.0
-        return self._role.coordinates and not self._watcher.heard_within(
+        return self._role.coordinates and not self._watcher.has_heard_within(
             late_ms
         )
 
--- a/samphiredock/daemon/_node.py
+++ b/samphiredock/daemon/_node.py
@@ -222,7 +222,7 @@
             + self._desk.open_calls()
             + self._parts.dispatcher.in_flight()
             + self._parts.runner.in_flight()
-            + self._parts.runner.unrecorded()
+            + self._parts.runner.unrecorded_count()
         )
 
     def _on_phase(self, phase: _shutdown.Phase) -> None:
@@ -250,7 +250,7 @@
         self._parts.dispatcher.stop()
         left = self.in_flight()
         self._parts.coordinator.end()
-        self._parts.runner.end()
+        self._parts.runner.finish_all()
         self._desk.end()
         if left:
             _log.warning('requests given up', left=left)
--- a/samphiredock/daemon/_operations.py
+++ b/samphiredock/daemon/_operations.py
@@ -86,7 +86,7 @@
             'site': parts.me.site,
             'incarnation': parts.me.incarnation,
             'ready': self._is_ready(),
-            'revision': parts.knowledge.revision,
+            'revision': parts.current_state.revision,
             'snapshot_id': snapshot.snapshot_id if snapshot else 0,
             'members': parts.membership.live(),
             'health': parts.membership.health(),
@@ -99,7 +99,7 @@
 
     def configuration_source(self) -> state.ConfigurationSource | None:
         """Return what is in force here, as operators wrote it."""
-        return self._parts.knowledge.source
+        return self._parts.current_state.source
 
     async def apply(
         self, change: protocol.ConfigurationChange
@@ -107,7 +107,9 @@
         """Accept a configuration change and push it to all daemons."""
         return await self._until_end(
             self._apply(change),
-            lambda begun: self._parts.acceptor.unfinished(change, _ENDED),
+            lambda begun: self._parts.acceptor.abandoned_outcome(
+                change, _ENDED
+            ),
         )
 
     async def _apply(
@@ -115,7 +117,7 @@
     ) -> protocol.ChangeOutcome:
         outcome = await self._parts.acceptor.apply(change)
         if isinstance(outcome, protocol.ChangeAccepted):
-            self._parts.spread.announce_configuration()
+            self._parts.distribution.announce_configuration()
         return outcome
 
     async def history(
@@ -145,7 +147,9 @@
             )
             for member in self._parts.membership.live()
         ]
-        return protocol.Confirmations(self._parts.knowledge.revision, daemons)
+        return protocol.Confirmations(
+            self._parts.current_state.revision, daemons
+        )
 
     async def set_leaving(
         self, target: str, leaving: bool
--- a/samphiredock/daemon/_parts.py
+++ b/samphiredock/daemon/_parts.py
@@ -63,13 +63,13 @@
     @property
     def configuration(self) -> state.Configuration | None:
         """The revision in force here."""
-        return self.knowledge.configuration
+        return self.current_state.configuration
 
     @property
     def snapshot(self) -> state.Snapshot | None:
         """The newest sound snapshot known here."""
         return self._snapshots.current(
-            self.knowledge.snapshot, self.knowledge.configuration
+            self.current_state.snapshot, self.current_state.configuration
         )
 
     def owner(self, target: str) -> str | None:
@@ -106,12 +106,12 @@
             raise
 
     def _make_control(self) -> None:
-        self.knowledge = coordination.Knowledge(self.metrics)
-        self._snapshots = coordination.SnapshotDoor(self.metrics)
+        self.current_state = coordination.CurrentState(self.metrics)
+        self._snapshots = coordination.SnapshotValidator(self.metrics)
         self.watcher = coordination.Watcher(
             self.platform, self.clock, self.metrics
         )
-        coordination.follow_knowledge(self.watcher, self.knowledge)
+        coordination.follow_configuration(self.watcher, self.current_state)
         self.membership = coordination.Membership(
             self.me,
             self.hub,
@@ -119,14 +119,14 @@
             self.platform,
             self.clock,
             self.metrics,
-            self.knowledge.versions,
+            self.current_state.versions,
             self._random('membership'),
             self._settings.peers,
         )
-        self.spread = coordination.Spread(
+        self.distribution = coordination.ObjectDistribution(
             self.me.name,
             self.me.site,
-            self.knowledge,
+            self.current_state,
             self.watcher,
             self.membership,
             self.hub,
@@ -134,7 +134,7 @@
             self.metrics,
         )
         self.acceptor = coordination.Acceptor(
-            self.platform, self.knowledge, self.clock, self.metrics
+            self.platform, self.current_state, self.clock, self.metrics
         )
 
     def _make_dispatching(self) -> None:
@@ -155,7 +155,7 @@
             self.metrics,
             self._random('signs'),
             self.membership.neighbours,
-            self.spread.is_watcher,
+            self.distribution.is_watcher,
         )
         self.dispatcher = coordination.Dispatcher(
             self.hub,
@@ -198,7 +198,7 @@
         )
 
     def _follow_changes(self) -> None:
-        self.knowledge.subscribe(self.dispatcher.configure)
+        self.current_state.subscribe(self.dispatcher.configure)
         self.watcher.follow(coordination.TARGETS_PREFIX, self.signs.on_object)
         self.watcher.follow(
             coordination.QUARANTINE_PREFIX, self.quarantine.on_stored
--- a/standins/memory_daemons.py
+++ b/standins/memory_daemons.py
@@ -54,11 +54,11 @@
         platform = memory_platform.MemoryPlatform(
             network.store, network.clock, (2.0, 2.0), self.clock
         )
-        self.knowledge = coordination.Knowledge(self.counters)
+        self.current_state = coordination.CurrentState(self.counters)
         self.watcher = coordination.Watcher(
             platform, self.clock, self.counters
         )
-        coordination.follow_knowledge(self.watcher, self.knowledge)
+        coordination.follow_configuration(self.watcher, self.current_state)
         address = f'tcp://{name}'
         member = state.Member(
             name, site, region, address, name, name, self.clock.wall_ms()
@@ -71,14 +71,14 @@
             platform,
             self.clock,
             self.counters,
-            self.knowledge.versions,
+            self.current_state.versions,
             random.Random(f'{network.seed}-{name}-{self.started_ms}'),
             network.seeds,
         )
-        self.spread = coordination.Spread(
+        self.distribution = coordination.ObjectDistribution(
             name,
             site,
-            self.knowledge,
+            self.current_state,
             self.watcher,
             self.membership,
             self.peers,
@@ -86,7 +86,7 @@
             self.counters,
         )
         self.acceptor = coordination.Acceptor(
-            platform, self.knowledge, self.clock, self.counters
+            platform, self.current_state, self.clock, self.counters
         )
         self.membership.start()
         self.watcher.start()
@@ -95,7 +95,7 @@
     def is_ready(self) -> bool:
         """Whether it presents its revision as the one in force."""
         return (
-            self.knowledge.revision > 0
+            self.current_state.revision > 0
             and self.membership.is_settled()
             and self.membership.is_current()
         )
@@ -113,7 +113,7 @@
         )
         outcome = await self.acceptor.apply(change)
         if isinstance(outcome, protocol.ChangeAccepted):
-            self.spread.announce_configuration()
+            self.distribution.announce_configuration()
         return outcome
 
     def kill(self) -> None:
--- a/tests/failure/test_at_most_once.py
+++ b/tests/failure/test_at_most_once.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from samphiredock.coordination.once import _claim_bucket
-from samphiredock.coordination.once import _claim_holders
+from samphiredock.coordination.once import _claim_statuses
 from samphiredock.coordination.once import _run_orders
 from samphiredock import metrics
 from samphiredock import protocol
@@ -221,7 +221,7 @@
         outcome = await self.ask(self.first, deadline_ms=3)
         self.assertIsInstance(outcome, protocol.NotRun)
         await self.system.clock.pass_ms(1_000)
-        self.assertEqual(0, self.first.runner.unrecorded())
+        self.assertEqual(0, self.first.runner.unrecorded_count())
         self.system.kill(self.first)
         self.assert_ran(await self.ask(self.second), 1)
 
@@ -354,7 +354,7 @@
     ) -> protocol.ClaimAnswer:
         return protocol.ClaimAnswer(token, protocol.ClaimStatus.NEVER_SENT)
 
-    return mock.patch.object(_claim_holders.Holders, 'ask', ask)
+    return mock.patch.object(_claim_statuses.ClaimStatuses, 'ask', ask)
 
 
 def _trust_lost_puts() -> mock.Mock:
--- a/tests/failure/test_configuration.py
+++ b/tests/failure/test_configuration.py
@@ -53,7 +53,7 @@
         """Start a daemon and record what it applies."""
         floor = max(
             [
-                daemon.knowledge.revision
+                daemon.current_state.revision
                 for daemon in self.network.daemons.values()
                 if daemon.is_ready and not daemon.clock.frozen
             ],
@@ -62,14 +62,14 @@
         daemon = self.network.start(name, site, SITES[site])
         self.reachable_ms[name] = self.now_ms
         self.unready[name] = floor if not self.network.cuts else 0
-        daemon.knowledge.subscribe(
+        daemon.current_state.subscribe(
             lambda new: self.events.append(
                 history.InForce(
                     self.now_ms,
                     name,
                     daemon.incarnation,
                     new.revision,
-                    daemon.knowledge.source.change_id,
+                    daemon.current_state.source.change_id,
                 )
             )
         )
@@ -84,7 +84,7 @@
         for name, daemon in self.network.daemons.items():
             if daemon.clock.dead or daemon.clock.frozen:
                 continue
-            revision = daemon.knowledge.revision
+            revision = daemon.current_state.revision
             if name in self.unready and daemon.is_ready:
                 floor = self.unready.pop(name)
                 self.events.append(
@@ -100,7 +100,7 @@
 
     async def operate(self, daemon: memory_daemons.SimDaemon, name: str):
         """Apply one change as an operator, again while it is unknown."""
-        base = daemon.knowledge.revision
+        base = daemon.current_state.revision
         for sending in range(20):
             outcome = await daemon.apply(name, base, sending > 0)
             kind = type(outcome).__name__
@@ -282,7 +282,9 @@
         lost = history.accepted_but_lost(events, run.stored())
         self.assertEqual([], lost[:3])
         self.assertEqual([], history.late(events, IN_FORCE_LIMIT_MS)[:3])
-        final = {d.knowledge.revision for d in run.network.daemons.values()}
+        final = {
+            d.current_state.revision for d in run.network.daemons.values()
+        }
         self.assertEqual({max(run.stored())}, final)
 
 
@@ -314,7 +316,7 @@
             daemon.clock.wake()
         for _ in range(1_000):
             for daemon in frozen:
-                seen.add((daemon.is_ready, daemon.knowledge.revision))
+                seen.add((daemon.is_ready, daemon.current_state.revision))
             await run.network.run(5)
         run.network.close()
         self.assertEqual({(False, 1), (False, 2), (True, 2)}, seen)
@@ -339,7 +341,7 @@
             fresh = run.network.start('entry-9', 'yeka-c', 'mekelle')
             await run.network.run(2_500)
             run.network.close()
-            revision = fresh.knowledge.revision
+            revision = fresh.current_state.revision
             return fresh.is_ready, revision, len(fresh.live_names())
 
         seeds = ('tcp://entry-2', 'tcp://entry-3')
@@ -366,5 +368,5 @@
         await run.run(2_000)
         run.network.close()
         self.assertEqual(6, task.result().revision)
-        self.assertEqual([6] * 3, [d.knowledge.revision for d in daemons])
+        self.assertEqual([6] * 3, [d.current_state.revision for d in daemons])
         self.assertEqual([], history.reverted(run.events))
--- a/tests/failure/test_spread.py
+++ b/tests/failure/test_distribution.py
@@ -69,7 +69,7 @@
             task = asyncio.create_task(self.accept(daemons[5]))
             await network.run(1_000)
             await task
-            self.assertEqual({2}, {d.knowledge.revision for d in daemons})
+            self.assertEqual({2}, {d.current_state.revision for d in daemons})
             got = [d.counters.counts['objects_received'] for d in daemons]
             given = [d.counters.counts['objects_given'] for d in daemons]
             self.assertLessEqual(max(got), 1)
@@ -97,7 +97,7 @@
             await task
             await network.run(4_970)
             revisions = collections.Counter(
-                d.knowledge.revision for d in daemons if not d.clock.frozen
+                d.current_state.revision for d in daemons if not d.clock.frozen
             )
             self.assertEqual({2: COUNT - 8}, dict(revisions))
 
@@ -130,7 +130,7 @@
             frozen = [
                 daemon
                 for daemon in daemons
-                if daemon.spread.is_watcher() and daemon.site == 'sal-a'
+                if daemon.distribution.is_watcher() and daemon.site == 'sal-a'
             ]
             self.assertEqual(2, len(frozen))
             for daemon in frozen:
--- a/tests/failure/test_one_snapshot.py
+++ b/tests/failure/test_one_snapshot.py
@@ -102,7 +102,7 @@
         """
         counters = metrics.Metrics('test')
         self.addCleanup(counters.close)
-        door = coordination.SnapshotDoor(counters)
+        door = coordination.SnapshotValidator(counters)
         configuration = memory_searches.make_configuration(
             memory_searches.make_search()
         )
--- a/tests/failure/test_stopped_runs.py
+++ b/tests/failure/test_stopped_runs.py
@@ -27,7 +27,7 @@
         await self.system.clock.pass_ms(waited_ms)
         self.assertFalse(call.done())
         before_ms = self.system.clock.now_ms()
-        self.first.runner.end()
+        self.first.runner.finish_all()
         outcome = await self.assert_told(call, kind)
         self.assertLess(
             self.system.clock.now_ms() - before_ms,
@@ -104,7 +104,7 @@
         self.system.use('silent')
         calls = [self.system.call(self.first, _KEY) for _ in range(2)]
         await self.system.executed()
-        self.first.runner.end()
+        self.first.runner.finish_all()
         for call in calls:
             await self.assert_told(call, protocol.Unknown)
         self.assertEqual(1, self.system.executions())
@@ -112,7 +112,7 @@
     async def test_request_after_the_end(self) -> None:
         """The caller is refused; nothing is sent."""
         self.system.use('answer')
-        self.first.runner.end()
+        self.first.runner.finish_all()
         call = self.system.call(self.first, _KEY)
         outcome = await self.assert_told(call, protocol.NotRun)
         self.assertIs(_Reason.SHUTTING_DOWN, outcome.reason)
@@ -124,7 +124,7 @@
 
     def _kill(self) -> None:
         daemon = self._any()
-        daemon.runner.end()
+        daemon.runner.finish_all()
         self.system.faults['end'] += 1
         self.system.clock.after(_LAST_WORDS_MS, lambda: self._exit(daemon))
 
--- a/tests/unit/test_claim_book.py
+++ b/tests/unit/test_claim_registry.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from samphiredock.coordination.once import _claim_book
+from samphiredock.coordination.once import _claim_registry
 from samphiredock import metrics
 from samphiredock import state
 from samphiredock.state import _claims
@@ -32,13 +32,13 @@
             self.store, self.clock, (0.0, 2.0)
         )
         self.metrics = metrics.Metrics('test')
-        self.book = _claim_book.ClaimBook(
+        self.registry = _claim_registry.ClaimRegistry(
             self.platform, self.clock, random.Random(2), self.metrics
         )
 
-    async def open(self, number: int) -> _claim_book.OpenResult:
+    async def open(self, number: int) -> _claim_registry.OpenResult:
         """Open one claim."""
-        return await self.book.open(
+        return await self.registry.open(
             state.place_of('invoices', f'key-{number}'),
             _claim(number),
             self.clock.now_ms() + 2_000,
@@ -50,12 +50,12 @@
         await self.clock.pass_ms(100)
         for number, task in enumerate(tasks):
             self.assertIs(state.Verdict.GRANTED, task.result().opened.verdict)
-            self.book.close(
+            self.registry.close(
                 state.place_of('invoices', f'key-{number}'),
                 state.done_claim(_claim(number), True, {}),
             )
         await self.clock.pass_ms(100)
-        self.assertEqual(0, self.book.unrecorded())
+        self.assertEqual(0, self.registry.unrecorded_count())
         calls = self.store.calls
         return [calls['get'] / count, calls['put'] / count]
 
@@ -105,7 +105,7 @@
         """A writer goes when its bucket is idle."""
         await self.open_and_close(50)
         await self.clock.pass_ms(1_000)
-        self.assertEqual({}, self.book._writers)
+        self.assertEqual({}, self.registry._writers)
 
     async def platform_put(self, path: str, value: bytes) -> None:
         """Store an object."""
--- a/tests/unit/test_claim_holders.py
+++ b/tests/unit/test_claim_statuses.py
@@ -4,7 +4,7 @@
 import random
 import unittest
 
-from samphiredock.coordination.once import _claim_holders
+from samphiredock.coordination.once import _claim_statuses
 from samphiredock import metrics
 from samphiredock import protocol
 from standins import memory_hosts
@@ -26,10 +26,12 @@
         self.holder = self.make('entry-1')
         self.asker = self.make('entry-2')
 
-    def make(self, name: str) -> _claim_holders.Holders:
+    def make(self, name: str) -> _claim_statuses.ClaimStatuses:
         """Return one daemon's side."""
         endpoint = self.hub.join(name)
-        return _claim_holders.Holders(endpoint, self.clock, self.metrics)
+        return _claim_statuses.ClaimStatuses(
+            endpoint, self.clock, self.metrics
+        )
 
     async def test_end_is_pushed_to_who_waits(self) -> None:
         """The asker hears of the end in milliseconds, not at its next ask."""
@@ -46,7 +48,7 @@
         self.holder.track(_TOKEN)
         self.hub.loss = 1.0
         ask = asyncio.create_task(self.asker.ask(_TOKEN, 60_000))
-        await self.clock.pass_ms(_claim_holders.SILENT_MS + 300)
+        await self.clock.pass_ms(_claim_statuses.SILENT_MS + 300)
         self.assertIsNone(ask.result())
         self.hub.loss = 0.0
         self.make('entry-1')
@@ -84,7 +86,7 @@
 
     def test_unsettled_claims_are_bounded(self) -> None:
         """The oldest is forgotten; to its askers that means "unknown"."""
-        for number in range(_claim_holders.UNSETTLED_LIMIT + 1):
+        for number in range(_claim_statuses.UNSETTLED_LIMIT + 1):
             self.holder.track(f'entry-1/1/{number}')
             self.holder.update(f'entry-1/1/{number}', _Status.UNSETTLED)
         self.assertIs(_Status.UNTRACKED, self.holder.status('entry-1/1/0'))
--- a/tests/unit/test_exchange.py
+++ b/tests/unit/test_exchange.py
@@ -21,10 +21,10 @@
         self.peers = memory_peers.RecordingPeers()
         self.clock = timers.ManualTimers()
         counters = memory_daemons.Counters()
-        self.knowledge = coordination.Knowledge(counters)
+        self.current_state = coordination.CurrentState(counters)
         _exchange.ObjectExchange(
             'me',
-            self.knowledge,
+            self.current_state,
             self.peers,
             lambda message, site: None,
             self.clock,
--- a/tests/unit/test_operations.py
+++ b/tests/unit/test_operations.py
@@ -50,9 +50,9 @@
         self.store = _SilentStore(*silent)
         counters = metrics.Metrics('test')
         self.addCleanup(counters.close)
-        knowledge = types.SimpleNamespace(source=None)
+        current_state = types.SimpleNamespace(source=None)
         acceptor = _accept.Acceptor(
-            self.store, knowledge, memory_hosts.SteppedTimers(), counters
+            self.store, current_state, memory_hosts.SteppedTimers(), counters
         )
         parts = types.SimpleNamespace(
             acceptor=acceptor,
--- a/tests/unit/test_wire_names.py
+++ b/tests/unit/test_wire_names.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from samphiredock.coordination.config import _knowledge
+from samphiredock.coordination.config import _current_state
 from samphiredock.coordination.fleet import _directory
 from samphiredock.coordination.forwarding import _end_notes
 from samphiredock.coordination.forwarding import _presence
@@ -580,8 +580,10 @@
     def test_objects_keep_their_keys(self) -> None:
         """A daemon of another version must find the same object."""
         self.assertEqual('claims/', _claims.CLAIMS_PREFIX)
-        self.assertEqual('configuration/current', _knowledge.CONFIGURATION_KEY)
-        self.assertEqual('snapshots/current', _knowledge.SNAPSHOT_KEY)
+        self.assertEqual(
+            'configuration/current', _current_state.CONFIGURATION_KEY
+        )
+        self.assertEqual('snapshots/current', _current_state.SNAPSHOT_KEY)
         self.assertEqual('members/', _directory.MEMBERS_PREFIX)
         self.assertEqual('quarantine/', _quarantine.QUARANTINE_PREFIX)
         self.assertEqual('targets/', _target_signs.TARGETS_PREFIX)
