--- a/tests/failure/test_at_most_once.py
+++ b/tests/failure/test_at_most_once.py
@@ -22,7 +22,7 @@
 _Fault = memory_platform.Fault
 
 
-class AtMostOnceTest(simulation_runs.RunnersCase):
+class AtMostOnceTest(simulation_runs.RunnerTestCase):
     """Single failures, driven step by step."""
 
     def setUp(self) -> None:
@@ -299,7 +299,7 @@
         found: list[str] = []
         counts: collections.Counter[str] = collections.Counter()
         for number in range(count):
-            storm = simulation_runs.Storm(
+            storm = simulation_runs.FaultSimulation(
                 simulation_runs.SEED + number, counters
             )
             asyncio.run(storm.run())
--- a/tests/failure/test_not_run.py
+++ b/tests/failure/test_not_run.py
@@ -26,7 +26,7 @@
         pass
 
 
-class NotRunTest(simulation_runs.RunnersCase):
+class NotRunTest(simulation_runs.RunnerTestCase):
     """What each failure after the claim lets a caller be told."""
 
     async def assert_not_run(
--- a/tests/failure/test_stopped_runs.py
+++ b/tests/failure/test_stopped_runs.py
@@ -18,7 +18,7 @@
 _Reason = protocol.NotRunReason
 
 
-class StoppedRunsTest(simulation_runs.RunnersCase):
+class StoppedRunsTest(simulation_runs.RunnerTestCase):
     """The first daemon ends while a request waits, seconds to its deadline."""
 
     async def _ended(self, waited_ms: float, kind: type) -> object:
@@ -119,7 +119,7 @@
         await self._assert_retry(protocol.Completed, 1)
 
 
-class _StopStorm(simulation_runs.Storm):
+class _StopStorm(simulation_runs.FaultSimulation):
     """Daemons end truthfully before they are gone, instead of being killed."""
 
     def _kill(self) -> None:
--- a/tests/history.py
+++ b/tests/history.py
@@ -34,7 +34,7 @@
     outcome: typing.Mapping[str, typing.Any] | None
 
     @property
-    def kind_of_outcome(self) -> str:
+    def outcome_type(self) -> str:
         """The outcome's tag, ``none`` without an answer."""
         return self.outcome['type'] if self.outcome else 'none'
 
@@ -96,7 +96,7 @@
         if call.kind != 'run':
             continue
         judged += 1
-        if call.kind_of_outcome == 'completed':
+        if call.outcome_type == 'completed':
             key = call.idempotency_key
             results[key].add(str(sorted(call.outcome['result'].items())))
             if key not in by_key:
@@ -124,7 +124,7 @@
     violations = []
     judged = 0
     for key, rows in told.items():
-        not_run = [row for row in rows if row.kind_of_outcome == 'not-run']
+        not_run = [row for row in rows if row.outcome_type == 'not-run']
         judged += len(not_run)
         others = [row for row in rows if row not in not_run]
         for execution in executed.get(key, ()):
@@ -178,7 +178,7 @@
     for call in answers(calls):
         judged += 1
         missing = [tuple(row) for row in call.outcome.get('missing', ())]
-        if call.kind_of_outcome == 'answered' and missing:
+        if call.outcome_type == 'answered' and missing:
             violations.append(f'call {call.number}: whole, yet missing')
         gap = sum(high - low for low, high in missing)
         stated = call.outcome['coverage']
@@ -201,7 +201,7 @@
     return Verdict(judged, tuple(violations))
 
 
-def check_own_answer(calls: typing.Iterable[Call]) -> Verdict:
+def check_matching_records(calls: typing.Iterable[Call]) -> Verdict:
     """Every record of an answer matches the caller's own terms."""
     violations = []
     judged = 0
@@ -296,7 +296,7 @@
     return times
 
 
-def check_leaving(
+def check_draining_targets(
     executions: typing.Iterable[Execution],
     left_at_ms: typing.Mapping[str, float],
     grace_ms: float,
@@ -315,7 +315,7 @@
     return Verdict(judged, tuple(violations))
 
 
-def check_nothing_cut(calls: typing.Iterable[Call]) -> Verdict:
+def check_all_answered(calls: typing.Iterable[Call]) -> Verdict:
     """Every request got an answer from a daemon that speaks for itself.
 
     The balancer's own 502 and 503 have no outcome, so they count as cut.
@@ -332,7 +332,7 @@
 def answers(calls: typing.Iterable[Call]) -> typing.Iterator[Call]:
     """Yield the searches that were answered, whole or in part."""
     for call in calls:
-        if call.kind_of_outcome in ('answered', 'partial'):
+        if call.outcome_type in ('answered', 'partial'):
             yield call
 
 
--- a/tests/process/faultrun.py
+++ b/tests/process/faultrun.py
@@ -86,7 +86,7 @@
             'truthful coverage': history.check_coverage(
                 calls, 'claims', systems.RECORD_LIMIT
             ),
-            'own whole answer': history.check_own_answer(calls),
+            'own whole answer': history.check_matching_records(calls),
             'configuration': history.check_revisions(
                 self.recording.samples,
                 self.recording.accepted,
@@ -98,9 +98,9 @@
     def reasons(self) -> collections.Counter:
         """Count the refusals and unknown outcomes by what was said."""
         return collections.Counter(
-            f'{call.kind} {call.kind_of_outcome} {_said(call.outcome)}'
+            f'{call.kind} {call.outcome_type} {_said(call.outcome)}'
             for call in self.recording.calls
-            if call.kind_of_outcome in ('not-run', 'unknown')
+            if call.outcome_type in ('not-run', 'unknown')
         )
 
     def times_in_force_ms(self) -> list[float]:
@@ -116,7 +116,7 @@
     def open_keys(self) -> tuple[int, int]:
         """Return how many keys there were, and how many ended unknown."""
         last = {
-            call.idempotency_key: call.kind_of_outcome
+            call.idempotency_key: call.outcome_type
             for call in self.recording.calls
             if call.kind == 'run'
         }
@@ -125,8 +125,7 @@
     def outcomes(self) -> collections.Counter:
         """Count the calls by kind and outcome."""
         return collections.Counter(
-            f'{call.kind} {call.kind_of_outcome}'
-            for call in self.recording.calls
+            f'{call.kind} {call.outcome_type}' for call in self.recording.calls
         )
 
     async def _caller(self, number: int) -> None:
@@ -164,7 +163,7 @@
             household = f'household-{rng.randrange(97)}'
         call = await self._run_key(daemon, key, household)
         pair = (key, household)
-        if call.kind_of_outcome == 'completed':
+        if call.outcome_type == 'completed':
             if pair in self._open_keys and rng.random() < 0.5:
                 self._open_keys.remove(pair)
         elif rng.random() < 0.7 and pair not in self._open_keys:
--- a/tests/process/test_promises.py
+++ b/tests/process/test_promises.py
@@ -46,6 +46,6 @@
         disturbed = [
             call
             for call in run.recording.calls
-            if call.kind_of_outcome not in ('answered', 'completed')
+            if call.outcome_type not in ('answered', 'completed')
         ]
         self.assertGreaterEqual(len(disturbed), 20)
--- a/tests/process/test_races.py
+++ b/tests/process/test_races.py
@@ -41,7 +41,7 @@
         told = collections.Counter(
             call.idempotency_key
             for call in calls
-            if call.kind_of_outcome == 'completed'
+            if call.outcome_type == 'completed'
         )
         both = [key for key, count in told.items() if count == 2]
         self.assertGreater(len(both), _KEYS // 2, told)
@@ -61,7 +61,7 @@
                     system.pay(first, key, 'household-1'),
                     system.pay(second, key, 'household-2'),
                 )
-                lost = 1 if pair[0].kind_of_outcome == 'completed' else 0
+                lost = 1 if pair[0].outcome_type == 'completed' else 0
                 again = await system.pay(third, key, f'household-{lost + 1}')
                 rows.append((pair, pair[lost], again))
             executions = system.executions()
@@ -69,10 +69,10 @@
         self.assertEqual(dict.fromkeys(runs, 1), dict(runs))
         self.assertEqual(_KEYS, len(runs))
         for pair, loser, again in rows:
-            told = [call.kind_of_outcome for call in pair]
+            told = [call.outcome_type for call in pair]
             self.assertLessEqual(told.count('completed'), 1, pair)
             for call in (loser, again):
-                self.assertNotEqual('completed', call.kind_of_outcome, call)
+                self.assertNotEqual('completed', call.outcome_type, call)
             self.assertEqual('idempotency-key-reused', again.outcome['reason'])
 
 
@@ -123,5 +123,5 @@
         number += 1
         terms = {'claimant': f'household-{number % 97}'}
         call = await system.search(daemon, terms)
-        if call.kind_of_outcome not in ('answered', 'partial'):
+        if call.outcome_type not in ('answered', 'partial'):
             await asyncio.sleep(0.05)
--- a/tests/process/test_scenarios.py
+++ b/tests/process/test_scenarios.py
@@ -70,7 +70,7 @@
             answers = await _search_often(system, 40)
             executions = system.executions()
         self.assertEqual({'answered'}, {row['type'] for row in answers})
-        verdict = history.check_leaving(
+        verdict = history.check_draining_targets(
             executions, left_at_ms, _LEAVING_GRACE_MS
         )
         self.assertEqual((), verdict.violations)
@@ -143,9 +143,9 @@
                 await asyncio.sleep(0.05)
             executions = system.executions()
         self.assertEqual(0, system.processes['entry-1'].returncode)
-        self.assertEqual((), history.check_nothing_cut(calls).violations)
+        self.assertEqual((), history.check_all_answered(calls).violations)
         self.assert_runs_hold(calls, executions)
-        runs = [row for row in calls if row.kind_of_outcome == 'completed']
+        runs = [row for row in calls if row.outcome_type == 'completed']
         self.assertGreater(len(runs), 9)
 
     async def test_restart_with_nothing_kept_while_store_is_down(
@@ -279,7 +279,7 @@
     calls = []
     for _ in range(_TRIES):
         calls.append(await system.pay(daemon, system.new_key()))
-        if calls[-1].kind_of_outcome == 'completed':
+        if calls[-1].outcome_type == 'completed':
             break
         await asyncio.sleep(0.1)
     return calls
--- a/tests/process/test_shutdown.py
+++ b/tests/process/test_shutdown.py
@@ -43,13 +43,13 @@
             await asyncio.gather(*callers)
             executions = system.executions()
         for verdict in (
-            history.check_nothing_cut(calls),
+            history.check_all_answered(calls),
             history.check_at_most_once(calls, executions),
             history.check_coverage(calls, 'claims', systems.RECORD_LIMIT),
         ):
             self.assertEqual((), verdict.violations)
             self.assertGreater(verdict.judged, 100)
-        unknown = [c for c in calls if c.kind_of_outcome == 'unknown']
+        unknown = [c for c in calls if c.outcome_type == 'unknown']
         self.assertEqual([], unknown)
 
 
--- a/tests/process/test_stop_limit.py
+++ b/tests/process/test_stop_limit.py
@@ -62,7 +62,7 @@
         await self.system.build(2)
         # The content is known to harm no target: no shard is tried alone.
         call = await self.system.search(_DAEMON, _TERMS)
-        self.assertEqual('answered', call.kind_of_outcome)
+        self.assertEqual('answered', call.outcome_type)
         # A target gets its first work only when it has answered a probe.
         async with asyncio.timeout(_WAIT_S):
             while {row.target for row in self._executed('run')} != _DESKS:
@@ -119,7 +119,7 @@
         ended = await asyncio.gather(*calls)
         self.assertEqual([504, 504], [call.status for call in ended])
         self.assertEqual(
-            ['unknown', 'unknown'], [call.kind_of_outcome for call in ended]
+            ['unknown', 'unknown'], [call.outcome_type for call in ended]
         )
         await self._assert_ended()
         self.assertEqual(runs + 1, len(self._executed('run')))
@@ -143,7 +143,7 @@
         await asyncio.sleep(_POLL_S)
         await self._stop()
         call = await search
-        self.assertEqual((200, 'partial'), (call.status, call.kind_of_outcome))
+        self.assertEqual((200, 'partial'), (call.status, call.outcome_type))
         await self._assert_ended()
 
     async def test_request_without_a_claim_is_not_run(self) -> None:
@@ -156,7 +156,7 @@
         await asyncio.sleep(_POLL_S)
         await self._stop(2)
         call = await pay
-        self.assertEqual((503, 'not-run'), (call.status, call.kind_of_outcome))
+        self.assertEqual((503, 'not-run'), (call.status, call.outcome_type))
         await self._assert_ended()
         self.assertEqual(runs, len(self._executed('run')))
 
@@ -223,7 +223,7 @@
         self.assertIn(b'503 Service Unavailable', answer)
         self.assertIn(b'Connection: close', answer)
         self.assertIn(b'shutting-down', answer)
-        self.assertEqual('unknown', (await search).kind_of_outcome)
+        self.assertEqual('unknown', (await search).outcome_type)
         await self._assert_ended()
 
     async def test_two_daemons_stopped_at_once(self) -> None:
@@ -253,7 +253,7 @@
             key = call.idempotency_key
             if key and key not in begun:
                 truths.add((503, 'not-run'))
-            self.assertIn((call.status, call.kind_of_outcome), truths)
+            self.assertIn((call.status, call.outcome_type), truths)
         self.assertLessEqual(len(self._executed('run')), runs + 2)
 
 
--- a/tests/simulation_runs.py
+++ b/tests/simulation_runs.py
@@ -108,7 +108,7 @@
             )
 
 
-class RunnersCase(unittest.IsolatedAsyncioTestCase):
+class RunnerTestCase(unittest.IsolatedAsyncioTestCase):
     """Two daemons; what was recorded is judged at the end of each test."""
 
     def setUp(self) -> None:
@@ -132,7 +132,7 @@
         return outcome
 
 
-class Storm:
+class FaultSimulation:
     """A run of random calls and faults, then calm and last calls."""
 
     NAMES = ('entry-1', 'entry-2', 'entry-3')
--- a/tests/unit/test_history.py
+++ b/tests/unit/test_history.py
@@ -140,8 +140,8 @@
     def test_crossed_answer_is_seen(self) -> None:
         crossed = dataclasses.replace(_whole(), terms={'kebele': 'yeka'})
         self.assert_judges(
-            history.check_own_answer([_whole()]),
-            history.check_own_answer([crossed]),
+            history.check_matching_records([_whole()]),
+            history.check_matching_records([crossed]),
         )
 
     def test_reverted_and_late_revisions_are_seen(self) -> None:
@@ -167,8 +167,10 @@
 
     def test_work_at_a_left_target_is_seen(self) -> None:
         self.assert_judges(
-            history.check_leaving([_execution()], {'t1': 0.0}, 5_000.0),
-            history.check_leaving(
+            history.check_draining_targets(
+                [_execution()], {'t1': 0.0}, 5_000.0
+            ),
+            history.check_draining_targets(
                 [_execution(at_ms=6_000.0)], {'t1': 0.0}, 5_000.0
             ),
         )
@@ -176,6 +178,6 @@
     def test_cut_request_is_seen(self) -> None:
         cut = dataclasses.replace(_whole(), status=502, outcome=None)
         self.assert_judges(
-            history.check_nothing_cut([_whole()]),
-            history.check_nothing_cut([cut]),
+            history.check_all_answered([_whole()]),
+            history.check_all_answered([cut]),
         )
