--- a/samphiredock/state/_checks.py
+++ b/samphiredock/state/_checks.py
@@ -16,9 +16,9 @@
 REQUIRED = object()
 """Default of a field that must be stated."""
 
-_GOT_LIMIT = 80
-_NAME = re.compile(r'[A-Za-z0-9][A-Za-z0-9._-]{0,99}')
-_PORT_LIMIT = 65_535
+_SHOWN_LIMIT_CHARS = 80
+_NAME_PATTERN = re.compile(r'[A-Za-z0-9][A-Za-z0-9._-]{0,99}')
+_MAX_PORT = 65_535
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
     )
 
 
-def positive(high: float) -> Rule:
+def positive_number(high: float) -> Rule:
     """Return a rule for a number above 0 and at most ``high``."""
     return Rule(
         f'a number above 0 and at most {high}',
@@ -101,7 +101,7 @@
     )
 
 
-def flag() -> Rule:
+def boolean() -> Rule:
     """Return a rule for true or false."""
     return Rule('true or false', lambda value: isinstance(value, bool))
 
@@ -116,7 +116,9 @@
 
 def is_name(value: object) -> bool:
     """Whether a value can name a service, site, target and the like."""
-    return isinstance(value, str) and _NAME.fullmatch(value) is not None
+    return (
+        isinstance(value, str) and _NAME_PATTERN.fullmatch(value) is not None
+    )
 
 
 def name() -> Rule:
@@ -124,7 +126,7 @@
     return Rule('a name of letters, digits, ".", "_" and "-"', is_name)
 
 
-def names(least: int = 0) -> Rule:
+def unique_names(least: int = 0) -> Rule:
     """Return a rule for a list of different names."""
     return Rule(
         f'a list of {least} or more different names',
@@ -138,7 +140,7 @@
     )
 
 
-def texts_where(rule: Rule) -> Rule:
+def list_of(rule: Rule) -> Rule:
     """Return a rule for a list whose items all keep ``rule``."""
     return Rule(
         f'a list, each item {rule.expected}',
@@ -150,7 +152,7 @@
     )
 
 
-def mapping() -> Rule:
+def json_object() -> Rule:
     """Return a rule for an object."""
     return Rule('an object', lambda value: isinstance(value, dict))
 
@@ -161,7 +163,7 @@
     host, _, port = value.rpartition(':')
     if not port.isascii() or not port.isdigit():
         return False
-    if not 0 < int(port[:6]) <= _PORT_LIMIT:
+    if not 0 < int(port[:6]) <= _MAX_PORT:
         return False
     try:
         parsed = ipaddress.ip_address(host.removeprefix('[').removesuffix(']'))
@@ -209,15 +211,15 @@
     return Rule('an http:// or https:// URL without a query', _is_url)
 
 
-_BY_TYPE = {
+_RULES_BY_TYPE = {
     int: integer(0, 10**12),
     float: number(0.0, 1e12),
-    bool: flag(),
+    bool: boolean(),
     str: text(),
 }
 
 
-def rules_of(
+def rules_for(
     kind: type, special: Rules, without: frozenset[str] = frozenset()
 ) -> Rules:
     """Return the rules of a data class's fields, in its order.
@@ -235,14 +237,14 @@
     for field in dataclasses.fields(kind):
         if field.name in without:
             continue
-        rule = special.get(field.name) or _BY_TYPE[field.type]
+        rule = special.get(field.name) or _RULES_BY_TYPE[field.type]
         if field.default is not dataclasses.MISSING:
             rule = rule.optional(field.default)
         rules[field.name] = rule
     return rules
 
 
-class Report:
+class ProblemReport:
     """The mistakes found in one file."""
 
     def __init__(self, file: str) -> None:
@@ -251,13 +253,15 @@
 
     def add(self, path: str, got: object, expected: str) -> None:
         """Note one mistake."""
-        self.problems.append(Problem(self.file, path, shown(got), expected))
+        self.problems.append(
+            Problem(self.file, path, format_value(got), expected)
+        )
 
-    def note(self, path: str, got: str, expected: str) -> None:
+    def add_described(self, path: str, got: str, expected: str) -> None:
         """Note one mistake whose ``got`` is words, not a value."""
         self.problems.append(Problem(self.file, path, got, expected))
 
-    def row(
+    def read_object(
         self, path: str, raw: object, rules: Rules
     ) -> dict[str, typing.Any] | None:
         """Return an object's fields, or None if any is wrong."""
@@ -265,32 +269,34 @@
             self.add(path, raw, 'an object')
             return None
         before = len(self.problems)
-        self._unknown(path, raw, rules)
+        self._add_unknown_fields(path, raw, rules)
         values = {}
         for key, rule in rules.items():
             if key not in raw:
                 values[key] = rule.default
                 if rule.default is REQUIRED:
-                    self.note(join(path, key), 'nothing', rule.expected)
+                    self.add_described(
+                        join_path(path, key), 'nothing', rule.expected
+                    )
             elif rule.accepts(raw[key]):
                 values[key] = rule.convert(raw[key])
             else:
-                self.add(join(path, key), raw[key], rule.expected)
+                self.add(join_path(path, key), raw[key], rule.expected)
         return values if len(self.problems) == before else None
 
-    def _unknown(self, path: str, raw: dict, rules: Rules) -> None:
+    def _add_unknown_fields(self, path: str, raw: dict, rules: Rules) -> None:
         for key in raw:
             if key in rules:
                 continue
             near = difflib.get_close_matches(str(key), rules, 1)
             hint = f' (did you mean {near[0]!r}?)' if near else ''
-            self.note(
-                join(path, key),
+            self.add_described(
+                join_path(path, key),
                 f'an unknown field{hint}',
                 'one of ' + ', '.join(rules),
             )
 
-    def rows(
+    def read_objects(
         self, path: str, raw: object, rules: Rules
     ) -> dict[str, dict[str, typing.Any]]:
         """Return the sound objects of an object that maps names to them."""
@@ -300,24 +306,24 @@
         found = {}
         for key, value in raw.items():
             if not is_name(key):
-                self.add(join(path, key), key, name().expected)
+                self.add(join_path(path, key), key, name().expected)
                 continue
-            row = self.row(join(path, key), value, rules)
+            row = self.read_object(join_path(path, key), value, rules)
             if row is not None:
                 found[key] = row
         return found
 
 
-def join(path: str, key: object) -> str:
+def join_path(path: str, key: object) -> str:
     """Return the path of a field within an object."""
     return f'{path}.{key}' if path != '$' else str(key)
 
 
-def shown(value: object) -> str:
+def format_value(value: object) -> str:
     """Return a value as a mistake shows it, cut if it is long."""
     if isinstance(value, dict):
         return f'an object of {len(value)} fields'
     written = repr(value)
-    if len(written) > _GOT_LIMIT:
-        return written[:_GOT_LIMIT] + '...'
+    if len(written) > _SHOWN_LIMIT_CHARS:
+        return written[:_SHOWN_LIMIT_CHARS] + '...'
     return written
--- a/samphiredock/state/_compiler.py
+++ b/samphiredock/state/_compiler.py
@@ -13,7 +13,7 @@
 
 _ROUNDING = 1e-9
 
-_LIMITS = _checks.rules_of(
+_LIMITS = _checks.rules_for(
     _configuration.Limits,
     {
         'deadline_limit_ms': _checks.integer(1, 600_000, 'ms'),
@@ -40,7 +40,7 @@
     'deadline_ms': _checks.integer(1, 600_000, 'ms'),
     'request_class': _checks.choice(_configuration.REQUEST_CLASSES),
 }
-_SEARCH = _checks.rules_of(
+_SEARCH = _checks.rules_for(
     _configuration.Search,
     {
         **_REQUEST,
@@ -48,26 +48,26 @@
         'least_coverage': _checks.number(0.0, 1.0),
         'merge': _checks.choice([m.value for m in _configuration.MergeKind]),
         'limit': _checks.integer(1, 10_000, 'records'),
-        'fields': _checks.names(),
+        'fields': _checks.unique_names(),
     },
     without=frozenset(['name']),
 )
-_OPERATION = _checks.rules_of(
+_OPERATION = _checks.rules_for(
     _configuration.Operation,
-    {**_REQUEST, 'targets': _checks.names(least=1)},
+    {**_REQUEST, 'targets': _checks.unique_names(least=1)},
     without=frozenset(['name']),
 )
-_SERVICE = _checks.rules_of(
+_SERVICE = _checks.rules_for(
     _configuration.Service,
     {
-        'searches': _checks.mapping().optional({}),
-        'operations': _checks.mapping().optional({}),
-        'weight': _checks.positive(1e6).optional(1.0),
+        'searches': _checks.json_object().optional({}),
+        'operations': _checks.json_object().optional({}),
+        'weight': _checks.positive_number(1e6).optional(1.0),
         'max_in_flight': _checks.integer(1, 1_000_000).optional(1_000),
     },
     without=frozenset(['name']),
 )
-_SITE = _checks.rules_of(
+_SITE = _checks.rules_for(
     _configuration.Site,
     {
         'region': _checks.name(),
@@ -76,7 +76,7 @@
     },
     without=frozenset(['name', 'service_caps']),
 )
-_TARGET = _checks.rules_of(
+_TARGET = _checks.rules_for(
     _configuration.Target,
     {
         'site': _checks.name(),
@@ -88,11 +88,11 @@
     without=frozenset(['name']),
 )
 _BASE = {
-    'services': _checks.mapping(),
-    'sites': _checks.mapping(),
-    'indexes': _checks.names(),
-    'targets': _checks.mapping(),
-    'limits': _checks.mapping().optional({}),
+    'services': _checks.json_object(),
+    'sites': _checks.json_object(),
+    'indexes': _checks.unique_names(),
+    'targets': _checks.json_object(),
+    'limits': _checks.json_object().optional({}),
 }
 
 
@@ -134,11 +134,11 @@
         What the mistakes call the files; the overlays' by site.
     """
     files = overlay_files or {}
-    report = _checks.Report(base_file)
+    report = _checks.ProblemReport(base_file)
     parts = _Parts(report, source.base)
     problems = list(report.problems)
     for site, raw in source.overlays.items():
-        overlay = _checks.Report(files.get(site, f'overlay {site}'))
+        overlay = _checks.ProblemReport(files.get(site, f'overlay {site}'))
         # A site that is wrong in the base has its mistake already.
         if parts.is_named('sites', site) and site not in parts.sites:
             continue
@@ -155,7 +155,7 @@
 class _Parts:
     """The rows of a base file, checked one by one and then together."""
 
-    def __init__(self, report: _checks.Report, base: object) -> None:
+    def __init__(self, report: _checks.ProblemReport, base: object) -> None:
         self._report = report
         self.limits = _configuration.Limits()
         self.services: dict[str, _configuration.Service] = {}
@@ -165,7 +165,7 @@
         self._base = base if isinstance(base, dict) else {}
         # Parts that are sound are read even if others are not, so that
         # one run shows all mistakes.
-        top = report.row('$', base, _BASE)
+        top = report.read_object('$', base, _BASE)
         if top is not None:
             self._indexes = top['indexes']
         if not isinstance(base, dict):
@@ -204,12 +204,14 @@
         return part if isinstance(part, dict) else {}
 
     def _read_limits(self) -> None:
-        row = self._report.row('limits', self._part('limits'), _LIMITS)
+        row = self._report.read_object('limits', self._part('limits'), _LIMITS)
         if row is not None:
             self.limits = _configuration.Limits(**row)
 
     def _read_sites(self) -> None:
-        self.sites = self._report.rows('sites', self._part('sites'), _SITE)
+        self.sites = self._report.read_objects(
+            'sites', self._part('sites'), _SITE
+        )
         for name, row in self.sites.items():
             row['service_caps'] = {}
             if row['share'] > row['share_cap']:
@@ -220,13 +222,13 @@
                 )
         total = sum(row['share'] for row in self.sites.values())
         if total > 1.0 + _ROUNDING:
-            self._report.note(
+            self._report.add_described(
                 'sites', f'shares that sum to {total:g}', 'a sum of at most 1'
             )
 
     def _read_targets(self) -> None:
         raw = self._part('targets')
-        self.targets = self._report.rows('targets', raw, _TARGET)
+        self.targets = self._report.read_objects('targets', raw, _TARGET)
         for name, row in self.targets.items():
             self._known(
                 f'targets.{name}.site', row['site'], self._part('sites')
@@ -241,17 +243,19 @@
 
     def _read_services(self) -> None:
         raw = self._part('services')
-        for name, row in self._report.rows('services', raw, _SERVICE).items():
+        for name, row in self._report.read_objects(
+            'services', raw, _SERVICE
+        ).items():
             path = f'services.{name}'
             searches = {
                 key: self._search(f'{path}.searches.{key}', key, each)
-                for key, each in self._report.rows(
+                for key, each in self._report.read_objects(
                     f'{path}.searches', row.pop('searches'), _SEARCH
                 ).items()
             }
             operations = {
                 key: self._operation(f'{path}.operations.{key}', key, each)
-                for key, each in self._report.rows(
+                for key, each in self._report.read_objects(
                     f'{path}.operations', row.pop('operations'), _OPERATION
                 ).items()
             }
--- a/samphiredock/state/_entry_settings.py
+++ b/samphiredock/state/_entry_settings.py
@@ -63,7 +63,7 @@
     other_site_factor: float = 3.0
 
 
-_SETTINGS = _checks.rules_of(
+_SETTINGS = _checks.rules_for(
     EntrySettings,
     {
         'name': _checks.name(),
@@ -72,8 +72,8 @@
         'ready_address': _checks.address(),
         'platform_address': _checks.address(),
         'peer_address': _checks.address(),
-        'cores': _checks.positive(10_000.0),
-        'core_share': _checks.positive(1.0),
+        'cores': _checks.positive_number(10_000.0),
+        'core_share': _checks.positive_number(1.0),
         'coordinators_per_site': _checks.integer(1, 10_000),
         'metrics_address': _checks.address(),
         'log_level': _checks.choice(logs.LEVELS),
@@ -98,8 +98,8 @@
     read = _files.read_file(path)
     if isinstance(read, result.Failure):
         return result.Failure((read.failure(),))
-    report = _checks.Report(str(path))
-    row = report.row('$', read.unwrap(), _SETTINGS)
+    report = _checks.ProblemReport(str(path))
+    row = report.read_object('$', read.unwrap(), _SETTINGS)
     if report.problems or row is None:
         return result.Failure(tuple(report.problems))
     return result.Success(EntrySettings(**row))
--- a/samphiredock/state/_keys.py
+++ b/samphiredock/state/_keys.py
@@ -62,20 +62,20 @@
 )
 _KEYS = {
     'operator_token': _TOKEN.optional(),
-    'curve': _checks.mapping().optional(),
-    'admitted': _checks.mapping().optional({}),
+    'curve': _checks.json_object().optional(),
+    'admitted': _checks.json_object().optional({}),
 }
 _PAIR = {'public': _CURVE_KEY, 'secret': _CURVE_KEY}
 
 
-class _SecretReport(_checks.Report):
+class _SecretReport(_checks.ProblemReport):
     """A report that never shows a value: it may be a secret."""
 
     def add(self, path: str, got: object, expected: str) -> None:
         """Note one mistake by the value's type."""
         kind = type(got).__name__
         size = f' of length {len(got)}' if isinstance(got, str) else ''
-        self.note(path, f'a {kind}{size}', expected)
+        self.add_described(path, f'a {kind}{size}', expected)
 
 
 def load_keys(
@@ -93,9 +93,11 @@
         return result.Failure((read.failure(),))
     mode = stat.S_IMODE(path.stat().st_mode)
     if mode & _READ_BY_OTHERS:
-        report.note('$', f'mode {mode:o}', 'no access for others (chmod 600)')
+        report.add_described(
+            '$', f'mode {mode:o}', 'no access for others (chmod 600)'
+        )
     raw = read.unwrap()
-    row = report.row('$', raw, _KEYS)
+    row = report.read_object('$', raw, _KEYS)
     stated = raw if isinstance(raw, dict) else {}
     curve = _read_pair(report, stated.get('curve'))
     admitted = stated.get('admitted')
@@ -108,18 +110,20 @@
     )
 
 
-def _read_pair(report: _checks.Report, raw: object) -> CurvePair | None:
+def _read_pair(report: _checks.ProblemReport, raw: object) -> CurvePair | None:
     if not isinstance(raw, dict):
         return None
-    pair = report.row('curve', raw, _PAIR)
+    pair = report.read_object('curve', raw, _PAIR)
     return CurvePair(**pair) if pair else None
 
 
 def _check_admitted(
-    report: _checks.Report, admitted: dict, has_pair: bool
+    report: _checks.ProblemReport, admitted: dict, has_pair: bool
 ) -> None:
     for name, key in admitted.items():
         if not _is_curve_key(key):
             report.add(f'admitted.{name}', key, _CURVE_KEY.expected)
     if admitted and not has_pair:
-        report.note('curve', 'nothing', 'a key pair, as keys are admitted')
+        report.add_described(
+            'curve', 'nothing', 'a key pair, as keys are admitted'
+        )
--- a/samphiredock/state/_overlay.py
+++ b/samphiredock/state/_overlay.py
@@ -17,8 +17,8 @@
 }
 _OVERLAY = {
     'share_cap': _checks.number(0.0, 1.0).optional(),
-    'services': _checks.mapping().optional({}),
-    'targets': _checks.mapping().optional({}),
+    'services': _checks.json_object().optional({}),
+    'targets': _checks.json_object().optional({}),
 }
 _COMMON = {
     'limits': 'limits in the base file only: they are common to all sites',
@@ -42,14 +42,14 @@
 
 
 def apply_overlay(
-    report: _checks.Report, site: str, raw: object, base: Base
+    report: _checks.ProblemReport, site: str, raw: object, base: Base
 ) -> None:
     """Change the rows of ``base`` by one overlay.
 
     Mistakes go to ``report``; a row is changed only by a sound value.
     """
     if site not in base.sites:
-        report.note(
+        report.add_described(
             '$',
             f'an overlay for site {site!r}',
             'a site of the base: ' + ', '.join(base.sites),
@@ -58,9 +58,9 @@
     if isinstance(raw, dict):
         for key in raw:
             if key in _COMMON:
-                report.note(key, 'a common field', _COMMON[key])
+                report.add_described(key, 'a common field', _COMMON[key])
         raw = {key: raw[key] for key in raw if key not in _COMMON}
-    row = report.row('$', raw, _OVERLAY)
+    row = report.read_object('$', raw, _OVERLAY)
     if row is None:
         return
     _lower_share_cap(report, base.sites[site], row['share_cap'])
@@ -69,7 +69,9 @@
 
 
 def _lower_share_cap(
-    report: _checks.Report, site: dict[str, typing.Any], share_cap: float
+    report: _checks.ProblemReport,
+    site: dict[str, typing.Any],
+    share_cap: float,
 ) -> None:
     if share_cap is None:
         return
@@ -87,15 +89,17 @@
 
 
 def _apply_services(
-    report: _checks.Report,
+    report: _checks.ProblemReport,
     base: Base,
     site: dict[str, typing.Any],
     raw: dict,
 ) -> None:
-    for name, row in report.rows('services', raw, _SERVICE).items():
+    for name, row in report.read_objects('services', raw, _SERVICE).items():
         path = f'services.{name}'
         if not base.is_named('services', name):
-            report.note(path, f'service {name!r}', 'a service of the base')
+            report.add_described(
+                path, f'service {name!r}', 'a service of the base'
+            )
         elif row['cap'] > site['share_cap']:
             report.add(
                 f'{path}.cap', row['cap'], _common_limit(site['share_cap'])
@@ -105,17 +109,19 @@
 
 
 def _apply_targets(
-    report: _checks.Report, base: Base, site: str, raw: dict
+    report: _checks.ProblemReport, base: Base, site: str, raw: dict
 ) -> None:
-    for name, row in report.rows('targets', raw, _TARGET).items():
+    for name, row in report.read_objects('targets', raw, _TARGET).items():
         path = f'targets.{name}'
         target = base.targets.get(name)
         if not base.is_named('targets', name):
-            report.note(path, f'target {name!r}', 'a target of the base')
+            report.add_described(
+                path, f'target {name!r}', 'a target of the base'
+            )
         elif target is None:
             continue
         elif target['site'] != site:
-            report.note(
+            report.add_described(
                 path,
                 f'a target of site {target["site"]!r}',
                 f'a target of this site {site!r}',
@@ -125,7 +131,7 @@
 
 
 def _change_target(
-    report: _checks.Report,
+    report: _checks.ProblemReport,
     path: str,
     target: dict[str, typing.Any],
     row: dict[str, typing.Any],
--- a/samphiredock/state/_settings.py
+++ b/samphiredock/state/_settings.py
@@ -48,7 +48,7 @@
     shutdown_limit_ms: int = 30_000
 
 
-_SETTINGS = _checks.rules_of(
+_SETTINGS = _checks.rules_for(
     Settings,
     {
         'name': _checks.name(),
@@ -59,14 +59,14 @@
         'peer_address': _checks.peer_address(),
         'platform_url': _checks.url(),
         'keys_file': _checks.text(),
-        'tls': _checks.mapping(),
-        'peers': _checks.texts_where(_checks.peer_address()),
+        'tls': _checks.json_object(),
+        'peers': _checks.list_of(_checks.peer_address()),
         'log_level': _checks.choice(logs.LEVELS),
         'balancer_lag_ms': _checks.integer(0, 600_000, 'ms'),
         'shutdown_limit_ms': _checks.integer(0, _DAY_MS, 'ms'),
     },
 )
-_TLS = _checks.rules_of(TlsSettings, {})
+_TLS = _checks.rules_for(TlsSettings, {})
 
 
 def load_settings(
@@ -77,8 +77,8 @@
     if isinstance(read, result.Failure):
         return result.Failure((read.failure(),))
     raw = read.unwrap()
-    report = _checks.Report(str(path))
-    row = report.row('$', raw, _SETTINGS)
+    report = _checks.ProblemReport(str(path))
+    row = report.read_object('$', raw, _SETTINGS)
     # Other mistakes do not hide those in the files that are named.
     stated = raw if isinstance(raw, dict) else {}
     tls = _read_tls(report, path.parent, stated.get('tls'))
@@ -92,7 +92,7 @@
 
 
 def _read_keys(
-    report: _checks.Report, folder: pathlib.Path, name: object
+    report: _checks.ProblemReport, folder: pathlib.Path, name: object
 ) -> str | None:
     if not isinstance(name, str):
         return None
@@ -104,11 +104,11 @@
 
 
 def _read_tls(
-    report: _checks.Report, folder: pathlib.Path, raw: object
+    report: _checks.ProblemReport, folder: pathlib.Path, raw: object
 ) -> TlsSettings | None:
     if not isinstance(raw, dict):
         return None
-    row = report.row('tls', raw, _TLS)
+    row = report.read_object('tls', raw, _TLS)
     if row is None:
         return None
     tls = TlsSettings(*(str(folder / name) for name in row.values()))
@@ -116,14 +116,14 @@
         context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
         context.load_cert_chain(tls.certificate_file, tls.key_file)
     except (OSError, ValueError) as error:
-        report.note(
+        report.add_described(
             'tls', str(error), 'a readable PEM certificate and its key'
         )
     return tls
 
 
 def _check_distinct(
-    report: _checks.Report, raw: dict[str, typing.Any]
+    report: _checks.ProblemReport, raw: dict[str, typing.Any]
 ) -> None:
     seen: dict[str, str] = {}
     for key in ('caller_address', 'operator_address', 'peer_address'):
