--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -37,7 +37,7 @@
 
     async def one(number: int, book: _claim_book.ClaimBook) -> None:
         token = f'entry-{number % daemons}/1700000000000/{number}'
-        place = state.place_of('payout', f'key-{number}')
+        place = state.locate_claim('payout', f'key-{number}')
         content = state.content_digest('release', {'n': str(number)})
         started_ms = clock.now_ms()
         wanted = state.Claim(
@@ -46,8 +46,8 @@
         opened = await book.open(place, wanted, started_ms + 2_000)
         waits_ms.append(clock.now_ms() - started_ms)
         granted.append(
-            isinstance(opened.opened, state.Opened)
-            and opened.opened.verdict is state.Verdict.GRANTED
+            isinstance(opened.opened, state.OpenDecision)
+            and opened.opened.status is state.OpenStatus.GRANTED
         )
         await _pause.pause(clock, randomness.uniform(5, 50))
         await book.close(place, state.done_claim(wanted, True, _RECEIPT))
@@ -93,7 +93,7 @@
     """Print medians over the seeds, one line for each setting."""
     for rate in rates:
         for count in buckets:
-            _claims.BUCKETS = count
+            _claims.BUCKET_COUNT = count
             rows = [
                 asyncio.run(_measure(daemons, rate, seconds, seed))
                 for seed in range(seeds)
--- a/samphiredock/cli/_config.py
+++ b/samphiredock/cli/_config.py
@@ -242,7 +242,7 @@
 
 
 def _read(path: pathlib.Path, problems: list[state.Problem]) -> typing.Any:
-    read = state.read_file(path)
+    read = state.read_json5(path)
     if isinstance(read, result.Failure):
         problems.append(read.failure())
         return {}
--- a/samphiredock/coordination/forwarding/_flight_sender.py
+++ b/samphiredock/coordination/forwarding/_flight_sender.py
@@ -218,7 +218,7 @@
             flight.parts.add(
                 item.shard_id, reply.receipt or '', reply.reply.body
             )
-        elif reply is not None and reply.may_be_passed:
+        elif reply is not None and reply.is_forwardable:
             flight.failure = reply
         self._ended(flight, item, asked.status, asked.detail)
         await self._asker.look_for_crash(request, item.target, asked)
--- a/samphiredock/coordination/forwarding/_live_targets.py
+++ b/samphiredock/coordination/forwarding/_live_targets.py
@@ -127,7 +127,10 @@
         """
         for target in changed:
             before = self._targets.get(target.target_id)
-            if before is not None and before.born_ms != target.born_ms:
+            if (
+                before is not None
+                and before.started_at_ms != target.started_at_ms
+            ):
                 self._drop(target.target_id, 'started again')
 
     def _turned(self, target: state.LiveTarget) -> bool:
--- a/samphiredock/coordination/forwarding/_orders.py
+++ b/samphiredock/coordination/forwarding/_orders.py
@@ -95,7 +95,7 @@
                 # Later parts may be cut by what could not be read.
                 return
             first_ms = min(first_ms, self._clock.now_ms())
-            read = protocol.read_report(chunk)
+            read = protocol.decode_report(chunk)
             if isinstance(read, result.Failure):
                 broken = True
                 _log.error('report', daemon=merger, why=read.failure())
@@ -163,5 +163,5 @@
         'POST',
         ORDER_PATH,
         (('Host', 'samphiredock'),),
-        protocol.encode_merging(order),
+        protocol.encode_merge_message(order),
     )
--- a/samphiredock/coordination/once/_claim_book.py
+++ b/samphiredock/coordination/once/_claim_book.py
@@ -21,7 +21,7 @@
     that the claim may be in the store, now or when a put arrives late.
     """
 
-    opened: state.Opened | _claim_bucket.Unavailable | None
+    opened: state.OpenDecision | _claim_bucket.Unavailable | None
     may_be_stored: bool
 
 
@@ -51,7 +51,7 @@
 
     async def open(
         self,
-        place: state.Place,
+        place: state.ClaimLocation,
         wanted: state.Claim,
         deadline_at_ms: float,
         replaces: str | None = None,
@@ -88,7 +88,7 @@
         return OpenResult(opened, granted or change.offered)
 
     def close(
-        self, place: state.Place, final: state.Claim
+        self, place: state.ClaimLocation, final: state.Claim
     ) -> asyncio.Future[bool]:
         """Record the end of a claim, trying until it is recorded.
 
@@ -151,9 +151,9 @@
 
 
 def _is_granted(
-    opened: state.Opened | _claim_bucket.Unavailable | None,
+    opened: state.OpenDecision | _claim_bucket.Unavailable | None,
 ) -> bool:
     return (
-        isinstance(opened, state.Opened)
-        and opened.verdict is state.Verdict.GRANTED
+        isinstance(opened, state.OpenDecision)
+        and opened.status is state.OpenStatus.GRANTED
     )
--- a/samphiredock/coordination/once/_claim_bucket.py
+++ b/samphiredock/coordination/once/_claim_bucket.py
@@ -202,7 +202,7 @@
 
     def _apply(
         self, bucket: state.Bucket, change: Change
-    ) -> state.Opened | bool:
+    ) -> state.OpenDecision | bool:
         if isinstance(change, CloseChange):
             return bucket.close(change.digest, change.final)
         return bucket.open(change.digest, change.wanted, change.replaces)
--- a/samphiredock/coordination/once/_run_admission.py
+++ b/samphiredock/coordination/once/_run_admission.py
@@ -19,7 +19,7 @@
     request: protocol.RunRequest
     key: str
     operation: state.Operation
-    place: state.Place
+    place: state.ClaimLocation
     content: str
     fingerprint: str
     retention_ms: int
@@ -46,7 +46,7 @@
     problem = _problem_with(request, key, limits)
     if problem is not None:
         return problem
-    retention_ms = min(limits.key_retention_ms, state.RETENTION_LIMIT_MS)
+    retention_ms = min(limits.key_retention_ms, state.KEY_RETENTION_LIMIT_MS)
     stale = stale_key(request, retention_ms, wall_ms)
     if stale is not None:
         return stale
@@ -59,7 +59,7 @@
         request,
         key,
         operation,
-        state.place_of(request.service, key),
+        state.locate_claim(request.service, key),
         state.content_digest(request.operation, request.body),
         _planner.fingerprint_of(
             request.service, request.operation, request.body
--- a/samphiredock/coordination/once/_run_claiming.py
+++ b/samphiredock/coordination/once/_run_claiming.py
@@ -47,9 +47,9 @@
             )
             run.may_be_stored |= ended.may_be_stored
             opened = ended.opened
-            if not isinstance(opened, state.Opened):
+            if not isinstance(opened, state.OpenDecision):
                 return self._unclaimed(run, opened)
-            if opened.verdict is state.Verdict.GRANTED:
+            if opened.status is state.OpenStatus.GRANTED:
                 run.step('grant')
                 return None
             ended_here = self._ended_by(run, opened)
@@ -74,10 +74,10 @@
                 run.step('retake')
 
     def _ended_by(
-        self, run: _run_request.Run, opened: state.Opened
+        self, run: _run_request.Run, opened: state.OpenDecision
     ) -> protocol.RunOutcome | None:
         """Return the outcome that the bucket gives, None if it is open."""
-        if opened.verdict is state.Verdict.FULL:
+        if opened.status is state.OpenStatus.FULL:
             return self._endings.not_run(
                 run,
                 protocol.NotRunReason.OVERLOADED,
@@ -85,7 +85,7 @@
                 'attempt was not run',
                 _run_request.RETRY_AFTER_MS,
             )
-        if opened.verdict is state.Verdict.KEY_REUSED:
+        if opened.status is state.OpenStatus.KEY_REUSED:
             return self._reused(run)
         assert opened.claim is not None
         if opened.claim.state is state.ClaimState.DONE:
--- a/samphiredock/coordination/once/_run_request.py
+++ b/samphiredock/coordination/once/_run_request.py
@@ -194,7 +194,7 @@
             state.not_run_claim(open_claim(token, admitted)),
         )
 
-    def _close(self, place: state.Place, final: state.Claim) -> None:
+    def _close(self, place: state.ClaimLocation, final: state.Claim) -> None:
         recorded = self._book.close(place, final)
         recorded.add_done_callback(lambda _: self._holders.forget(final.token))
 
--- a/samphiredock/daemon/_entry_service.py
+++ b/samphiredock/daemon/_entry_service.py
@@ -316,7 +316,7 @@
         """Begin to carry out an order, or refuse what cannot be read."""
         if self._has_given_up:
             return protocol.HttpReply(503, body=b'this daemon is stopping')
-        read = protocol.read_order(body)
+        read = protocol.decode_order(body)
         if isinstance(read, result.Failure):
             self._metrics.add('orders_unreadable')
             _log.error('order refused', why=read.failure())
@@ -336,7 +336,7 @@
                 self._merger.reports(order)
             ) as reports:
                 async for report in reports:
-                    yield protocol.encode_merging(report)
+                    yield protocol.encode_merge_message(report)
         finally:
             self._open_requests -= 1
 
--- a/samphiredock/protocol/__init__.py
+++ b/samphiredock/protocol/__init__.py
@@ -62,11 +62,11 @@
             'MergeReport',
             'MergedItem',
             'OrderedItem',
-            'encode_merging',
-            'read_order',
-            'read_report',
+            'encode_merge_message',
+            'decode_order',
+            'decode_report',
         ),
-        '_operations': (
+        '_operator_changes': (
             'ChangeAccepted',
             'ChangeConflict',
             'ChangeInvalid',
--- a/samphiredock/protocol/_forwarding.py
+++ b/samphiredock/protocol/_forwarding.py
@@ -76,7 +76,7 @@
     """What a target's answer means.
 
     ``receipt`` proves that the target ran this request; only an answer
-    with status ``ANSWERED`` may be merged.  ``may_be_passed`` says that a
+    with status ``ANSWERED`` may be merged.  ``is_forwardable`` says that a
     failure may be shown to the caller as it is: its status promises
     nothing that is not known.
     """
@@ -85,7 +85,7 @@
     reply: HttpReply
     receipt: str | None = None
     detail: str = ''
-    may_be_passed: bool = False
+    is_forwardable: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/samphiredock/protocol/_merge_orders.py
+++ b/samphiredock/protocol/_merge_orders.py
@@ -103,12 +103,12 @@
 _report_decoder = msgspec.msgpack.Decoder(MergeReport)
 
 
-def encode_merging(message: MergeOrder | MergeReport) -> bytes:
+def encode_merge_message(message: MergeOrder | MergeReport) -> bytes:
     """Return an order or a report as it travels."""
     return _encoder.encode(message)
 
 
-def read_order(body: bytes) -> result.Result[MergeOrder, str]:
+def decode_order(body: bytes) -> result.Result[MergeOrder, str]:
     """Return an order, or what is wrong with it."""
     try:
         order = _order_decoder.decode(body)
@@ -135,7 +135,7 @@
     return result.Success(order)
 
 
-def read_report(chunk: bytes) -> result.Result[MergeReport, str]:
+def decode_report(chunk: bytes) -> result.Result[MergeReport, str]:
     """Return a report, or what is wrong with it."""
     try:
         return result.Success(_report_decoder.decode(chunk))
--- a/samphiredock/protocol/_quarantine.py
+++ b/samphiredock/protocol/_quarantine.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from samphiredock.protocol import _operations
+from samphiredock.protocol import _operator_changes
 
 
 class SuspectNotice(msgspec.Struct, frozen=True):
@@ -21,7 +21,7 @@
 class QuarantineNotice(msgspec.Struct, frozen=True):
     """This content is refused everywhere until ``entry.until_ms``."""
 
-    entry: _operations.QuarantineEntry
+    entry: _operator_changes.QuarantineEntry
 
 
 class ClearedNotice(msgspec.Struct, frozen=True):
@@ -38,5 +38,5 @@
 class StoredQuarantine(msgspec.Struct, frozen=True):
     """The object below ``quarantine/``; a released one stays as a mark."""
 
-    entry: _operations.QuarantineEntry
+    entry: _operator_changes.QuarantineEntry
     released: bool = False
--- a/samphiredock/state/_claims.py
+++ b/samphiredock/state/_claims.py
@@ -11,13 +11,13 @@
 import msgspec
 
 CLAIMS_PREFIX = 'claims/'
-BUCKETS = 2**18
+BUCKET_COUNT = 2**18
 """Why this number: docs/design/claims.md, section 3."""
 
-RETENTION_LIMIT_MS = 24 * 3_600_000
+KEY_RETENTION_LIMIT_MS = 24 * 3_600_000
 """No key is older than this; ``key_retention_ms`` may not exceed it."""
 
-KEEP_MS = RETENTION_LIMIT_MS + 3_600_000
+CLAIM_RETENTION_MS = KEY_RETENTION_LIMIT_MS + 3_600_000
 """A claim is dropped when it is older, never by a setting, so that a
 change of the setting cannot make a key acceptable whose claim is gone.  The
 hour is much more than clocks differ and than the longest deadline."""
@@ -55,14 +55,14 @@
     result_dropped: bool = False
 
 
-class Place(msgspec.Struct, frozen=True):
+class ClaimLocation(msgspec.Struct, frozen=True):
     """Where a key's claim lives: the bucket object and the entry in it."""
 
     path: str
     digest: str
 
 
-class Verdict(enum.Enum):
+class OpenStatus(enum.Enum):
     """What became of an attempt to open a claim."""
 
     GRANTED = 'granted'
@@ -71,10 +71,10 @@
     FULL = 'full'
 
 
-class Opened(msgspec.Struct, frozen=True):
+class OpenDecision(msgspec.Struct, frozen=True):
     """The verdict and, for ``MET``, the claim that is in the way."""
 
-    verdict: Verdict
+    status: OpenStatus
     claim: Claim | None = None
 
 
@@ -105,10 +105,12 @@
         self.claims = {
             digest: claim
             for digest, claim in self.claims.items()
-            if wall_ms - claim.since_ms <= KEEP_MS
+            if wall_ms - claim.since_ms <= CLAIM_RETENTION_MS
         }
 
-    def open(self, digest: str, wanted: Claim, replaces: str | None) -> Opened:
+    def open(
+        self, digest: str, wanted: Claim, replaces: str | None
+    ) -> OpenDecision:
         """Write an open claim unless another's is in the way.
 
         ``replaces`` is the token of an open claim whose holder has said
@@ -120,14 +122,14 @@
         if held is None:
             return self._add(digest, wanted)
         if held.token == wanted.token and held.state is ClaimState.OPEN:
-            return Opened(Verdict.GRANTED)
+            return OpenDecision(OpenStatus.GRANTED)
         if held.content != wanted.content:
-            return Opened(Verdict.KEY_REUSED, held)
+            return OpenDecision(OpenStatus.KEY_REUSED, held)
         given_up = held.state is ClaimState.OPEN and held.token == replaces
         if held.state is ClaimState.NOT_RUN or given_up:
             self._set(digest, wanted)
-            return Opened(Verdict.GRANTED)
-        return Opened(Verdict.MET, held)
+            return OpenDecision(OpenStatus.GRANTED)
+        return OpenDecision(OpenStatus.MET, held)
 
     def close(self, digest: str, final: Claim) -> bool:
         """Write the end of a claim; False if it is another's by now.
@@ -147,15 +149,15 @@
         """Return the object's value."""
         return msgspec.json.encode(_Stored(_FORMAT, self.claims))
 
-    def _add(self, digest: str, wanted: Claim) -> Opened:
+    def _add(self, digest: str, wanted: Claim) -> OpenDecision:
         open_claims = sum(
             claim.state is ClaimState.OPEN for claim in self.claims.values()
         )
         reserved_bytes = (open_claims + 1) * OUTCOME_LIMIT_BYTES
         if self._size_bytes + reserved_bytes > FULL_BYTES:
-            return Opened(Verdict.FULL)
+            return OpenDecision(OpenStatus.FULL)
         self._set(digest, wanted)
-        return Opened(Verdict.GRANTED)
+        return OpenDecision(OpenStatus.GRANTED)
 
     def _set(self, digest: str, claim: Claim) -> None:
         self.claims[digest] = claim
@@ -179,14 +181,16 @@
     return Bucket(stored.claims, len(value))
 
 
-def place_of(service: str, key: str) -> Place:
+def locate_claim(service: str, key: str) -> ClaimLocation:
     """Return where the claim of a service's idempotency key lives.
 
     The key alone decides: a caller that retries with the same key and a
     new issue time must meet the claim of its first try.
     """
     digest = _digest([service, key])
-    return Place(f'{CLAIMS_PREFIX}{int(digest, 16) % BUCKETS:05x}', digest)
+    return ClaimLocation(
+        f'{CLAIMS_PREFIX}{int(digest, 16) % BUCKET_COUNT:05x}', digest
+    )
 
 
 def content_digest(operation: str, body: typing.Mapping[str, str]) -> str:
--- a/samphiredock/state/_compiler.py
+++ b/samphiredock/state/_compiler.py
@@ -23,7 +23,7 @@
         # accepted without its claim could run its request twice.
         'key_retention_ms': _checks.integer(
             60_000,
-            _claims.RETENTION_LIMIT_MS,
+            _claims.KEY_RETENTION_LIMIT_MS,
             'ms; claims are kept no longer',
         ),
         'queue_per_target': _checks.integer(1, 100_000),
--- a/samphiredock/state/_entry_settings.py
+++ b/samphiredock/state/_entry_settings.py
@@ -10,7 +10,7 @@
 
 from samphiredock import logs
 from samphiredock.state import _checks
-from samphiredock.state import _files
+from samphiredock.state import _json5
 
 _LONGEST_S = 3_600
 
@@ -95,7 +95,7 @@
     path: pathlib.Path,
 ) -> result.Result[EntrySettings, tuple[_checks.Problem, ...]]:
     """Read and check a settings file; every mistake is reported."""
-    read = _files.read_file(path)
+    read = _json5.read_json5(path)
     if isinstance(read, result.Failure):
         return result.Failure((read.failure(),))
     report = _checks.ProblemReport(str(path))
--- a/samphiredock/state/_files.py
+++ b/samphiredock/state/_json5.py
@@ -11,7 +11,7 @@
 _SIZE_LIMIT_BYTES = 10_000_000
 
 
-def read_file(
+def read_json5(
     path: pathlib.Path,
 ) -> result.Result[typing.Any, _checks.Problem]:
     """Return the value that a file of JSON with comments holds."""
--- a/samphiredock/state/_keys.py
+++ b/samphiredock/state/_keys.py
@@ -8,7 +8,7 @@
 from returns import result
 
 from samphiredock.state import _checks
-from samphiredock.state import _files
+from samphiredock.state import _json5
 
 TOKEN_LEAST_LENGTH = 16
 
@@ -88,7 +88,7 @@
     a log would be seen too late.
     """
     report = _SecretReport(str(path))
-    read = _files.read_file(path)
+    read = _json5.read_json5(path)
     if isinstance(read, result.Failure):
         return result.Failure((read.failure(),))
     mode = stat.S_IMODE(path.stat().st_mode)
--- a/samphiredock/state/_routes.py
+++ b/samphiredock/state/_routes.py
@@ -82,8 +82,8 @@
     """One running target, as it has registered itself.
 
     ``address`` is ``IP:port`` and may have belonged to another target
-    before.  ``leaving`` asks for no new work, ``warming_ms`` is how much
-    longer it is slow after its start.  ``born_ms`` is when it started, in ms
+    before.  ``leaving`` asks for no new work, ``warmup_left_ms`` is how much
+    longer it is slow after its start.  ``started_at_ms`` is when it started, in ms
     since the epoch and by its own clock, 0 if it does not say: with another
     one under the same id, it holds and knows nothing of before.
     """
@@ -94,5 +94,5 @@
     site: str
     slots: int
     leaving: bool = False
-    warming_ms: float = 0.0
-    born_ms: int = 0
+    warmup_left_ms: float = 0.0
+    started_at_ms: int = 0
--- a/samphiredock/state/_settings.py
+++ b/samphiredock/state/_settings.py
@@ -9,7 +9,7 @@
 
 from samphiredock import logs
 from samphiredock.state import _checks
-from samphiredock.state import _files
+from samphiredock.state import _json5
 from samphiredock.state import _keys
 
 _DAY_MS = 86_400_000
@@ -73,7 +73,7 @@
     path: pathlib.Path,
 ) -> result.Result[Settings, tuple[_checks.Problem, ...]]:
     """Read and check a settings file and the files that it names."""
-    read = _files.read_file(path)
+    read = _json5.read_json5(path)
     if isinstance(read, result.Failure):
         return result.Failure((read.failure(),))
     raw = read.unwrap()
--- a/standins/memory_links.py
+++ b/standins/memory_links.py
@@ -141,7 +141,7 @@
         elif reply.header('Refused'):
             status = protocol.SubStatus.SHED
         return protocol.TargetReply(
-            status, reply, receipt, may_be_passed=reply.status == 500
+            status, reply, receipt, is_forwardable=reply.status == 500
         )
 
 
--- a/standins/memory_orders.py
+++ b/standins/memory_orders.py
@@ -69,7 +69,7 @@
             return _failure(Kind.UNREACHABLE)
         if name in self.old:
             return result.Success(protocol.HttpReply(503))
-        order = protocol.read_order(request.body).unwrap()
+        order = protocol.decode_order(request.body).unwrap()
         seen = OrderSeen(name, order)
         self.seen.append(seen)
         assert on_chunk is not None
@@ -97,7 +97,7 @@
         spoils = name in self.garbled
         async with contextlib.aclosing(reports) as rows:
             async for report in rows:
-                chunk = protocol.encode_merging(report)
+                chunk = protocol.encode_merge_message(report)
                 on_chunk(b'\xc1' if spoils else chunk)
                 spoils = False
 
--- a/tests/failure/test_at_most_once.py
+++ b/tests/failure/test_at_most_once.py
@@ -48,7 +48,7 @@
 
     def use_one_bucket(self) -> None:
         """Place every key in the same bucket."""
-        patch = mock.patch.object(_claims, 'BUCKETS', 1)
+        patch = mock.patch.object(_claims, 'BUCKET_COUNT', 1)
         patch.start()
         self.addCleanup(patch.stop)
 
@@ -287,7 +287,7 @@
 
     def setUp(self) -> None:
         """Let the claims of different keys meet in the same objects."""
-        patch = mock.patch.object(_claims, 'BUCKETS', 2)
+        patch = mock.patch.object(_claims, 'BUCKET_COUNT', 2)
         patch.start()
         self.addCleanup(patch.stop)
 
--- a/tests/failure/test_stopped_runs.py
+++ b/tests/failure/test_stopped_runs.py
@@ -147,7 +147,7 @@
         self.addCleanup(counters.close)
         found: list[str] = []
         ends = refused = 0
-        with mock.patch.object(_claims, 'BUCKETS', 2):
+        with mock.patch.object(_claims, 'BUCKET_COUNT', 2):
             for number in range(_STORMS):
                 seed = simulation_runs.SEED + number
                 storm = _StopStorm(seed, counters)
--- a/tests/unit/bases.py
+++ b/tests/unit/base_files.py
@@ -13,12 +13,12 @@
 _BASE = json5.loads((EXAMPLES / 'base.json').read_text(encoding='utf-8'))
 
 
-def base() -> dict[str, typing.Any]:
+def example_base() -> dict[str, typing.Any]:
     """Return the example's base file, to be changed at will."""
     return copy.deepcopy(_BASE)
 
 
-def source(
+def make_source(
     raw: object, overlays: dict | None = None
 ) -> state.ConfigurationSource:
     """Return a source of revision 1."""
--- a/tests/unit/test_claim_book.py
+++ b/tests/unit/test_claim_book.py
@@ -39,7 +39,7 @@
     async def open(self, number: int) -> _claim_book.OpenResult:
         """Open one claim."""
         return await self.book.open(
-            state.place_of('invoices', f'key-{number}'),
+            state.locate_claim('invoices', f'key-{number}'),
             _claim(number),
             self.clock.now_ms() + 2_000,
         )
@@ -49,9 +49,11 @@
         tasks = [asyncio.create_task(self.open(row)) for row in range(count)]
         await self.clock.pass_ms(100)
         for number, task in enumerate(tasks):
-            self.assertIs(state.Verdict.GRANTED, task.result().opened.verdict)
+            self.assertIs(
+                state.OpenStatus.GRANTED, task.result().opened.status
+            )
             self.book.close(
-                state.place_of('invoices', f'key-{number}'),
+                state.locate_claim('invoices', f'key-{number}'),
                 state.done_claim(_claim(number), True, {}),
             )
         await self.clock.pass_ms(100)
@@ -74,7 +76,7 @@
 
     async def test_changes_of_one_bucket_share_a_write(self) -> None:
         """A hundred claims and outcomes take two writes."""
-        with mock.patch.object(_claims, 'BUCKETS', 1):
+        with mock.patch.object(_claims, 'BUCKET_COUNT', 1):
             gets, puts = await self.open_and_close(100)
         self.assertEqual([0.01, 0.02], [gets, puts])
 
@@ -87,18 +89,18 @@
                 task = asyncio.create_task(self.open(number))
                 await self.clock.pass_ms(1_000)
                 opened = task.result().opened
-                self.assertIs(state.Verdict.GRANTED, opened.verdict)
+                self.assertIs(state.OpenStatus.GRANTED, opened.status)
         self.assertEqual(3, self.metrics.total('claim_answers_lost'))
 
     async def test_unreadable_bucket_is_not_overwritten(self) -> None:
         """A later version's bucket is refused, not taken for empty."""
-        place = state.place_of('invoices', 'key-1')
+        place = state.locate_claim('invoices', 'key-1')
         await self.platform_put(place.path, b'{"format":2,"claims":{}}')
         task = asyncio.create_task(self.open(1))
         await self.clock.pass_ms(100)
         ended = task.result()
         self.assertFalse(ended.may_be_stored)
-        self.assertNotIsInstance(ended.opened, state.Opened)
+        self.assertNotIsInstance(ended.opened, state.OpenDecision)
         self.assertEqual(1, self.store.objects[place.path].version)
 
     async def test_memory_does_not_grow_with_the_slices(self) -> None:
--- a/tests/unit/test_claim_buckets.py
+++ b/tests/unit/test_claim_buckets.py
@@ -4,7 +4,7 @@
 
 from samphiredock import state
 
-GRANTED = state.Verdict.GRANTED
+GRANTED = state.OpenStatus.GRANTED
 _SINCE_MS = 1_700_000_000_000
 
 
@@ -28,13 +28,13 @@
 
     def test_only_a_holder_that_gave_up_is_replaced(self) -> None:
         """The claim is met by others until its own token is named."""
-        self.assertIs(GRANTED, self.opened.verdict)
+        self.assertIs(GRANTED, self.opened.status)
         for replaces in (None, 'a/1/2'):
             met = self.bucket.open('key', _open('b/1/1'), replaces)
-            self.assertIs(state.Verdict.MET, met.verdict)
+            self.assertIs(state.OpenStatus.MET, met.status)
             self.assertEqual('a/1/1', met.claim.token)
         taken = self.bucket.open('key', _open('b/1/1'), 'a/1/1')
-        self.assertIs(GRANTED, taken.verdict)
+        self.assertIs(GRANTED, taken.status)
         self.assertFalse(self.close('a/1/1', state.ClaimState.DONE))
         self.assertIs(state.ClaimState.OPEN, self.bucket.claims['key'].state)
 
@@ -43,13 +43,13 @@
         self.close('a/1/1', state.ClaimState.DONE)
         self.close('a/1/1', state.ClaimState.NOT_RUN)
         met = self.bucket.open('key', _open('b/1/1'), 'a/1/1')
-        self.assertIs(state.Verdict.MET, met.verdict)
+        self.assertIs(state.OpenStatus.MET, met.status)
         self.assertIs(state.ClaimState.DONE, met.claim.state)
 
     def test_reopening_the_own_claim_needs_no_write(self) -> None:
         """A put whose answer was lost is recognised by its token."""
         copy = state.decode_bucket(self.bucket.encode())
-        self.assertIs(GRANTED, copy.open('key', _open('a/1/1'), None).verdict)
+        self.assertIs(GRANTED, copy.open('key', _open('a/1/1'), None).status)
         self.assertFalse(copy.changed)
 
     def test_end_of_a_missing_claim_is_written(self) -> None:
@@ -59,20 +59,20 @@
         self.assertTrue(empty.close('key', ended))
         self.assertTrue(empty.changed)
         again = empty.open('key', _open('b/1/1'), None)
-        self.assertIs(GRANTED, again.verdict)
+        self.assertIs(GRANTED, again.status)
 
     def test_other_content_is_refused_even_after_not_run(self) -> None:
         """A key means one request."""
         self.close('a/1/1', state.ClaimState.NOT_RUN)
         reused = self.bucket.open('key', _open('b/1/1', 'other'), None)
-        self.assertIs(state.Verdict.KEY_REUSED, reused.verdict)
+        self.assertIs(state.OpenStatus.KEY_REUSED, reused.status)
 
     def test_every_granted_claim_has_room_for_its_outcome(self) -> None:
         """A bucket is full before its open claims could outgrow it."""
         bucket = state.Bucket()
         tokens = []
         while (
-            bucket.open(f'key-{len(tokens)}', _open('a/1/1'), None).verdict
+            bucket.open(f'key-{len(tokens)}', _open('a/1/1'), None).status
             is GRANTED
         ):
             tokens.append(f'key-{len(tokens)}')
@@ -98,11 +98,11 @@
         longest deadline; the setting of the retention does not matter.
         """
         self.assertGreaterEqual(
-            state.KEEP_MS, state.RETENTION_LIMIT_MS + 3_600_000
+            state.CLAIM_RETENTION_MS, state.KEY_RETENTION_LIMIT_MS + 3_600_000
         )
-        self.bucket.expire(_SINCE_MS + state.KEEP_MS)
+        self.bucket.expire(_SINCE_MS + state.CLAIM_RETENTION_MS)
         self.assertIn('key', self.bucket.claims)
-        self.bucket.expire(_SINCE_MS + state.KEEP_MS + 1)
+        self.bucket.expire(_SINCE_MS + state.CLAIM_RETENTION_MS + 1)
         self.assertEqual({}, self.bucket.claims)
 
     def test_unreadable_bucket_is_not_an_empty_one(self) -> None:
@@ -112,8 +112,8 @@
 
     def test_digests_tell_requests_apart(self) -> None:
         """Joining the parts in another way gives another digest."""
-        first = state.place_of('a', 'b\0c')
-        second = state.place_of('a\0b', 'c')
+        first = state.locate_claim('a', 'b\0c')
+        second = state.locate_claim('a\0b', 'c')
         self.assertNotEqual(first.digest, second.digest)
         self.assertEqual(
             state.content_digest('x', {'a': '1', 'b': '2'}),
--- a/tests/unit/test_cli.py
+++ b/tests/unit/test_cli.py
@@ -19,7 +19,7 @@
 from standins import cluster
 from standins import http_thread
 from standins import memory_services
-from tests.unit import bases
+from tests.unit import base_files
 from tests.unit import test_operator_http
 
 _KEY = protocol.new_idempotency_key(1, random.Random(1))
@@ -51,7 +51,7 @@
     def setUp(self) -> None:
         """Start an operator and a caller address."""
         self.operations = memory_services.MemoryOperations(
-            bases.source(bases.base())
+            base_files.make_source(base_files.example_base())
         )
         self.service = memory_services.MemoryService()
         token = test_operator_http.TOKEN
@@ -96,7 +96,7 @@
     def _write_base(
         self, change: typing.Callable | None = None
     ) -> pathlib.Path:
-        base = bases.base()
+        base = base_files.example_base()
         if change is not None:
             change(base)
         folder = self.folder / 'config'
@@ -115,7 +115,9 @@
         got = self._assert_exit(3, 'config', 'check', '--folder', folder)
         self.assertIn(f'{folder}/base.json: limits: got []', got.output)
         self.assertIn(f'{overlay}: share_cap: got 2', got.output)
-        self._assert_exit(0, 'config', 'check', '--folder', bases.EXAMPLES)
+        self._assert_exit(
+            0, 'config', 'check', '--folder', base_files.EXAMPLES
+        )
         self._assert_exit(2, 'config', 'check')
 
     def test_apply_names_the_base_revision_and_waits(self) -> None:
--- a/tests/unit/test_compiler.py
+++ b/tests/unit/test_compiler.py
@@ -6,13 +6,13 @@
 from returns import result
 
 from samphiredock import state
-from tests.unit import bases
+from tests.unit import base_files
 
 
 def _problems(
     raw: object, overlays: dict | None = None
 ) -> tuple[state.Problem, ...]:
-    compiled = state.compile_source(bases.source(raw, overlays))
+    compiled = state.compile_source(base_files.make_source(raw, overlays))
     return compiled.failure() if isinstance(compiled, result.Failure) else ()
 
 
@@ -28,7 +28,9 @@
             },
             'kirkos-b': {'share_cap': 0.6},
         }
-        made = state.compile_source(bases.source(bases.base(), overlays))
+        made = state.compile_source(
+            base_files.make_source(base_files.example_base(), overlays)
+        )
         found = made.unwrap()
         self.assertEqual(
             {'field-claims': 0.6}, found.sites['bole-a'].service_caps
@@ -59,13 +61,13 @@
             'targets.desk-1.slots': True,
             'targets.desk-1.url': 'ftp://desk',
             'limits.hedge_budget': float('inf'),
-            'limits.key_retention_ms': state.RETENTION_LIMIT_MS + 1,
+            'limits.key_retention_ms': state.KEY_RETENTION_LIMIT_MS + 1,
             'limits.hedge_after_ms': -1.0,
             'indexes': ['claims', 'clip-rights', 'claims'],
         }
         for path, value in cases.items():
             with self.subTest(path=path):
-                raw = bases.base()
+                raw = base_files.example_base()
                 *way, last = path.split('.')
                 row = raw
                 for key in way:
@@ -75,13 +77,13 @@
 
     def test_shares_sum_to_at_most_one(self) -> None:
         """Promised capacity is not promised twice."""
-        raw = bases.base()
+        raw = base_files.example_base()
         raw['sites']['bole-a']['share'] = 0.5
         self.assertEqual(['sites'], [row.path for row in _problems(raw)])
 
     def test_mistakes_of_all_files_come_at_once(self) -> None:
         """A near name is offered; the overlay's mistakes are not hidden."""
-        raw = bases.base()
+        raw = base_files.example_base()
         raw['sites']['bole-a']['share_cup'] = 1
         raw['targets']['desk-1']['slots'] = 0
         found = _problems(raw, {'yeka-c': {'share_cap': 0.9}})
@@ -97,7 +99,7 @@
 
     def test_two_targets_do_not_share_a_url(self) -> None:
         """Slots are counted by name, so one server has one name."""
-        raw = bases.base()
+        raw = base_files.example_base()
         raw['targets']['desk-1']['url'] = 'http://127.0.0.1:7406/'
         self.assertEqual(
             ['targets.desk-2.url'], [row.path for row in _problems(raw)]
@@ -134,6 +136,6 @@
         )
         for site, overlay, path in cases:
             with self.subTest(overlay=overlay):
-                found = _problems(bases.base(), {site: overlay})
+                found = _problems(base_files.example_base(), {site: overlay})
                 self.assertEqual([path], [row.path for row in found])
                 self.assertEqual(f'overlay {site}', found[0].file)
--- a/tests/unit/test_fuzz_compiler.py
+++ b/tests/unit/test_fuzz_compiler.py
@@ -9,7 +9,7 @@
 from returns import result
 
 from samphiredock import state
-from tests.unit import bases
+from tests.unit import base_files
 
 SETTINGS = hypothesis.settings(
     derandomize=True,
@@ -69,21 +69,21 @@
     """The compiler never raises and never passes the common limit."""
 
     @SETTINGS
-    @hypothesis.given(bases.valid_bases())
+    @hypothesis.given(base_files.valid_bases())
     def test_a_valid_base_compiles(self, raw: dict) -> None:
         """What keeps every rule is accepted."""
-        made = state.compile_source(bases.source(raw))
+        made = state.compile_source(base_files.make_source(raw))
         self.assertIsInstance(made, result.Success, str(made))
 
     @SETTINGS
-    @hypothesis.given(bases.valid_bases(), JSON, strategies.integers(0))
+    @hypothesis.given(base_files.valid_bases(), JSON, strategies.integers(0))
     def test_a_mutation_never_raises(
         self, raw: dict, value: object, seed: int
     ) -> None:
         """Any value at any place gives a configuration or mistakes."""
         holder, key = random.Random(seed).choice(_places(raw))
         holder[key] = value
-        made = state.compile_source(bases.source(raw))
+        made = state.compile_source(base_files.make_source(raw))
         if isinstance(made, result.Success):
             sites = made.unwrap().sites.values()
             self.assertLessEqual(sum(row.share for row in sites), 1 + 1e-6)
@@ -94,8 +94,12 @@
         self, raw: object, overlay: object
     ) -> None:
         """Neither file need be an object."""
-        state.compile_source(bases.source(raw, {'bole-a': overlay}))
-        state.compile_source(bases.source(bases.base(), {'bole-a': overlay}))
+        state.compile_source(base_files.make_source(raw, {'bole-a': overlay}))
+        state.compile_source(
+            base_files.make_source(
+                base_files.example_base(), {'bole-a': overlay}
+            )
+        )
 
     @SETTINGS
     @hypothesis.given(strategies.data())
@@ -103,10 +107,10 @@
         self, data: strategies.DataObject
     ) -> None:
         """What compiles with overlays is nowhere above the base alone."""
-        raw = data.draw(bases.valid_bases())
-        alone = state.compile_source(bases.source(raw)).unwrap()
+        raw = data.draw(base_files.valid_bases())
+        alone = state.compile_source(base_files.make_source(raw)).unwrap()
         for overlays in data.draw(_overlays(raw)):
-            made = state.compile_source(bases.source(raw, overlays))
+            made = state.compile_source(base_files.make_source(raw, overlays))
             if isinstance(made, result.Success):
                 self._assert_no_higher(alone, made.unwrap())
 
--- a/tests/unit/test_live_targets.py
+++ b/tests/unit/test_live_targets.py
@@ -109,14 +109,14 @@
         it was born later: what was known of it is dropped, and those who
         keep connections to it are told.
         """
-        self.live.put(target('b', born_ms=5))
+        self.live.put(target('b', started_at_ms=5))
         self.live.record('b').on_failure(True, self.clock.now_ms())
         self.live.misdirected('b')
-        self.live.put(target('b', born_ms=6))
+        self.live.put(target('b', started_at_ms=6))
         self.assertEqual(['b'], self.gone)
         self.assertTrue(self.live.is_usable('b'))
         self.assertEqual(['a', 'b'], self.live.of_service('s'))
-        self.live.put(target('b', born_ms=6, leaving=True))
+        self.live.put(target('b', started_at_ms=6, leaving=True))
         self.assertEqual(['b'], self.gone)
 
     def test_an_entry_that_cannot_be_read_names_no_target(self) -> None:
--- a/tests/unit/test_merge_orders.py
+++ b/tests/unit/test_merge_orders.py
@@ -24,7 +24,9 @@
     def test_an_order_is_read_as_it_was_written(self) -> None:
         """The caller's request comes out of it unchanged."""
         order = _order()
-        read = protocol.read_order(protocol.encode_merging(order)).unwrap()
+        read = protocol.decode_order(
+            protocol.encode_merge_message(order)
+        ).unwrap()
         self.assertEqual(order, read)
         request = read.request()
         self.assertEqual(('id', 'GET', 'h', '/p'), (
@@ -41,7 +43,7 @@
             b'x' * 16,
             True,
         )
-        read = protocol.read_report(protocol.encode_merging(report))
+        read = protocol.decode_report(protocol.encode_merge_message(report))
         self.assertEqual(report, read.unwrap())
 
     def test_orders_that_make_no_sense_are_refused(self) -> None:
@@ -63,14 +65,16 @@
         }
         for words, order in cases.items():
             with self.subTest(words=words):
-                read = protocol.read_order(protocol.encode_merging(order))
+                read = protocol.decode_order(
+                    protocol.encode_merge_message(order)
+                )
                 self.assertIn(words, read.failure())
 
     @hypothesis.given(strategies.binary(max_size=200))
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
     def test_any_bytes_are_read_or_refused(self, body: bytes) -> None:
         """Broken frames are values, not errors that end a task."""
-        for read in (protocol.read_order, protocol.read_report):
+        for read in (protocol.decode_order, protocol.decode_report):
             self.assertIsInstance(read(body), result.Result)
 
     @hypothesis.given(strategies.integers(0, 200), strategies.binary())
@@ -79,8 +83,8 @@
         self, length: int, tail: bytes
     ) -> None:
         """A cut order does not become another one."""
-        whole = protocol.encode_merging(_order())
+        whole = protocol.encode_merge_message(_order())
         cut = whole[: min(length, len(whole) - 1)]
-        read = protocol.read_order(cut)
+        read = protocol.decode_order(cut)
         self.assertIsInstance(read, result.Failure)
-        self.assertIsInstance(protocol.read_order(cut + tail), result.Result)
+        self.assertIsInstance(protocol.decode_order(cut + tail), result.Result)
--- a/tests/unit/test_operations.py
+++ b/tests/unit/test_operations.py
@@ -14,7 +14,7 @@
 from samphiredock import state
 from samphiredock import transport
 from standins import memory_hosts
-from tests.unit import bases
+from tests.unit import base_files
 
 _Kind = protocol.OperatorErrorKind
 
@@ -89,7 +89,7 @@
 
     def _change(self, repeated: bool = False) -> protocol.ConfigurationChange:
         return protocol.ConfigurationChange(
-            0, 'mine', 'operator', bases.base(), {}, repeated
+            0, 'mine', 'operator', base_files.example_base(), {}, repeated
         )
 
     async def test_change_not_written(self) -> None:
--- a/tests/unit/test_operator_http.py
+++ b/tests/unit/test_operator_http.py
@@ -10,7 +10,7 @@
 from samphiredock import protocol
 from samphiredock import transport
 from standins import memory_services
-from tests.unit import bases
+from tests.unit import base_files
 
 TOKEN = 'a-token-of-some-length'
 
@@ -30,7 +30,7 @@
     async def asyncSetUp(self) -> None:
         """Start the application with a token."""
         self.operations = memory_services.MemoryOperations(
-            bases.source(bases.base())
+            base_files.make_source(base_files.example_base())
         )
         self.counters = metrics.Metrics('test')
         app = transport.operator_application(
--- a/tests/unit/test_prepared_hosts.py
+++ b/tests/unit/test_prepared_hosts.py
@@ -114,7 +114,7 @@
         )
         value = json.dumps(entry | {'born': 1764700000123}).encode()
         again = self.adapter.read_target('servers/i-1', value).unwrap()
-        self.assertEqual(1764700000123, again.born_ms)
+        self.assertEqual(1764700000123, again.started_at_ms)
 
     def test_an_entry_of_another_writer_names_no_target(self) -> None:
         """Work would go to what is no target, or to none.
@@ -236,7 +236,7 @@
                 reply = protocol.HttpReply(status, headers)
                 read = self.adapter.read_reply(request, reply)
                 self.assertIs(meaning, read.status)
-                self.assertEqual(passed, read.may_be_passed)
+                self.assertEqual(passed, read.is_forwardable)
 
     def test_an_answer_belongs_to_the_request_whose_id_it_bears(self) -> None:
         """A success without an id belongs to none."""
--- a/tests/unit/test_wire_names.py
+++ b/tests/unit/test_wire_names.py
@@ -312,8 +312,8 @@
 }
 """Of those, the ones that a tally gives, with their field of it."""
 
-_NOT_SENT = (protocol.ClaimToken, state.Place, state.Opened)
-_NOT_OUTSIDE = (state.Verdict,)
+_NOT_SENT = (protocol.ClaimToken, state.ClaimLocation, state.OpenDecision)
+_NOT_OUTSIDE = (state.OpenStatus,)
 _NOT_IN_FILES = (
     _checks.Rule,
     state.CallerLimits,
@@ -476,7 +476,7 @@
             b'\x9b\xa2id\xa3GET\xa1h\xa2/p\x91\x92\xa1A\xa1b\xc4\x04body'
             b'\xcb@Y\x00\x00\x00\x00\x00\x00\xcb@$\x00\x00\x00\x00\x00\x00'
             b'\x05\xc4\x00\x91\x93\x01\xa1s\xa1t',
-            protocol.encode_merging(order),
+            protocol.encode_merge_message(order),
         )
         report = protocol.MergeReport(
             (protocol.MergedItem(1, 'r', 12_000),),
@@ -487,7 +487,7 @@
         self.assertEqual(
             b'\x94\x91\x93\x01\xa1r\xcd.\xe0\x91\x94\x02\xa4shed\x05'
             b'\xa3why\xc4\x01x\xc3',
-            protocol.encode_merging(report),
+            protocol.encode_merge_message(report),
         )
 
     def test_bodies_of_http_keep_their_bytes(self) -> None:
@@ -589,7 +589,7 @@
 
     def test_claims_keep_their_places(self) -> None:
         """A claim looked for elsewhere would let its request run twice."""
-        place = state.place_of('svc', 'key')
+        place = state.locate_claim('svc', 'key')
         self.assertEqual('claims/1e7f8', place.path)
         self.assertEqual('a47ec7c0f3f6592208d02a7b0691e7f8', place.digest)
         self.assertEqual(
