--- a/samphiredock/state/__init__.py
+++ b/samphiredock/state/__init__.py
@@ -37,6 +37,7 @@
             'Site',
             'Target',
         ),
+        '_member': ('Member',),
         '_entry_settings': (
             'EntrySettings',
             'load_entry_settings',
@@ -46,7 +47,6 @@
             'Keys',
             'load_keys',
         ),
-        '_member': ('Member',),
         '_routes': (
             'CallerLimits',
             'LiveTarget',
--- a/samphiredock/state/_routes.py
+++ b/samphiredock/state/_routes.py
@@ -81,11 +81,12 @@
 class LiveTarget:
     """One running target, as it has registered itself.
 
-    ``address`` is ``IP:port`` and may have belonged to another target
-    before.  ``leaving`` asks for no new work, ``warmup_left_ms`` is how much
-    longer it is slow after its start.  ``started_at_ms`` is when it started, in ms
-    since the epoch and by its own clock, 0 if it does not say: with another
-    one under the same id, it holds and knows nothing of before.
+    ``address`` is ``IP:port``; another target may have had it before.
+    ``leaving`` asks for no new work.  ``warmup_left_ms`` is how much longer
+    the target is slow after its start.  ``started_at_ms`` is the wall-clock
+    time of its start in ms since the epoch, by its own clock, 0 if it does
+    not say; another value under the same id means that the target has
+    restarted and has lost what it held.
     """
 
     target_id: str
