--- /dev/null
+++ b/samphiredock/coordination/forwarding/_attempt_sender.py
@@ -0,0 +1,316 @@
+"""Carry out what a scatter decides, and give it back what comes of it."""
+
+import asyncio
+import math
+
+import msgspec
+
+from samphiredock.coordination.forwarding import _order_client
+from samphiredock.coordination.forwarding import _order_tracker
+from samphiredock.coordination.forwarding import _pending_requests
+from samphiredock.coordination.forwarding import _target_client
+from samphiredock.coordination.search import _scatter_types
+from samphiredock.coordination.targets import _replicas
+from samphiredock import protocol
+from samphiredock import timers
+
+_Status = protocol.SubStatus
+
+
+class AttemptSender:
+    """Sends the attempts of flights, and takes their ends in.
+
+    Parameters
+    ----------
+    target_client
+        Asks one target.
+    orders
+        Asks the targets of another site; None: each is asked directly.
+    replicas
+        What was observed of the targets.
+    clock
+        The timers of this daemon.
+    """
+
+    def __init__(
+        self,
+        target_client: _target_client.TargetClient,
+        orders: _order_client.OrderClient | None,
+        replicas: _replicas.Replicas,
+        clock: timers.Timers,
+    ) -> None:
+        self._target_client = target_client
+        self._order_client = orders
+        self._replicas = replicas
+        self._clock = clock
+        self._order_tracker = _order_tracker.OrderTracker(
+            target_client,
+            orders,
+            clock,
+            self._on_results,
+            self._hedge_late,
+            self._hedge_silent,
+        )
+
+    def apply(
+        self,
+        pending: _pending_requests.PendingRequest,
+        effects: list[_scatter_types.Effect],
+    ) -> None:
+        """Do what a scatter asks for, and arm its timer."""
+        for effect in effects:
+            if isinstance(effect, _scatter_types.SendAttempts):
+                self._send(pending, effect)
+            elif isinstance(effect, _scatter_types.DropAttempts):
+                for attempt_id in effect.attempt_ids:
+                    self._drop(pending, attempt_id)
+            elif not pending.done.done():
+                pending.done.set_result(effect)
+        if not pending.done.done():
+            self._set_timer(pending)
+
+    def finish_now(self, pending: _pending_requests.PendingRequest) -> None:
+        """Have a pending end with what is known now.
+
+        What still waits for a connection is taken back: its target has not
+        seen it, and its caller can be told so.
+        """
+        unsent = {
+            attempt_id: exchange
+            for attempt_id, exchange in pending.exchanges.items()
+            if not exchange.is_sent
+        }
+        for exchange in unsent.values():
+            if exchange.task is not None:
+                exchange.task.cancel()
+        now_ms = self._clock.now_ms()
+        self.apply(pending, pending.scatter.give_up(now_ms, unsent))
+
+    def cancel(self, pending: _pending_requests.PendingRequest) -> None:
+        """The caller has left: nobody wants what is under way."""
+        for exchange in pending.exchanges.values():
+            if exchange.task is not None:
+                exchange.task.cancel()
+        for sent_order in pending.sent_orders.values():
+            if sent_order.task is not None:
+                sent_order.task.cancel()
+
+    def _set_timer(self, pending: _pending_requests.PendingRequest) -> None:
+        """Keep one timer a request, at the next thing that falls due."""
+        due_ms = pending.scatter.next_due_ms()
+        if due_ms >= pending.timer_due_ms:
+            return
+        if pending.timer is not None:
+            pending.timer.cancel()
+        pending.timer_due_ms = due_ms
+        pending.timer = self._clock.after(
+            due_ms - self._clock.now_ms(), lambda: self._on_timer(pending)
+        )
+
+    def _on_timer(self, pending: _pending_requests.PendingRequest) -> None:
+        pending.timer = None
+        pending.timer_due_ms = math.inf
+        if not pending.done.done():
+            now_ms = self._clock.now_ms()
+            self.apply(pending, pending.scatter.on_tick(now_ms))
+
+    # Out.
+
+    def _send(
+        self,
+        pending: _pending_requests.PendingRequest,
+        effect: _scatter_types.SendAttempts,
+    ) -> None:
+        are_first = [
+            self._record_sent(pending, item, effect.dispatcher)
+            for item in effect.items
+        ]
+        merger = effect.dispatcher
+        if (
+            self._order_client is None
+            or merger is None
+            or pending.assignments is None
+        ):
+            merger = None
+        ordered = []
+        for item, is_first in zip(effect.items, are_first):
+            if merger is None or merger == item.target:
+                self._send_alone(pending, item)
+            elif is_first or not _was_ordered(pending, item.shard_id, merger):
+                ordered.append(item)
+            else:
+                self._send_alone(pending, item)
+        if ordered and merger is not None:
+            is_gathering = all(are_first)
+            self._order_tracker.send(pending, merger, ordered, is_gathering)
+
+    def _record_sent(
+        self,
+        pending: _pending_requests.PendingRequest,
+        item: protocol.SubQuery,
+        dispatcher: str | None,
+    ) -> bool:
+        """Keep the decision; return whether it is the shard's first."""
+        is_first = item.shard_id not in pending.asked
+        why = 'first' if is_first else 'hedge' if item.hedge else 'retry'
+        pending.asked.add(item.shard_id)
+        pending.shard_of[item.attempt_id] = item.shard_id
+        by = {} if dispatcher == item.target else {'by': dispatcher}
+        pending.trace.add(
+            self._clock.now_ms(),
+            'sent',
+            attempt=item.attempt_id,
+            shard=item.shard_id,
+            target=item.target,
+            why=why,
+            **by,
+        )
+        return is_first
+
+    def _send_alone(
+        self,
+        pending: _pending_requests.PendingRequest,
+        item: protocol.SubQuery,
+    ) -> None:
+        exchange = _pending_requests.Exchange(
+            item.target, self._clock.now_ms()
+        )
+        exchange.task = asyncio.create_task(self._exchange(pending, item))
+        pending.exchanges[item.attempt_id] = exchange
+        exchange.task.add_done_callback(
+            lambda task: self._on_exchange_done(pending, item.attempt_id)
+        )
+
+    def _on_exchange_done(
+        self, pending: _pending_requests.PendingRequest, attempt_id: str
+    ) -> None:
+        """Also after a cut: its time is all that a silent target shows."""
+        exchange = pending.exchanges.pop(attempt_id)
+        if exchange.is_dropped:
+            took_ms = self._clock.now_ms() - exchange.sent_ms
+            self._replicas.ended(exchange.target, took_ms)
+
+    def _drop(
+        self, pending: _pending_requests.PendingRequest, attempt_id: str
+    ) -> None:
+        exchange = pending.exchanges.get(attempt_id)
+        if not pending.done.done():
+            # An attempt that only waited for a connection was seen by no
+            # target, however long it took.
+            waited = exchange is not None and not exchange.is_sent
+            facts = {'no_connection': True} if waited else {}
+            pending.trace.add(
+                self._clock.now_ms(), 'not needed', attempt=attempt_id, **facts
+            )
+        if attempt_id in pending.sent_orders:
+            self._order_tracker.drop(pending, attempt_id)
+            return
+        if exchange is None or exchange.task is None:
+            return
+        exchange.is_dropped = True
+        self._replicas.lingers(exchange.target, exchange.sent_ms)
+        self._clock.after(
+            _pending_requests.LOSER_GRACE_MS, exchange.task.cancel
+        )
+
+    # A target that is asked from here.
+
+    async def _exchange(
+        self,
+        pending: _pending_requests.PendingRequest,
+        item: protocol.SubQuery,
+    ) -> None:
+        exchange = pending.exchanges[item.attempt_id]
+        request = pending.plan.request
+        left_ms = pending.plan.scatter.deadline_at_ms - self._clock.now_ms()
+        asked = await self._target_client.send(
+            request,
+            item.target,
+            left_ms,
+            pending.plan.route.repeatable,
+            item.hedge,
+            lambda: not exchange.is_dropped,
+            exchange.mark_sent,
+        )
+        reply = asked.reply
+        if reply is not None and asked.status is _Status.ANSWERED:
+            pending.replies[item.attempt_id] = reply
+            pending.parts.add(
+                item.shard_id, reply.receipt or '', reply.reply.body
+            )
+        elif reply is not None and reply.may_be_passed:
+            pending.failure = reply
+        self._on_result(pending, item, asked.status, asked.detail)
+        await self._target_client.look_for_crash(request, item.target, asked)
+
+    # Back to the scatter.
+
+    def _on_result(
+        self,
+        pending: _pending_requests.PendingRequest,
+        item: protocol.SubQuery,
+        status: protocol.SubStatus,
+        detail: str,
+    ) -> None:
+        answer = _pending_requests.make_sub_answer(item, status, detail=detail)
+        self._on_results(pending, [answer])
+
+    def _hedge_late(
+        self, pending: _pending_requests.PendingRequest, attempt_ids: list[str]
+    ) -> None:
+        """Hedge what another daemon says is late."""
+        if not pending.done.done():
+            now_ms = self._clock.now_ms()
+            effects = pending.scatter.on_late(attempt_ids, now_ms)
+            self.apply(pending, effects)
+
+    def _hedge_silent(
+        self, pending: _pending_requests.PendingRequest, attempt_ids: list[str]
+    ) -> None:
+        """Hedge what a daemon was to ask that is silent itself."""
+        now_ms = self._clock.now_ms()
+        effects = pending.scatter.on_silent(attempt_ids, now_ms)
+        self.apply(pending, effects)
+
+    def _on_results(
+        self,
+        pending: _pending_requests.PendingRequest,
+        ends: list[protocol.SubAnswer],
+    ) -> None:
+        """Give ends to the scatter, with the ranges of sound answers."""
+        if pending.done.done() or not ends:
+            return
+        now_ms = self._clock.now_ms()
+        answers = []
+        for end in ends:
+            shard = pending.shard_of[end.attempt_id]
+            ranges = []
+            if end.status is _Status.ANSWERED:
+                pending.answered.add(shard)
+                ranges = [pending.plan.key_ranges[shard]]
+            else:
+                pending.trace.add(
+                    now_ms,
+                    'failed',
+                    attempt=end.attempt_id,
+                    shard=shard,
+                    target=end.target,
+                    status=end.status.value,
+                    why=end.detail,
+                )
+            answers.append(msgspec.structs.replace(end, ranges=ranges))
+        self.apply(pending, pending.scatter.on_answers(answers, now_ms))
+
+
+def _was_ordered(
+    pending: _pending_requests.PendingRequest, shard: str, merger: str
+) -> bool:
+    """Whether a daemon has been ordered to ask a target of a shard before.
+
+    It may be frozen, and a hedge through it would hang as well.
+    """
+    return any(
+        pending.shard_of[attempt_id] == shard
+        for attempt_id, sent_order in pending.sent_orders.items()
+        if sent_order.merger == merger
+    )
--- a/samphiredock/coordination/forwarding/_crash_guard.py
+++ b/samphiredock/coordination/forwarding/_crash_guard.py
@@ -93,12 +93,12 @@
             collections.OrderedDict()
         )
 
-    def found(self, loss: Loss) -> None:
+    def report_loss(self, loss: Loss) -> None:
         """A target was lost under a request of this daemon."""
-        self.note(loss)
+        self.record_loss(loss)
         self._tell(loss)
 
-    def note(self, loss: Loss) -> None:
+    def record_loss(self, loss: Loss) -> None:
         """Take a loss in, found here or told by another daemon."""
         now_ms = self._clock.now_ms()
         case = self._case(loss.fingerprint, now_ms)
--- a/samphiredock/coordination/forwarding/_forwarder.py
+++ b/samphiredock/coordination/forwarding/_forwarder.py
@@ -10,18 +10,18 @@
 
 from returns import result
 
-from samphiredock.coordination.forwarding import _asking
+from samphiredock.coordination.forwarding import _attempt_sender
 from samphiredock.coordination.forwarding import _caller_time
 from samphiredock.coordination.forwarding import _crash_guard
-from samphiredock.coordination.forwarding import _end_notes
-from samphiredock.coordination.forwarding import _flight_sender
-from samphiredock.coordination.forwarding import _flights
 from samphiredock.coordination.forwarding import _forward_types
 from samphiredock.coordination.forwarding import _live_targets
-from samphiredock.coordination.forwarding import _orders
+from samphiredock.coordination.forwarding import _order_client
+from samphiredock.coordination.forwarding import _outcome_log
+from samphiredock.coordination.forwarding import _pending_requests
 from samphiredock.coordination.forwarding import _request_log
 from samphiredock.coordination.forwarding import _route_plans
 from samphiredock.coordination.forwarding import _splitter
+from samphiredock.coordination.forwarding import _target_client
 from samphiredock.coordination.search import _scatter
 from samphiredock.coordination.search import _scatter_types
 from samphiredock import metrics
@@ -70,42 +70,42 @@
         clock: timers.Timers,
         counters: metrics.Metrics,
         crashes: _crash_guard.CrashGuard | None = None,
-        orders: _orders.Orders | None = None,
+        orders: _order_client.OrderClient | None = None,
     ) -> None:
         self._crashes = crashes
         self._settings = settings
         self._routing = routing
         self._targets = targets
         self._tools = tools
-        self._orders = orders
-        self.asker = _asking.TargetAsker(
+        self._order_client = orders
+        self.target_client = _target_client.TargetClient(
             targets, dialect, links, clock, settings.once_kept_ms, crashes
         )
-        self._sender = _flight_sender.FlightSender(
-            self.asker, orders, tools.replicas, clock
+        self._sender = _attempt_sender.AttemptSender(
+            self.target_client, orders, tools.replicas, clock
         )
         self._clock = clock
         self._metrics = counters
         self._splitter = _splitter.Splitter()
-        self._notes = _end_notes.EndNotes(clock, counters)
+        self._notes = _outcome_log.OutcomeLog(clock, counters)
         self._times = _caller_time.CallerTimes()
         self._numbers = itertools.count(1)
-        self._under_way: dict[str, _flights.Flight] = {}
+        self._under_way: dict[str, _pending_requests.PendingRequest] = {}
         self._has_given_up = False
 
     def close(self) -> None:
         """Write the lines that wait."""
         self._notes.close()
 
-    def under_way(self) -> list[_flights.UnderWay]:
+    def pending_requests(self) -> list[_pending_requests.PendingSummary]:
         """Return the requests that have no outcome yet."""
         now_ms = self._clock.now_ms()
         return [
-            _flights.under_way(flight, now_ms)
-            for flight in self._under_way.values()
+            _pending_requests.summarize(pending, now_ms)
+            for pending in self._under_way.values()
         ]
 
-    def give_up(self) -> None:
+    def finish_all(self) -> None:
         """End every request now, and refuse those that still come.
 
         A daemon that stops has no more time: a request that is open when
@@ -115,10 +115,10 @@
         """
         self._has_given_up = True
         now_ms = self._clock.now_ms()
-        for flight in list(self._under_way.values()):
-            if not flight.done.done():
-                flight.trail.note(now_ms, 'given up', why='stopping')
-                self._sender.give_up(flight)
+        for pending in list(self._under_way.values()):
+            if not pending.done.done():
+                pending.trace.add(now_ms, 'given up', why='stopping')
+                self._sender.finish_now(pending)
 
     async def forward(
         self,
@@ -137,7 +137,9 @@
         started_ms = self._clock.now_ms()
         planned = self._plan(request, started_ms, hop_ms)
         if isinstance(planned, result.Failure):
-            return self._notes.refused(request, planned.failure(), started_ms)
+            return self._notes.log_refused(
+                request, planned.failure(), started_ms
+            )
         return await self._run(planned.unwrap(), started_ms)
 
     # Before anything is sent.
@@ -215,32 +217,40 @@
     async def _run(
         self, plan: _route_plans.ForwardPlan, started_ms: float
     ) -> protocol.ForwardOutcome:
-        tools, ways = self._tools, None
-        if self._orders is not None and plan.is_gather:
-            ways = self._orders.ways(plan.scatter.shards)
-            tools = dataclasses.replace(tools, routes=ways)
+        tools, assignments = self._tools, None
+        if self._order_client is not None and plan.is_gather:
+            assignments = self._order_client.assign_mergers(
+                plan.scatter.shards
+            )
+            tools = dataclasses.replace(tools, routes=assignments)
         scatter = _scatter.Scatter(plan.scatter, tools, self._settings.limits)
         done = asyncio.get_running_loop().create_future()
-        flight = _flights.Flight(
-            plan, scatter, done, _request_log.Trail(started_ms), ways=ways
+        pending = _pending_requests.PendingRequest(
+            plan,
+            scatter,
+            done,
+            _request_log.Trail(started_ms),
+            assignments=assignments,
         )
         query_id = plan.scatter.query_id
-        self._under_way[query_id] = flight
+        self._under_way[query_id] = pending
         try:
-            self._sender.carry_out(flight, scatter.start(started_ms))
+            self._sender.apply(pending, scatter.start(started_ms))
             finish: _scatter_types.Finish = await done
         except asyncio.CancelledError:
             scatter.abandon()
-            self._sender.abandon(flight)
+            self._sender.cancel(pending)
             self._metrics.add('requests_left', route=plan.route.name)
-            self._notes.ended(flight, None)
+            self._notes.log_ended(pending, None)
             raise
         finally:
             del self._under_way[query_id]
-            if flight.timer is not None:
-                flight.timer.cancel()
-        outcome = _flights.outcome_of(flight, finish, self._clock.now_ms())
-        self._notes.ended(flight, outcome)
+            if pending.timer is not None:
+                pending.timer.cancel()
+        outcome = _pending_requests.outcome_of(
+            pending, finish, self._clock.now_ms()
+        )
+        self._notes.log_ended(pending, outcome)
         return outcome
 
 
--- a/samphiredock/coordination/forwarding/_vouching.py
+++ b/samphiredock/coordination/forwarding/_freshness_check.py
@@ -17,10 +17,10 @@
 
 from samphiredock import protocol
 
-QUESTION_PATH = '/samphiredock/heard'
+STORE_STATUS_PATH = '/samphiredock/heard'
 """Where daemons ask each other whether they hear the store."""
 
-ASK_EVERY_MS = 500.0
+FRESHNESS_CHECK_INTERVAL_MS = 500.0
 """How often one that does not hear the store asks."""
 
 VOUCHED_MS = 1_200.0
@@ -28,20 +28,20 @@
 accepted meanwhile is known here later by so long, of some seconds that it may
 take."""
 
-ASKED = 8
+FRESHNESS_CHECK_PEERS = 8
 """How many are asked at a time.  If a third of the daemons has lost the
 store, all of eight are among them once in 6,000 times; what is asked then
 is asked anew half a second later."""
 
 
-class Vouch(msgspec.Struct, frozen=True):
+class StoreStatus(msgspec.Struct, frozen=True):
     """What a daemon answers: its version, and whether it hears the store."""
 
     version: int
     hears: bool
 
 
-_decode = msgspec.json.Decoder(Vouch).decode
+_decode = msgspec.json.Decoder(StoreStatus).decode
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -56,14 +56,14 @@
     newest: int | None
 
 
-class Vouching:
+class FreshnessCheck:
     """What the other coordinators have answered lately."""
 
     def __init__(self) -> None:
         self._standing: Standing | None = None
 
-    def take(
-        self, answers: typing.Sequence[Vouch], asked_ms: float
+    def record_round(
+        self, answers: typing.Sequence[StoreStatus], asked_ms: float
     ) -> Standing | None:
         """Take in the answers to questions asked at a time.
 
@@ -76,7 +76,7 @@
             self._standing = Standing(asked_ms, newest)
         return self._standing
 
-    def allows(self, version: int, now_ms: float) -> bool:
+    def may_serve(self, version: int, now_ms: float) -> bool:
         """Whether what is known here, of a version, may serve others."""
         standing = self._standing
         if standing is None or now_ms - standing.at_ms > VOUCHED_MS:
@@ -84,22 +84,22 @@
         return standing.newest is None or standing.newest <= version
 
 
-def vouch_question() -> protocol.HttpRequest:
+def store_status_request() -> protocol.HttpRequest:
     """Return what another daemon is asked."""
     return protocol.HttpRequest(
-        'GET', QUESTION_PATH, (('Host', 'samphiredock'),)
+        'GET', STORE_STATUS_PATH, (('Host', 'samphiredock'),)
     )
 
 
-def vouch(version: int, hears: bool) -> protocol.HttpReply:
+def store_status_reply(version: int, hears: bool) -> protocol.HttpReply:
     """Return the answer to a question."""
-    body = msgspec.json.encode(Vouch(version, hears))
+    body = msgspec.json.encode(StoreStatus(version, hears))
     return protocol.HttpReply(
         200, (('Content-Type', 'application/json'),), body
     )
 
 
-def read_vouch(reply: protocol.HttpReply) -> Vouch | None:
+def read_store_status(reply: protocol.HttpReply) -> StoreStatus | None:
     """Return what another daemon answers, None if it cannot be read."""
     try:
         return _decode(reply.body) if reply.status == 200 else None
--- a/samphiredock/coordination/forwarding/_handover.py
+++ b/samphiredock/coordination/forwarding/_handover.py
@@ -83,14 +83,14 @@
     return dataclasses.replace(reply, headers=reply.headers + added)
 
 
-def refusal(handed: HandedOver | None, why: str) -> protocol.HttpReply:
+def refusal_reply(handed: HandedOver | None, why: str) -> protocol.HttpReply:
     """Return the answer of a daemon that cannot coordinate now."""
     request_id = handed.request_id if handed else ''
     headers = ((_REFUSED, '1'), (_ID, request_id))
     return protocol.HttpReply(503, headers, why.encode())
 
 
-def goes_elsewhere(outcome: protocol.ForwardOutcome) -> bool:
+def can_retry_elsewhere(outcome: protocol.ForwardOutcome) -> bool:
     """Whether another coordinator can still run what was handed over.
 
     This one stops, and has sent nothing: passed on as the caller's answer,
@@ -129,7 +129,7 @@
     may take is read from it.
     """
 
-    def __init__(self, routing: _routing.RoutingKnowledge) -> None:
+    def __init__(self, routing: _routing.RoutingState) -> None:
         self._routing = routing
 
     @property
@@ -165,7 +165,7 @@
 class HandoverDialect:
     """What goes between two daemons; implements the forwarder's dialect."""
 
-    def __init__(self, routing: _routing.RoutingKnowledge) -> None:
+    def __init__(self, routing: _routing.RoutingState) -> None:
         self._routing = routing
         self._seen_version = 0
 
--- a/samphiredock/coordination/forwarding/_introduce.py
+++ b/samphiredock/coordination/forwarding/_introduce.py
@@ -33,7 +33,7 @@
 _decode = msgspec.json.Decoder(tuple[_roles.Daemon, ...]).decode
 
 
-def introduce_every_ms(daemons: int) -> float:
+def introduction_interval_ms(daemons: int) -> float:
     """Return the time between two introductions by one daemon."""
     return INTRODUCE_EVERY_MS * max(1.0, daemons / _SIZE_AT_FULL_PACE)
 
@@ -53,7 +53,7 @@
     return [*ring[at:], *ring[: at - 1]][:TRIED]
 
 
-def introduction(
+def introduction_request(
     daemons: typing.Iterable[_roles.Daemon],
 ) -> protocol.HttpRequest:
     """Return what the neighbour is told."""
--- a/samphiredock/coordination/forwarding/_live_targets.py
+++ b/samphiredock/coordination/forwarding/_live_targets.py
@@ -76,13 +76,13 @@
 
     # Changes.
 
-    def on_gone(
+    def on_removed(
         self, callback: typing.Callable[[state.LiveTarget], None]
     ) -> None:
         """Call back with each target that is not registered any more."""
         self._on_gone.append(callback)
 
-    def on_new(
+    def on_added(
         self, callback: typing.Callable[[state.LiveTarget], None]
     ) -> None:
         """Call back with each target that is seen for the first time."""
@@ -147,7 +147,7 @@
         self._missing[target_id] = until_ms
         self._clock.after(until_ms - now_ms, self._drop_missing)
 
-    def unusable(self, target_id: str) -> None:
+    def remove_unreadable(self, target_id: str) -> None:
         """A target's entry cannot be read: it names no target to use."""
         if target_id in self._targets:
             self._drop(target_id, 'entry cannot be read')
@@ -158,11 +158,11 @@
             if target_id not in target_ids:
                 self.remove(target_id)
 
-    def store_is_away(self) -> None:
+    def on_store_unavailable(self) -> None:
         """The store did not answer; entries may lapse meanwhile."""
         self._store_back_ms = self._clock.now_ms()
 
-    def misdirected(self, target_id: str) -> None:
+    def mark_misdirected(self, target_id: str) -> None:
         """Another target has the address now: nothing more goes there."""
         if target_id in self._targets:
             self._misdirected.add(target_id)
--- a/samphiredock/coordination/forwarding/_merger.py
+++ b/samphiredock/coordination/forwarding/_merger.py
@@ -6,14 +6,14 @@
 import typing
 
 from samphiredock.coordination import background
-from samphiredock.coordination.forwarding import _asking
-from samphiredock.coordination.forwarding import _merge_gathering
+from samphiredock.coordination.forwarding import _report_batcher
 from samphiredock.coordination.forwarding import _request_log
+from samphiredock.coordination.forwarding import _target_client
 from samphiredock import metrics
 from samphiredock import protocol
 from samphiredock import timers
 
-_End = _merge_gathering.Part | protocol.EndedItem
+_End = _report_batcher.Part | protocol.EndedItem
 
 
 class _Gathered:
@@ -36,7 +36,7 @@
 
     Parameters
     ----------
-    asker
+    target_client
         Sends to one target.
     clock, counters
         The timers and metrics of this daemon.
@@ -44,17 +44,17 @@
 
     def __init__(
         self,
-        asker: _asking.TargetAsker,
+        target_client: _target_client.TargetClient,
         clock: timers.Timers,
         counters: metrics.Metrics,
     ) -> None:
-        self._asker = asker
+        self._target_client = target_client
         self._clock = clock
         self._metrics = counters
         self._log = _request_log.RequestLog(clock, counters)
         self._events: set[asyncio.Queue[_Event]] = set()
 
-    def give_up(self) -> None:
+    def finish_all(self) -> None:
         """End every order now: this daemon stops.
 
         The daemon that has the search learns at once that nothing more will
@@ -72,7 +72,7 @@
         self, order: protocol.MergeOrder
     ) -> typing.AsyncGenerator[protocol.MergeReport, None]:
         """Yield what comes of an order; closing this ends its exchanges."""
-        gathering = _merge_gathering.Gathering(order)
+        batcher = _report_batcher.ReportBatcher(order)
         events: asyncio.Queue[_Event] = asyncio.Queue()
         request = order.request()
         tasks = [
@@ -90,11 +90,11 @@
         told = _Told(self._clock.now_ms())
         self._events.add(events)
         try:
-            while not gathering.is_over():
+            while not batcher.is_done():
                 event = await events.get()
                 if isinstance(event, _GivenUp):
                     return
-                report = _take(gathering, event)
+                report = _take(batcher, event)
                 if report is not None:
                     told.add(report)
                     yield report
@@ -128,7 +128,7 @@
         events: asyncio.Queue[_Event],
     ) -> None:
         sent_ms = self._clock.now_ms()
-        target = self._asker.target(item.target)
+        target = self._target_client.target(item.target)
         if target is None or target.service != item.service or target.leaving:
             self._metrics.add('order_items_refused')
             events.put_nowait(
@@ -140,14 +140,14 @@
                 )
             )
             return
-        asked = await self._asker.ask(request, item.target, left_ms)
+        asked = await self._target_client.send(request, item.target, left_ms)
         took_ms = self._clock.now_ms() - sent_ms
         if asked.status is protocol.SubStatus.ANSWERED:
             assert asked.reply is not None
             receipt = asked.reply.receipt or ''
             body = asked.reply.reply.body
             events.put_nowait(
-                _merge_gathering.Part(item.number, receipt, took_ms, body)
+                _report_batcher.Part(item.number, receipt, took_ms, body)
             )
             return
         events.put_nowait(
@@ -160,7 +160,7 @@
         )
         # Not in this task, which ends with the order.
         background.start(
-            self._asker.look_for_crash(request, item.target, asked),
+            self._target_client.look_for_crash(request, item.target, asked),
             'look for a crash',
         )
 
@@ -181,11 +181,11 @@
 
 
 def _take(
-    gathering: _merge_gathering.Gathering, event: _End | _Gathered
+    batcher: _report_batcher.ReportBatcher, event: _End | _Gathered
 ) -> protocol.MergeReport | None:
-    """Give an event to the gathering; return what is to be reported."""
+    """Give an event to the batcher; return what is to be reported."""
     if isinstance(event, _Gathered):
-        return gathering.on_gathered()
+        return batcher.on_gather_timeout()
     if isinstance(event, protocol.EndedItem):
-        return gathering.on_failure(event)
-    return gathering.on_part(event)
+        return batcher.on_failure(event)
+    return batcher.on_part(event)
--- a/samphiredock/coordination/forwarding/_merge_ways.py
+++ b/samphiredock/coordination/forwarding/_merger_assignments.py
@@ -12,7 +12,7 @@
 from samphiredock.coordination.targets import _replicas
 from samphiredock import state
 
-LEAST_PARTS = 4
+MIN_PARTS = 4
 """Parts of one site from which on an order is worth its hop.  An order costs
 some 700 bytes of heads, and 25 bytes out and 30 back a part; a part of a
 shard that travels alone costs 600 bytes of heads and up to 1,000 of records.
@@ -20,7 +20,7 @@
 one daemon more, which may be busy or die."""
 
 
-class MergeWays:
+class MergerAssignments:
     """Routes of one search: through whom each target is asked.
 
     Parameters
@@ -59,7 +59,7 @@
         """A daemon that was to ask a target does not know it, or not yet."""
         self._direct.add(target)
 
-    def give_up(self, merger: str) -> None:
+    def drop_merger(self, merger: str) -> None:
         """Ask directly what a daemon was to ask that does not."""
         self._mergers = {
             site: name
@@ -68,7 +68,7 @@
         }
 
 
-def sites_to_order(
+def sites_for_orders(
     site: str,
     shards: typing.Iterable[typing.Sequence[str]],
     targets: _live_targets.LiveTargets,
@@ -92,7 +92,7 @@
             continue
         for other in sites:
             expected[other] += 1.0 / len(sites)
-    return [name for name, parts in expected.items() if parts >= LEAST_PARTS]
+    return [name for name, parts in expected.items() if parts >= MIN_PARTS]
 
 
 def choose_mergers(
--- a/samphiredock/coordination/forwarding/_orders.py
+++ b/samphiredock/coordination/forwarding/_order_client.py
@@ -7,7 +7,7 @@
 
 from samphiredock.coordination.forwarding import _forward_types
 from samphiredock.coordination.forwarding import _live_targets
-from samphiredock.coordination.forwarding import _merge_ways
+from samphiredock.coordination.forwarding import _merger_assignments
 from samphiredock.coordination.targets import _replicas
 from samphiredock import logs
 from samphiredock import metrics
@@ -26,7 +26,7 @@
 _log = logs.logger('orders')
 
 
-class Orders:
+class OrderClient:
     """Sends orders.
 
     Parameters
@@ -61,15 +61,17 @@
         self._clock = clock
         self._metrics = counters
 
-    def ways(
+    def assign_mergers(
         self, shards: typing.Sequence[state.Shard]
-    ) -> _merge_ways.MergeWays:
+    ) -> _merger_assignments.MergerAssignments:
         """Return through whom the targets of one search are asked."""
-        sites = _merge_ways.sites_to_order(
+        sites = _merger_assignments.sites_for_orders(
             self._site, [row.replicas for row in shards], self._targets
         )
-        mergers = _merge_ways.choose_mergers(sites, self._peers, self._loads)
-        return _merge_ways.MergeWays(self._targets, mergers)
+        mergers = _merger_assignments.choose_mergers(
+            sites, self._peers, self._loads
+        )
+        return _merger_assignments.MergerAssignments(self._targets, mergers)
 
     async def send(
         self,
@@ -127,12 +129,12 @@
         """Return what became of the targets that were not reported."""
         if isinstance(reply, result.Success):
             if reply.unwrap().status == 200:
-                self._succeeded(merger)
+                self._on_success(merger)
                 return _Status.ORDER_LOST
-            self._failed(merger, f'refused with {reply.unwrap().status}')
+            self._on_failure(merger, f'refused with {reply.unwrap().status}')
             return _Status.NOT_ORDERED
         error = reply.failure()
-        self._failed(merger, error.detail)
+        self._on_failure(merger, error.detail)
         if error.kind is _Kind.UNREACHABLE and self._peers.get(merger):
             record = self._peers.record(merger)
             record.on_failure(True, self._clock.now_ms())
@@ -141,18 +143,18 @@
             return _Status.NOT_ORDERED
         return _Status.ORDER_LOST
 
-    def _succeeded(self, merger: str) -> None:
+    def _on_success(self, merger: str) -> None:
         """One that was lost gets hand-overs and orders again."""
         if self._peers.get(merger):
             record = self._peers.record(merger)
             record.on_answer(1, 0.0, self._clock.now_ms())
 
-    def is_late(self, merger: str) -> None:
+    def on_late(self, merger: str) -> None:
         """A daemon has reported nothing in time: others come first."""
         self._metrics.add('orders_late')
         self._loads.failed(merger)
 
-    def _failed(self, merger: str, why: str) -> None:
+    def _on_failure(self, merger: str, why: str) -> None:
         self._metrics.add('orders_failed')
         self._loads.failed(merger)
         _log.info('order failed', daemon=merger, why=why)
--- /dev/null
+++ b/samphiredock/coordination/forwarding/_order_tracker.py
@@ -0,0 +1,319 @@
+"""Orders of flights: what is sent, and what their reports bring."""
+
+import asyncio
+import typing
+
+from samphiredock.coordination.forwarding import _order_client
+from samphiredock.coordination.forwarding import _pending_requests
+from samphiredock.coordination.forwarding import _target_client
+from samphiredock import logs
+from samphiredock import protocol
+from samphiredock import timers
+
+REPORT_TRANSIT_MS = 5.0
+"""What the first report of an order takes to its search, when an answer is
+due: 1.4 ms between sites and two busy loops."""
+
+REPORT_GRACE_MS = 15.0
+"""How much later than due a first report may come before its daemon is given
+up for the search and its shards are hedged by another way: 3 ms between sites
+there and back, 3 to 4 ms to send 20 requests and merge as many parts, the same
+for another search that came first.  With 5 to 8 ms five in 24 orders of a calm
+day were taken for lost (log of one daemon, 12 s).  A daemon that died with an
+order costs its search this wait and a hedge."""
+
+_MIN_GATHER_MS = 1.0
+
+HEDGE_DELAY_MS = 1.0
+"""Between giving a silent daemon up and hedging its shards: others that are
+silent as well are given up by then, and the hedges go through none of them."""
+
+_Status = protocol.SubStatus
+
+_log = logs.logger('orders')
+
+
+class OrderTracker:
+    """Sends the orders of flights, and takes their reports in.
+
+    Parameters
+    ----------
+    target_client
+        Keeps the records of targets, also of those that others ask.
+    orders
+        Sends one order; None: none is ever sent.
+    clock
+        The timers of this daemon.
+    take
+        Takes the ends of a pending's attempts.
+    on_late
+        Takes attempts that are late where they were asked.
+    on_silent
+        Takes attempts of a daemon that has reported nothing in time.
+    """
+
+    def __init__(
+        self,
+        target_client: _target_client.TargetClient,
+        orders: _order_client.OrderClient | None,
+        clock: timers.Timers,
+        take: typing.Callable[
+            [_pending_requests.PendingRequest, list[protocol.SubAnswer]], None
+        ],
+        on_late: typing.Callable[
+            [_pending_requests.PendingRequest, list[str]], None
+        ],
+        on_silent: typing.Callable[
+            [_pending_requests.PendingRequest, list[str]], None
+        ],
+    ) -> None:
+        self._target_client = target_client
+        self._order_client = orders
+        self._clock = clock
+        self._on_results = take
+        self._on_late = on_late
+        self._on_silent = on_silent
+
+    def send(
+        self,
+        pending: _pending_requests.PendingRequest,
+        merger: str,
+        items: list[protocol.SubQuery],
+        is_gathering: bool,
+    ) -> None:
+        """Order a daemon to send these attempts.
+
+        ``is_gathering`` is true for first attempts, the only ones whose results
+        may come back merged: see :class:`ReportBatcher`.
+        """
+        waiting = {_number_of(item.attempt_id): item for item in items}
+        sent_order = _pending_requests.SentOrder(merger, waiting, is_gathering)
+        if is_gathering:
+            pending.parts.expect_merged(item.shard_id for item in items)
+        for item in items:
+            pending.sent_orders[item.attempt_id] = sent_order
+        order = self._make_order(pending, items, is_gathering)
+        sent_order.task = asyncio.create_task(
+            self._run_order(pending, sent_order, order)
+        )
+        if is_gathering:
+            self._clock.after(
+                order.gather_ms + REPORT_GRACE_MS,
+                lambda: self._check_reported(pending, sent_order),
+            )
+
+    def _check_reported(
+        self,
+        pending: _pending_requests.PendingRequest,
+        sent_order: _pending_requests.SentOrder,
+    ) -> None:
+        """Expect nothing of a daemon that has reported nothing in time.
+
+        It may be frozen.  Hedges that went through it would hang as well.
+        """
+        if (
+            sent_order.has_reported
+            or pending.done.done()
+            or pending.assignments is None
+        ):
+            return
+        pending.assignments.drop_merger(sent_order.merger)
+        assert self._order_client is not None
+        self._order_client.on_late(sent_order.merger)
+        pending.trace.add(
+            self._clock.now_ms(), 'order late', by=sent_order.merger
+        )
+        self._clock.after(
+            HEDGE_DELAY_MS, lambda: self._hedge_silent(pending, sent_order)
+        )
+
+    def _hedge_silent(
+        self,
+        pending: _pending_requests.PendingRequest,
+        sent_order: _pending_requests.SentOrder,
+    ) -> None:
+        if not sent_order.has_reported and not pending.done.done():
+            silent = [item.attempt_id for item in sent_order.waiting.values()]
+            self._on_silent(pending, silent)
+
+    def _make_order(
+        self,
+        pending: _pending_requests.PendingRequest,
+        items: list[protocol.SubQuery],
+        is_gathering: bool,
+    ) -> protocol.MergeOrder:
+        now_ms = self._clock.now_ms()
+        plan = pending.plan
+        gather_ms = 0.0
+        if is_gathering:
+            left_ms = plan.scatter.answer_by_ms - now_ms - REPORT_TRANSIT_MS
+            gather_ms = min(pending.scatter.gather_ms(), left_ms)
+            gather_ms = max(gather_ms, _MIN_GATHER_MS)
+        request = plan.request
+        return protocol.MergeOrder(
+            request.request_id,
+            request.method,
+            request.host,
+            request.path,
+            request.headers,
+            request.body,
+            max(1.0, plan.scatter.deadline_at_ms - now_ms),
+            gather_ms,
+            plan.route.top,
+            pending.parts.floor(),
+            tuple(
+                protocol.OrderedItem(
+                    _number_of(item.attempt_id), item.shard_id, item.target
+                )
+                for item in items
+            ),
+        )
+
+    async def _run_order(
+        self,
+        pending: _pending_requests.PendingRequest,
+        sent_order: _pending_requests.SentOrder,
+        order: protocol.MergeOrder,
+    ) -> None:
+        assert (
+            self._order_client is not None and pending.assignments is not None
+        )
+        status = await self._order_client.send(
+            sent_order.merger,
+            order,
+            lambda report: self._on_report(pending, sent_order, report),
+        )
+        if sent_order.waiting:
+            self._on_lost(pending, sent_order, status)
+
+    def _on_lost(
+        self,
+        pending: _pending_requests.PendingRequest,
+        sent_order: _pending_requests.SentOrder,
+        status: protocol.SubStatus,
+    ) -> None:
+        """Expect nothing more of an order."""
+        assert pending.assignments is not None
+        pending.assignments.drop_merger(sent_order.merger)
+        items = list(sent_order.waiting.values())
+        sent_order.waiting.clear()
+        pending.parts.expect_no_merged(item.shard_id for item in items)
+        why = f'order to {sent_order.merger}'
+        self._on_results(
+            pending,
+            [
+                _pending_requests.make_sub_answer(item, status, detail=why)
+                for item in items
+            ],
+        )
+
+    def _on_report(
+        self,
+        pending: _pending_requests.PendingRequest,
+        sent_order: _pending_requests.SentOrder,
+        report: protocol.MergeReport,
+    ) -> None:
+        if sent_order.is_broken or pending.done.done():
+            return
+        sent_order.has_reported = True
+        numbers = [row.number for row in (*report.merged, *report.ended)]
+        unknown = set(numbers) - set(sent_order.waiting)
+        if unknown or len(set(numbers)) < len(numbers):
+            # Records of an attempt that was not ordered, or was reported
+            # before, cannot be taken out of the merged part, and later
+            # reports build on it.
+            sent_order.is_broken = True
+            _log.error(
+                'report', daemon=sent_order.merger, unknown=sorted(unknown)
+            )
+            self._on_lost(pending, sent_order, _Status.ORDER_LOST)
+            return
+        answers = [
+            *self._add_merged(pending, sent_order, report),
+            *self._end_failed(pending, sent_order, report),
+        ]
+        self._on_results(pending, answers)
+        if report.is_late:
+            self._hedge_late(pending, sent_order)
+
+    def _add_merged(
+        self,
+        pending: _pending_requests.PendingRequest,
+        sent_order: _pending_requests.SentOrder,
+        report: protocol.MergeReport,
+    ) -> list[protocol.SubAnswer]:
+        """Keep what a report brings; return the ends of its attempts."""
+        items = [sent_order.waiting.pop(row.number) for row in report.merged]
+        receipts = {
+            item.shard_id: row.receipt
+            for item, row in zip(items, report.merged)
+        }
+        if items and sent_order.is_gathering:
+            sent_order.is_gathering = False
+            pending.parts.add_merged(receipts, report.records)
+            pending.parts.expect_no_merged(
+                item.shard_id for item in sent_order.waiting.values()
+            )
+        else:
+            for shard, receipt in receipts.items():
+                pending.parts.add(shard, receipt, report.records)
+        return [
+            self._observe(item, _Status.ANSWERED, row.took_us)
+            for item, row in zip(items, report.merged)
+        ]
+
+    def _end_failed(
+        self,
+        pending: _pending_requests.PendingRequest,
+        sent_order: _pending_requests.SentOrder,
+        report: protocol.MergeReport,
+    ) -> list[protocol.SubAnswer]:
+        assert pending.assignments is not None
+        items = [sent_order.waiting.pop(row.number) for row in report.ended]
+        for item, row in zip(items, report.ended):
+            if row.status is _Status.NOT_ORDERED:
+                pending.assignments.ask_directly(item.target)
+        pending.parts.expect_no_merged(item.shard_id for item in items)
+        return [
+            self._observe(item, row.status, row.took_us, row.detail)
+            for item, row in zip(items, report.ended)
+        ]
+
+    def _hedge_late(
+        self,
+        pending: _pending_requests.PendingRequest,
+        sent_order: _pending_requests.SentOrder,
+    ) -> None:
+        """No merged part will come any more; hedge what is late."""
+        sent_order.is_gathering = False
+        items = list(sent_order.waiting.values())
+        pending.parts.expect_no_merged(item.shard_id for item in items)
+        self._on_late(pending, [item.attempt_id for item in items])
+
+    def _observe(
+        self,
+        item: protocol.SubQuery,
+        status: protocol.SubStatus,
+        took_us: int,
+        detail: str = '',
+    ) -> protocol.SubAnswer:
+        """Take what another daemon saw of a target into its record."""
+        took_ms = took_us / 1000.0
+        self._target_client.record_result(item.target, status, took_ms)
+        return _pending_requests.make_sub_answer(item, status, took_ms, detail)
+
+    def drop(
+        self, pending: _pending_requests.PendingRequest, attempt_id: str
+    ) -> None:
+        """End an order once none of its attempts is needed any more."""
+        order = pending.sent_orders[attempt_id]
+        order.unwanted.add(_number_of(attempt_id))
+        if order.task is not None and order.unwanted >= set(order.waiting):
+            self._clock.after(
+                _pending_requests.LOSER_GRACE_MS, order.task.cancel
+            )
+
+
+def _number_of(attempt_id: str) -> int:
+    """Return what tells an attempt apart within its search."""
+    return int(attempt_id.rpartition('.')[2])
--- a/samphiredock/coordination/forwarding/_end_notes.py
+++ b/samphiredock/coordination/forwarding/_outcome_log.py
@@ -1,17 +1,17 @@
 """What log and metrics tell of the end of a request that is passed on."""
 
-from samphiredock.coordination.forwarding import _flights
+from samphiredock.coordination.forwarding import _pending_requests
 from samphiredock.coordination.forwarding import _request_log
 from samphiredock.coordination.search import _scatter_types
 from samphiredock import metrics
 from samphiredock import protocol
 from samphiredock import timers
 
-_NAMED = 8
+_MAX_SHARDS_LOGGED = 8
 """Shards that a log line names at most; the count says how many more."""
 
 
-class EndNotes:
+class OutcomeLog:
     """Notes of ends.
 
     Parameters
@@ -31,7 +31,7 @@
         """Write the lines that wait."""
         self._log.write()
 
-    def refused(
+    def log_refused(
         self,
         request: protocol.ForwardRequest,
         refusal: protocol.NotRun,
@@ -50,16 +50,18 @@
         )
         return refusal
 
-    def ended(
-        self, flight: _flights.Flight, outcome: protocol.ForwardOutcome | None
+    def log_ended(
+        self,
+        pending: _pending_requests.PendingRequest,
+        outcome: protocol.ForwardOutcome | None,
     ) -> None:
-        """Tell of the end of a flight; None if its caller has left."""
-        plan = flight.plan
+        """Tell of the end of a pending; None if its caller has left."""
+        plan = pending.plan
         name = type(outcome).__name__.lower() if outcome else 'caller left'
-        took_ms = self._clock.now_ms() - flight.trail.started_ms
+        took_ms = self._clock.now_ms() - pending.trace.started_ms
         labels = {'service': plan.route.name, 'request_class': name}
         self._metrics.observe('request_latency_ms', took_ms, **labels)
-        tally = flight.scatter.tally
+        tally = pending.scatter.tally
         for counter in _scatter_types.COUNTED:
             amount = getattr(tally, counter)
             if amount:
@@ -70,7 +72,7 @@
         in_time = took_ms <= plan.route.aim_ms
         self._log.end(
             plan.request.request_id,
-            flight.trail,
+            pending.trace,
             served and in_time and not missing and status < 300,
             outcome=name,
             status=status if served else None,
@@ -80,7 +82,7 @@
             aim_ms=plan.route.aim_ms,
             shards=len(plan.services),
             missing=missing,
-            unanswered=flight.unanswered()[:_NAMED],
+            unanswered=pending.unanswered()[:_MAX_SHARDS_LOGGED],
             hedges=tally.hedges_sent,
             hedges_denied=tally.hedges_denied,
             retries=tally.retries,
--- a/samphiredock/coordination/forwarding/_flights.py
+++ b/samphiredock/coordination/forwarding/_pending_requests.py
@@ -5,7 +5,7 @@
 import math
 
 from samphiredock.coordination.forwarding import _collected_parts
-from samphiredock.coordination.forwarding import _merge_ways
+from samphiredock.coordination.forwarding import _merger_assignments
 from samphiredock.coordination.forwarding import _request_log
 from samphiredock.coordination.forwarding import _route_plans
 from samphiredock.coordination.search import _scatter
@@ -31,16 +31,16 @@
     target: str
     sent_ms: float
     task: asyncio.Task | None = None
-    lingers: bool = False
-    has_gone_out: bool = False
+    is_dropped: bool = False
+    is_sent: bool = False
 
-    def go_out(self) -> None:
+    def mark_sent(self) -> None:
         """The target gets the request now."""
-        self.has_gone_out = True
+        self.is_sent = True
 
 
 @dataclasses.dataclass(slots=True)
-class OrderOut:
+class SentOrder:
     """An order that has not ended.
 
     ``waiting`` are the attempts that no report has named, ``unwanted``
@@ -50,7 +50,7 @@
 
     merger: str
     waiting: dict[int, protocol.SubQuery]
-    gathers: bool
+    is_gathering: bool
     unwanted: set[int] = dataclasses.field(default_factory=set)
     has_reported: bool = False
     is_broken: bool = False
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Flight:
+class PendingRequest:
     """One request that has no outcome yet.
 
     ``ways`` says through whom its targets are asked, None if each is asked
@@ -69,13 +69,13 @@
     plan: _route_plans.ForwardPlan
     scatter: _scatter.Scatter
     done: asyncio.Future
-    trail: _request_log.Trail
+    trace: _request_log.Trail
     timer: timers.Subscription | None = None
-    ways: _merge_ways.MergeWays | None = None
-    armed_ms: float = math.inf
+    assignments: _merger_assignments.MergerAssignments | None = None
+    timer_due_ms: float = math.inf
     parts: _collected_parts.CollectedParts = dataclasses.field(init=False)
     shard_of: dict[str, str] = dataclasses.field(default_factory=dict)
-    orders: dict[str, OrderOut] = dataclasses.field(default_factory=dict)
+    sent_orders: dict[str, SentOrder] = dataclasses.field(default_factory=dict)
     replies: dict[str, protocol.TargetReply] = dataclasses.field(
         default_factory=dict
     )
@@ -95,7 +95,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class UnderWay:
+class PendingSummary:
     """A request that has no outcome yet, for the log.
 
     ``at`` are the targets that have it, and the daemons with orders for it;
@@ -108,58 +108,62 @@
     no_connection: tuple[str, ...] = ()
 
 
-def under_way(flight: Flight, now_ms: float) -> UnderWay:
-    """Return what a flight waits for."""
+def summarize(pending: PendingRequest, now_ms: float) -> PendingSummary:
+    """Return what a pending waits for."""
     waited_for = [
         exchange
-        for exchange in flight.exchanges.values()
-        if not exchange.lingers
+        for exchange in pending.exchanges.values()
+        if not exchange.is_dropped
     ]
-    at = {row.target for row in waited_for if row.has_gone_out}
-    at.update(out.merger for out in flight.orders.values() if out.waiting)
-    unsent = {row.target for row in waited_for if not row.has_gone_out}
-    return UnderWay(
-        flight.plan.request.request_id,
-        round(now_ms - flight.trail.started_ms, 1),
+    at = {row.target for row in waited_for if row.is_sent}
+    at.update(
+        sent_order.merger
+        for sent_order in pending.sent_orders.values()
+        if sent_order.waiting
+    )
+    unsent = {row.target for row in waited_for if not row.is_sent}
+    return PendingSummary(
+        pending.plan.request.request_id,
+        round(now_ms - pending.trace.started_ms, 1),
         tuple(sorted(at)),
         tuple(sorted(unsent)),
     )
 
 
 def outcome_of(
-    flight: Flight, finish: _scatter_types.Finish, now_ms: float
+    pending: PendingRequest, finish: _scatter_types.Finish, now_ms: float
 ) -> protocol.ForwardOutcome:
-    """Return what the caller is told at the end of a flight.
+    """Return what the caller is told at the end of a pending.
 
     Parameters
     ----------
-    flight, finish
+    pending, finish
         The request, and how its scatter ended.
     now_ms
         A request that is still unanswered at its deadline has timed out.
     """
-    plan = flight.plan
+    plan = pending.plan
     outcome = finish.outcome
     if isinstance(outcome, protocol.Answered | protocol.Partial):
         if not plan.is_gather:
             accepted = finish.accepted[0].attempt_id
-            return protocol.Passed(flight.replies[accepted].reply)
-        receipts = flight.parts.receipts()
+            return protocol.Passed(pending.replies[accepted].reply)
+        receipts = pending.parts.receipts()
         return protocol.Gathered(
             receipts,
             len(plan.services) - len(receipts),
-            flight.parts.body(),
+            pending.parts.body(),
         )
     if isinstance(outcome, protocol.NotRun):
         return outcome
-    if flight.failure is not None and not plan.is_gather:
-        return protocol.Passed(flight.failure.reply)
+    if pending.failure is not None and not plan.is_gather:
+        return protocol.Passed(pending.failure.reply)
     if now_ms >= plan.scatter.deadline_at_ms:
         return protocol.TimedOut(outcome.detail)
     return outcome
 
 
-def answer_to(
+def make_sub_answer(
     item: protocol.SubQuery,
     status: protocol.SubStatus,
     took_ms: float = 0.0,
--- a/samphiredock/coordination/forwarding/_presence.py
+++ b/samphiredock/coordination/forwarding/_presence.py
@@ -91,7 +91,7 @@
         """Return the daemons of the newest list, empty before the first."""
         return self._daemons
 
-    def introduced(self, daemons: tuple[_roles.Daemon, ...]) -> bool:
+    def on_introduction(self, daemons: tuple[_roles.Daemon, ...]) -> bool:
         """Take what another daemon tells; True if it is of use.
 
         It is only while the list has not been read: what others have seen
@@ -109,7 +109,7 @@
         """Register and list in the background."""
         self._task = background.start(self._run(), 'presence')
 
-    async def listed_once(self) -> None:
+    async def wait_listed(self) -> None:
         """Wait until the list has been asked for once."""
         await self._first.wait()
 
--- a/samphiredock/coordination/forwarding/_merge_gathering.py
+++ b/samphiredock/coordination/forwarding/_report_batcher.py
@@ -27,7 +27,7 @@
     body: bytes
 
 
-class Gathering:
+class ReportBatcher:
     """The attempts of one order that have not been reported.
 
     Parameters
@@ -40,39 +40,39 @@
         self._top = order.top
         self._floor = order.floor
         self._open = {item.number for item in order.items}
-        self._held: list[Part] = []
-        self._gathers = order.gather_ms > 0.0
+        self._parts: list[Part] = []
+        self._is_gathering = order.gather_ms > 0.0
 
-    def is_over(self) -> bool:
+    def is_done(self) -> bool:
         """Whether every attempt has been reported."""
-        return not self._open and not self._held
+        return not self._open and not self._parts
 
     def on_part(self, part: Part) -> protocol.MergeReport | None:
         """Take a part in; return what to report now, if anything."""
         self._open.discard(part.number)
-        self._held.append(part)
-        if self._gathers and self._open:
+        self._parts.append(part)
+        if self._is_gathering and self._open:
             return None
         return self._report((), is_late=False)
 
     def on_failure(self, ended: protocol.EndedItem) -> protocol.MergeReport:
         """Return the report of an attempt that gave no part."""
         self._open.discard(ended.number)
-        if self._gathers and self._open:
+        if self._is_gathering and self._open:
             return protocol.MergeReport(ended=(ended,))
         return self._report((ended,), is_late=False)
 
-    def on_gathered(self) -> protocol.MergeReport | None:
+    def on_gather_timeout(self) -> protocol.MergeReport | None:
         """The time to gather is over; None if all has been reported."""
-        if not self._gathers or self.is_over():
+        if not self._is_gathering or self.is_done():
             return None
-        self._gathers = False
+        self._is_gathering = False
         return self._report((), is_late=True)
 
     def _report(
         self, ended: tuple[protocol.EndedItem, ...], is_late: bool
     ) -> protocol.MergeReport:
-        held, self._held = self._held, []
+        held, self._parts = self._parts, []
         records = _route_plans.merge_parts(
             [part.body for part in held], self._top, self._floor
         )
--- a/samphiredock/coordination/forwarding/_request_log.py
+++ b/samphiredock/coordination/forwarding/_request_log.py
@@ -77,7 +77,7 @@
         self.started_ms = started_ms
         self.decisions: list[Decision] = []
 
-    def note(self, now_ms: float, event: str, **facts: object) -> None:
+    def add(self, now_ms: float, event: str, **facts: object) -> None:
         """Keep one decision."""
         at_ms = round(now_ms - self.started_ms, 1)
         self.decisions.append(Decision(at_ms, event, facts))
--- a/samphiredock/coordination/forwarding/_roles.py
+++ b/samphiredock/coordination/forwarding/_roles.py
@@ -90,7 +90,7 @@
     return targets_by_site.get(site, 0) >= NEAR_SHARE * most
 
 
-def connections_of_one(most: int, daemons: int) -> int:
+def connections_per_daemon(most: int, daemons: int) -> int:
     """Return how many connections to a target one daemon may have.
 
     Parameters
@@ -146,7 +146,7 @@
         self.since_ms = now_ms
         return True
 
-    def stand_in(self, now_ms: float, for_ms: float) -> None:
+    def coordinate_temporarily(self, now_ms: float, for_ms: float) -> None:
         """Coordinate for a time, since no coordinator can be reached."""
         self._alone_until_ms = now_ms + for_ms
         if not self.coordinates:
--- a/samphiredock/coordination/forwarding/_routing.py
+++ b/samphiredock/coordination/forwarding/_routing.py
@@ -8,7 +8,7 @@
 _log = logs.logger('routing')
 
 
-class RoutingKnowledge:
+class RoutingState:
     """The newest routing table; an older one never comes back.
 
     A stale read, or an answer that was overtaken, may show an older version
--- a/samphiredock/coordination/forwarding/_asking.py
+++ b/samphiredock/coordination/forwarding/_target_client.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
+class ExchangeResult:
     """How an exchange ended; ``reply`` is None if there was no answer."""
 
     status: _Status
@@ -34,7 +34,7 @@
     reply: protocol.TargetReply | None = None
 
 
-class TargetAsker:
+class TargetClient:
     """Asks targets, and keeps their records.
 
     Parameters
@@ -68,7 +68,7 @@
         self._once_kept_ms = once_kept_ms
         self._crashes = crashes
 
-    async def ask(
+    async def send(
         self,
         request: protocol.ForwardRequest,
         target_id: str,
@@ -77,7 +77,7 @@
         hedge: bool = False,
         is_wanted: typing.Callable[[], bool] = lambda: True,
         on_send: typing.Callable[[], None] = lambda: None,
-    ) -> Asked:
+    ) -> ExchangeResult:
         """Send a request to a target once.
 
         Parameters
@@ -99,9 +99,9 @@
         """
         target = self._targets.get(target_id)
         if target is None:
-            return Asked(_Status.UNREACHABLE, 'gone')
+            return ExchangeResult(_Status.UNREACHABLE, 'gone')
         if hedge and not self._links.has_room(target):
-            return Asked(_Status.NO_IDLE_SLOT, 'no connection')
+            return ExchangeResult(_Status.NO_IDLE_SLOT, 'no connection')
         sent_ms = self._clock.now_ms()
         reply = await self._links.exchange(
             target,
@@ -116,13 +116,15 @@
         if isinstance(reply, result.Failure):
             error = reply.failure()
             status = _LINK_STATUS[error.kind]
-            self.observe(target_id, status, took_ms)
-            return Asked(status, error.detail)
+            self.record_result(target_id, status, took_ms)
+            return ExchangeResult(status, error.detail)
         read = self._dialect.read_reply(request, reply.unwrap())
-        self.observe(target_id, read.status, took_ms)
-        return Asked(read.status, read.detail, read)
+        self.record_result(target_id, read.status, took_ms)
+        return ExchangeResult(read.status, read.detail, read)
 
-    def observe(self, target_id: str, status: _Status, took_ms: float) -> None:
+    def record_result(
+        self, target_id: str, status: _Status, took_ms: float
+    ) -> None:
         """Take the end of an exchange into the record of its target."""
         if self._targets.get(target_id) is None:
             return
@@ -135,10 +137,13 @@
         elif status in (_Status.BROKEN, _Status.BAD_ANSWER):
             record.on_failure(False, now_ms)
         elif status is _Status.NOT_OWNER:
-            self._targets.misdirected(target_id)
+            self._targets.mark_misdirected(target_id)
 
     async def look_for_crash(
-        self, request: protocol.ForwardRequest, target_id: str, asked: Asked
+        self,
+        request: protocol.ForwardRequest,
+        target_id: str,
+        asked: ExchangeResult,
     ) -> None:
         """Tell a target that died from one that only lost an answer.
 
@@ -150,8 +155,8 @@
             return
         if await self._links.is_listening(target):
             return
-        self.observe(target_id, _Status.UNREACHABLE, 0.0)
-        self._crashes.found(
+        self.record_result(target_id, _Status.UNREACHABLE, 0.0)
+        self._crashes.report_loss(
             _crash_guard.Loss(
                 _crash_guard.fingerprint_of(request),
                 request.request_id,
--- a/samphiredock/daemon/_entry_knowledge.py
+++ b/samphiredock/daemon/_entry_knowledge.py
@@ -81,10 +81,10 @@
         self._settled = False
         self._settling_targets = 0
         self._settling_since_ms = 0.0
-        self.routing = forwarding.RoutingKnowledge()
+        self.routing = forwarding.RoutingState()
         self.targets = forwarding.LiveTargets(clock)
         self.peers = forwarding.LiveTargets(clock)
-        self.vouching = forwarding.Vouching()
+        self.vouching = forwarding.FreshnessCheck()
         self._role = forwarding.Role(
             settings.name, settings.coordinators_per_site
         )
@@ -114,7 +114,7 @@
         watcher.poll_stale(self._stale_period_ms)
         watcher.follow_pages(adapter.routing_prefix, self._on_routing)
         watcher.follow_pages(adapter.targets_prefix, self._on_targets)
-        watcher.on_outage(self.targets.store_is_away)
+        watcher.on_outage(self.targets.on_store_unavailable)
         return watcher
 
     # Life.
@@ -127,7 +127,7 @@
     async def _start_watching(self) -> None:
         # Most daemons of a large system never follow the targets; whether
         # this one does is known by the first list of the others.
-        await self._presence.listed_once()
+        await self._presence.wait_listed()
         self._watcher.start()
 
     async def leave(self) -> None:
@@ -169,7 +169,7 @@
         if table is None or parts is None:
             return 1
         most = table.connections.get(target.service, 1)
-        return forwarding.connections_of_one(most, parts)
+        return forwarding.connections_per_daemon(most, parts)
 
     def version(self) -> int:
         """Return the version of the routing table in force, 0 for none."""
@@ -241,11 +241,11 @@
 
     def introduced(self, daemons: tuple[forwarding.Daemon, ...]) -> bool:
         """Take what another daemon tells; True if it is of use."""
-        return self._presence.introduced(daemons)
+        return self._presence.on_introduction(daemons)
 
     def stand_in(self) -> None:
         """Coordinate for a time."""
-        self._role.stand_in(self._clock.now_ms(), _STAND_IN_MS)
+        self._role.coordinate_temporarily(self._clock.now_ms(), _STAND_IN_MS)
 
     async def knows(self, least_version: int, stale_ok: bool) -> bool:
         """Whether this daemon can serve others with a table that new.
@@ -263,7 +263,7 @@
             return False
         if not stale_ok and not self.hears_store():
             now_ms = self._clock.now_ms()
-            if not self.vouching.allows(self.version(), now_ms):
+            if not self.vouching.may_serve(self.version(), now_ms):
                 return False
         if self.version() >= least_version:
             return True
@@ -371,7 +371,9 @@
             listed.add(self._adapter.target_id(stored.key))
             read = self._adapter.read_target(stored.key, stored.value)
             if isinstance(read, result.Failure):
-                self.targets.unusable(self._adapter.target_id(stored.key))
+                self.targets.remove_unreadable(
+                    self._adapter.target_id(stored.key)
+                )
                 self._note_unreadable(stored.key, read.failure())
                 continue
             self._unreadable.discard(stored.key)
--- a/samphiredock/daemon/_entry_peers.py
+++ b/samphiredock/daemon/_entry_peers.py
@@ -62,14 +62,16 @@
     def start(self) -> None:
         """Begin to introduce the coordinators, and to watch for silence."""
         self._introduce_later()
-        self._clock.every(forwarding.ASK_EVERY_MS, self._ask_if_alone)
+        self._clock.every(
+            forwarding.FRESHNESS_CHECK_INTERVAL_MS, self._ask_if_alone
+        )
 
     # From others.
 
     def read(self, path: str, body: bytes) -> protocol.HttpReply | None:
         """Answer another daemon's notice or question, None if it is none."""
-        if path == forwarding.QUESTION_PATH:
-            return forwarding.vouch(
+        if path == forwarding.STORE_STATUS_PATH:
+            return forwarding.store_status_reply(
                 self._knowledge.version(), self._knowledge.hears_store()
             )
         reader = self._readers.get(path)
@@ -82,7 +84,7 @@
     def _take_loss(self, body: bytes) -> bool:
         loss = forwarding.read_loss(body)
         if loss is not None:
-            self._crashes.note(loss)
+            self._crashes.record_loss(loss)
         return loss is not None
 
     def _take_introduction(self, body: bytes) -> bool:
@@ -108,10 +110,12 @@
         peers = self._knowledge.peers.all()
         if not peers:
             return
-        asked = self._rng.sample(peers, min(forwarding.ASKED, len(peers)))
+        asked = self._rng.sample(
+            peers, min(forwarding.FRESHNESS_CHECK_PEERS, len(peers))
+        )
         replies = await asyncio.gather(*map(self._ask, asked))
         answers = [row for row in replies if row is not None]
-        standing = self._knowledge.vouching.take(answers, asked_ms)
+        standing = self._knowledge.vouching.record_round(answers, asked_ms)
         _log.info(
             'store not heard',
             asked=len(asked),
@@ -121,19 +125,23 @@
             newest=standing.newest if standing else None,
         )
 
-    async def _ask(self, peer: state.LiveTarget) -> forwarding.Vouch | None:
+    async def _ask(
+        self, peer: state.LiveTarget
+    ) -> forwarding.StoreStatus | None:
         reply = await self._links.exchange(
             peer,
-            forwarding.vouch_question(),
+            forwarding.store_status_request(),
             _QUESTION_LIMIT_MS,
             lambda reply: True,
         )
         if isinstance(reply, result.Failure):
             return None
-        return forwarding.read_vouch(reply.unwrap())
+        return forwarding.read_store_status(reply.unwrap())
 
     def _introduce_later(self) -> None:
-        wait_ms = forwarding.introduce_every_ms(len(self._knowledge.daemons()))
+        wait_ms = forwarding.introduction_interval_ms(
+            len(self._knowledge.daemons())
+        )
         self._clock.after(
             wait_ms,
             lambda: background.start(self._introduce(), 'introduce'),
@@ -141,7 +149,9 @@
 
     async def _introduce(self) -> None:
         try:
-            request = forwarding.introduction(self._knowledge.coordinators())
+            request = forwarding.introduction_request(
+                self._knowledge.coordinators()
+            )
             for daemon in forwarding.successors(
                 self._knowledge.daemons(), self._name
             ):
--- a/samphiredock/daemon/_entry_service.py
+++ b/samphiredock/daemon/_entry_service.py
@@ -88,7 +88,7 @@
         )
         self._forwarder = self._make_forwarder()
         self._merger = forwarding.Merger(
-            self._forwarder.asker, clock, counters
+            self._forwarder.target_client, clock, counters
         )
         dialect = forwarding.HandoverDialect(knowledge.routing)
         self._handover = self._make_handover(dialect)
@@ -102,9 +102,9 @@
         )
         self._open_requests = 0
         self._has_given_up = False
-        knowledge.targets.on_gone(self._links.forget)
-        knowledge.targets.on_new(self._warm_later)
-        knowledge.peers.on_gone(self._peer_links.forget)
+        knowledge.targets.on_removed(self._links.forget)
+        knowledge.targets.on_added(self._warm_later)
+        knowledge.peers.on_removed(self._peer_links.forget)
 
     def start(self) -> None:
         """Begin to tell the neighbour who coordinates."""
@@ -114,7 +114,7 @@
         """Return how many requests have no answer yet."""
         return self._open_requests
 
-    def under_way(self) -> list[forwarding.UnderWay]:
+    def under_way(self) -> list[forwarding.PendingSummary]:
         """Return the requests that wait for targets or other daemons."""
         return [
             row
@@ -130,9 +130,9 @@
         """
         self._has_given_up = True
         self._knowledge.give_up()
-        self._merger.give_up()
+        self._merger.finish_all()
         for forwarder in self._forwarders:
-            forwarder.give_up()
+            forwarder.finish_all()
 
     def close(self) -> None:
         """Close the idle connections, and write the lines that wait."""
@@ -159,7 +159,7 @@
             settings.other_site_factor,
             self._clock.now_ms,
         )
-        knowledge.targets.on_gone(
+        knowledge.targets.on_removed(
             lambda target: replicas.forget(target.target_id)
         )
         tools = coordination.Tools(
@@ -187,9 +187,9 @@
             self._make_orders(),
         )
 
-    def _make_orders(self) -> forwarding.Orders:
+    def _make_orders(self) -> forwarding.OrderClient:
         settings = self._settings
-        return forwarding.Orders(
+        return forwarding.OrderClient(
             settings.site,
             self._knowledge.targets,
             self._knowledge.peers,
@@ -286,14 +286,18 @@
             return notice
         handed = forwarding.read_handed_over(headers)
         if handed is None:
-            return forwarding.refusal(handed, 'headers of the hop missing')
+            return forwarding.refusal_reply(
+                handed, 'headers of the hop missing'
+            )
         read = self._adapter.read_request(method, path, handed.headers, body)
         if isinstance(read, result.Failure):
-            return forwarding.refusal(handed, read.failure())
+            return forwarding.refusal_reply(handed, read.failure())
         if not await self._knowledge.knows(
             handed.least_version, handed.stale_ok
         ):
-            return forwarding.refusal(handed, 'behind, or no coordinator')
+            return forwarding.refusal_reply(
+                handed, 'behind, or no coordinator'
+            )
         self._open_requests += 1
         try:
             request = dataclasses.replace(
@@ -302,8 +306,8 @@
             outcome = await self._forwarder.forward(request, _HOP_MS)
         finally:
             self._open_requests -= 1
-        if forwarding.goes_elsewhere(outcome):
-            return forwarding.refusal(handed, outcome.detail)
+        if forwarding.can_retry_elsewhere(outcome):
+            return forwarding.refusal_reply(handed, outcome.detail)
         return forwarding.coordinator_reply(
             self._adapter.caller_reply(outcome),
             handed,
--- a/standins/memory_links.py
+++ b/standins/memory_links.py
@@ -163,7 +163,7 @@
         self.clock = clock or timers.ManualTimers()
         self.links = links or HandLinks()
         self.targets = forwarding.LiveTargets(self.clock)
-        self.routing = forwarding.RoutingKnowledge()
+        self.routing = forwarding.RoutingState()
         self.counters = metrics.Metrics('test')
         self.latencies = coordination.Latencies()
         self.budget = forwarding.WindowBudget(
@@ -204,7 +204,7 @@
             now_ms=self.clock.now_ms,
         )
 
-    def make_orders(self) -> forwarding.Orders | None:
+    def make_orders(self) -> forwarding.OrderClient | None:
         """Return what has other daemons ask targets; here nothing does."""
         return None
 
--- a/standins/memory_orders.py
+++ b/standins/memory_orders.py
@@ -152,14 +152,14 @@
             self.clock.now_ms,
         )
 
-    def make_orders(self) -> forwarding.Orders:
+    def make_orders(self) -> forwarding.OrderClient:
         """Return what sends this desk's orders."""
         loads = coordination.Replicas(
             random.Random(memory_links.SEED),
             lambda name: True,
             now_ms=self.clock.now_ms,
         )
-        return forwarding.Orders(
+        return forwarding.OrderClient(
             'here',
             self.targets,
             self.peers,
@@ -173,7 +173,7 @@
         self.peers.put(
             state.LiveTarget(name, 'coordinators', '127.0.0.1:1', site, 1)
         )
-        asker = forwarding.TargetAsker(
+        asker = forwarding.TargetClient(
             self.targets, memory_links.PlainDialect(), self.links, self.clock
         )
         self.mergers[name] = forwarding.Merger(
@@ -188,7 +188,7 @@
 
     def make_merger_ignorant(self, name: str) -> None:
         """Have a daemon that knows no targets yet."""
-        asker = forwarding.TargetAsker(
+        asker = forwarding.TargetClient(
             forwarding.LiveTargets(self.clock),
             memory_links.PlainDialect(),
             self.links,
--- a/tests/failure/test_crash_guard.py
+++ b/tests/failure/test_crash_guard.py
@@ -26,7 +26,7 @@
             forwarding.CrashGuard(
                 self.clock,
                 self.counters,
-                lambda loss, at=at: self.guards[1 - at].note(loss),
+                lambda loss, at=at: self.guards[1 - at].record_loss(loss),
             )
             for at in range(2)
         ]
@@ -37,7 +37,7 @@
         content = forwarding.fingerprint_of(request(path or '/a/poison'))
         for target in targets:
             loss = forwarding.Loss(content, request_id, target)
-            self.guards[guard].found(loss)
+            self.guards[guard].report_loss(loss)
 
     def _refused(self, guard: int, path: str = '/a/poison') -> bool:
         refusal = self.guards[guard].refusal(request(path))
--- a/tests/failure/test_given_up.py
+++ b/tests/failure/test_given_up.py
@@ -31,7 +31,7 @@
         self, task: asyncio.Task[protocol.ForwardOutcome]
     ) -> protocol.ForwardOutcome:
         """Give up; the outcome is there without any time passing."""
-        self.desk.forwarder.give_up()
+        self.desk.forwarder.finish_all()
         await memory_links.settle()
         self.assertTrue(task.done())
         return task.result()
@@ -89,7 +89,7 @@
 
     async def test_what_comes_later_is_sent_nowhere(self) -> None:
         """It is refused truly and at once; another daemon can run it."""
-        self.desk.forwarder.give_up()
+        self.desk.forwarder.finish_all()
         outcome = await self.desk.ask('/one/x')
         self.assertIsInstance(outcome, protocol.NotRun)
         self.assertIs(protocol.NotRunReason.SHUTTING_DOWN, outcome.reason)
@@ -97,16 +97,16 @@
 
     async def test_a_daemon_that_handed_it_over_may_ask_another(self) -> None:
         """It sees a refusal, and not the final answer of its caller."""
-        self.desk.forwarder.give_up()
+        self.desk.forwarder.finish_all()
         outcome = await self.desk.ask('/one/x')
-        self.assertTrue(forwarding.goes_elsewhere(outcome))
+        self.assertTrue(forwarding.can_retry_elsewhere(outcome))
 
     async def test_what_may_have_run_is_not_asked_again_elsewhere(
         self,
     ) -> None:
         """The daemon that handed it over passes the outcome on."""
         outcome = await self._give_up(await self._ask('/once/x'))
-        self.assertFalse(forwarding.goes_elsewhere(outcome))
+        self.assertFalse(forwarding.can_retry_elsewhere(outcome))
 
 
 class SightTest(unittest.IsolatedAsyncioTestCase):
@@ -124,7 +124,7 @@
         desk.links.busy = {'p-0'}
         tasks = [desk.ask('/one/x', f'id-{number}') for number in range(3)]
         await memory_links.settle()
-        rows = desk.forwarder.under_way()
+        rows = desk.forwarder.pending_requests()
         self.assertEqual(
             [('p-1',), ('p-2',)],
             sorted(row.at for row in rows if row.at),
@@ -133,5 +133,5 @@
             [('p-0',)],
             [row.no_connection for row in rows if row.no_connection],
         )
-        desk.forwarder.give_up()
+        desk.forwarder.finish_all()
         await asyncio.gather(*tasks)
--- a/tests/failure/test_merged_crossing.py
+++ b/tests/failure/test_merged_crossing.py
@@ -170,9 +170,9 @@
 
         They would stand in an answer whose receipts do not tell of them.
         """
-        sender = self.desk.forwarder._sender._order_flights
+        sender = self.desk.forwarder._sender._order_tracker
         taken = []
-        original = sender._take_report
+        original = sender._on_report
 
         def spoil(flight, out, report):
             if report.merged and not taken:
@@ -183,7 +183,7 @@
                 )
             original(flight, out, report)
 
-        sender._take_report = spoil
+        sender._on_report = spoil
         self.answer_all()
         for _ in range(12):
             await self.desk.advance(5.0)
@@ -375,7 +375,7 @@
         """
         await self._ask()
         stopping = self.links.seen[0].merger
-        self.desk.mergers[stopping].give_up()
+        self.desk.mergers[stopping].finish_all()
         await self._check_whole_by_hedges()
 
     async def test_a_target_of_another_service_is_not_asked(self) -> None:
@@ -410,7 +410,7 @@
         not end, so that it is given as many turns as a refusal needs.
         """
         merger = self.desk.mergers[self.links.seen[0].merger]
-        self.assertIsNotNone(merger._asker.target(target))
+        self.assertIsNotNone(merger._target_client.target(target))
         sent_before = len(self.desk.links.sent)
         order = protocol.MergeOrder(
             'id2', 'GET', 'h', '/all/x', (), b'', 100.0, 10.0, 5, b'',
@@ -507,15 +507,15 @@
         """
         desk = memory_orders.OrderDesk()
         found: list[forwarding.Loss] = []
-        crashes = mock.Mock(found=found.append)
-        asker = forwarding.TargetAsker(
+        crashes = mock.Mock(report_loss=found.append)
+        target_client = forwarding.TargetClient(
             desk.targets,
             memory_links.PlainDialect(),
             desk.links,
             desk.clock,
             crashes=crashes,
         )
-        merger = forwarding.Merger(asker, desk.clock, desk.counters)
+        merger = forwarding.Merger(target_client, desk.clock, desk.counters)
         order = protocol.MergeOrder(
             'id', 'GET', 'h', '/all/x', (), b'', 100.0, 10.0, 5, b'',
             (protocol.OrderedItem(1, 's1', 's1-0'),),
--- a/tests/unit/test_entry_knowledge.py
+++ b/tests/unit/test_entry_knowledge.py
@@ -125,7 +125,9 @@
         self.store.is_lost = True
         await self._advance(4_500.0)
         self.assertFalse(await self.knowledge.knows(0, False))
-        self._answer(forwarding.Vouch(0, True), forwarding.Vouch(0, False))
+        self._answer(
+            forwarding.StoreStatus(0, True), forwarding.StoreStatus(0, False)
+        )
         self.assertTrue(await self.knowledge.knows(0, False))
         await self._advance(2_000.0)
         self.assertFalse(await self.knowledge.knows(0, False))
@@ -134,7 +136,9 @@
         """A caller would see the change undone that it has just used."""
         self.store.is_lost = True
         await self._advance(4_500.0)
-        self._answer(forwarding.Vouch(1, True), forwarding.Vouch(0, True))
+        self._answer(
+            forwarding.StoreStatus(1, True), forwarding.StoreStatus(0, True)
+        )
         self.assertFalse(await self.knowledge.knows(0, False))
 
     async def test_it_serves_once_nobody_hears_the_store(self) -> None:
@@ -145,7 +149,9 @@
         self.store.is_lost = True
         await self._advance(4_500.0)
         self.assertTrue(self.knowledge.needs_vouching())
-        self._answer(forwarding.Vouch(7, False), forwarding.Vouch(0, False))
+        self._answer(
+            forwarding.StoreStatus(7, False), forwarding.StoreStatus(0, False)
+        )
         self.assertTrue(await self.knowledge.knows(0, False))
 
     async def test_no_answer_says_nothing(self) -> None:
@@ -181,8 +187,8 @@
         await self._advance(1_000.0)
         self.assertTrue(self.knowledge.hears_store())
 
-    def _answer(self, *answers: forwarding.Vouch) -> None:
-        self.knowledge.vouching.take(answers, self.clock.now_ms())
+    def _answer(self, *answers: forwarding.StoreStatus) -> None:
+        self.knowledge.vouching.record_round(answers, self.clock.now_ms())
 
     async def test_it_serves_when_all_have_lost_the_store(self) -> None:
         """Else an outage of the store would be one of everything."""
--- a/tests/unit/test_introduce.py
+++ b/tests/unit/test_introduce.py
@@ -38,7 +38,7 @@
         self.assertEqual([], forwarding.successors(self.daemons, 'c-1'))
 
     def test_what_is_told_is_read(self) -> None:
-        told = forwarding.introduction(self.daemons)
+        told = forwarding.introduction_request(self.daemons)
         self.assertEqual(
             tuple(self.daemons), forwarding.read_introduction(told.body)
         )
@@ -49,7 +49,7 @@
 
     def test_the_pace_falls_with_the_size(self) -> None:
         """The list of coordinators grows; the bytes a second must not."""
-        self.assertEqual(1_000.0, forwarding.introduce_every_ms(8))
+        self.assertEqual(1_000.0, forwarding.introduction_interval_ms(8))
         for daemons, sites in ((8, 3), (195, 5), (490, 8)):
             coordinators = [
                 forwarding.Daemon(
@@ -57,12 +57,12 @@
                 )
                 for number in range(min(daemons, 3 * sites))
             ]
-            body = forwarding.introduction(coordinators).body
-            seconds = forwarding.introduce_every_ms(daemons) / 1000.0
+            body = forwarding.introduction_request(coordinators).body
+            seconds = forwarding.introduction_interval_ms(daemons) / 1000.0
             # A sixth of the 6 KB/s that a daemon has for control.
             self.assertLess(len(body) / seconds, 1_000.0, daemons)
 
     def test_one_that_starts_is_told_soon(self) -> None:
         """It refuses its callers meanwhile; they wait for 2 s at most."""
-        self.assertLess(forwarding.introduce_every_ms(195), 2_000.0)
-        self.assertLess(forwarding.introduce_every_ms(490), 5_000.0)
+        self.assertLess(forwarding.introduction_interval_ms(195), 2_000.0)
+        self.assertLess(forwarding.introduction_interval_ms(490), 5_000.0)
--- a/tests/unit/test_live_targets.py
+++ b/tests/unit/test_live_targets.py
@@ -27,7 +27,7 @@
         self.clock = timers.ManualTimers(10_000.0)
         self.live = forwarding.LiveTargets(self.clock)
         self.gone: list[str] = []
-        self.live.on_gone(lambda row: self.gone.append(row.target_id))
+        self.live.on_removed(lambda row: self.gone.append(row.target_id))
         self.live.put(target('a'))
 
     def test_a_leaving_target_gets_no_new_work(self) -> None:
@@ -41,7 +41,7 @@
         """Callers wait while a daemon that starts reads 700 entries."""
         rows = [target(f't{number}', service='b') for number in range(5)]
         seen: list[list[str]] = []
-        self.live.on_new(lambda row: seen.append(self.live.of_service('b')))
+        self.live.on_added(lambda row: seen.append(self.live.of_service('b')))
         self.live.put_all([*rows, target('a', leaving=True)])
         names = [row.target_id for row in rows]
         self.assertEqual([names] * 5, seen)
@@ -62,7 +62,7 @@
         It returns without them; the targets run and register again within
         two seconds.
         """
-        self.live.store_is_away()
+        self.live.on_store_unavailable()
         self.live.keep_only(set())
         self.assertTrue(self.live.is_usable('a'))
         self.clock.advance(2_000.0)
@@ -72,7 +72,7 @@
 
     def test_what_is_not_back_after_the_wait_is_gone(self) -> None:
         """A target that ended during the outage never comes back."""
-        self.live.store_is_away()
+        self.live.on_store_unavailable()
         self.live.remove('a')
         self.clock.advance(2_499.0)
         self.assertTrue(self.live.is_usable('a'))
@@ -81,10 +81,10 @@
 
     def test_a_second_outage_begins_the_wait_anew(self) -> None:
         """Else the entry would be dropped while nobody can renew it."""
-        self.live.store_is_away()
+        self.live.on_store_unavailable()
         self.live.remove('a')
         self.clock.advance(2_000.0)
-        self.live.store_is_away()
+        self.live.on_store_unavailable()
         self.clock.advance(2_000.0)
         self.assertTrue(self.live.is_usable('a'))
         self.clock.advance(600.0)
@@ -92,7 +92,7 @@
 
     def test_a_misdirected_address_is_not_used_again(self) -> None:
         """Another target answers there now; the entry is only late."""
-        self.live.misdirected('a')
+        self.live.mark_misdirected('a')
         self.assertFalse(self.live.is_usable('a'))
 
     def test_a_lost_target_is_tried_again_after_a_pause(self) -> None:
@@ -111,7 +111,7 @@
         """
         self.live.put(target('b', born_ms=5))
         self.live.record('b').on_failure(True, self.clock.now_ms())
-        self.live.misdirected('b')
+        self.live.mark_misdirected('b')
         self.live.put(target('b', born_ms=6))
         self.assertEqual(['b'], self.gone)
         self.assertTrue(self.live.is_usable('b'))
@@ -122,8 +122,8 @@
     def test_an_entry_that_cannot_be_read_names_no_target(self) -> None:
         """Another writer's bytes stand where a target's entry was."""
         self.live.put(target('b'))
-        self.live.unusable('a')
-        self.live.unusable('never seen')
+        self.live.remove_unreadable('a')
+        self.live.remove_unreadable('never seen')
         self.assertEqual(['a'], self.gone)
         self.assertEqual(['b'], self.live.of_service('s'))
 
--- a/tests/unit/test_logs.py
+++ b/tests/unit/test_logs.py
@@ -75,7 +75,7 @@
 
     def _end(self, good: bool) -> None:
         trail = _request_log.Trail(self.clock.now_ms())
-        trail.note(self.clock.now_ms(), 'sent', target='t')
+        trail.add(self.clock.now_ms(), 'sent', target='t')
         self.log.end('id', trail, good, outcome='x')
 
     def test_good_requests_do_not_take_the_place_of_bad_ones(self) -> None:
@@ -105,7 +105,7 @@
             trail = _request_log.Trail(self.clock.now_ms())
             for _ in range(100):
                 self.clock.advance(1.0)
-                trail.note(self.clock.now_ms(), 'sent', target='t')
+                trail.add(self.clock.now_ms(), 'sent', target='t')
             self.log.end('id', trail, False, outcome='x')
             self.assertEqual(0, len(seen.records))
             self.clock.advance(20.0)
--- a/tests/unit/test_merge_ways.py
+++ b/tests/unit/test_merger_assignments.py
@@ -5,7 +5,7 @@
 
 from samphiredock import coordination
 from samphiredock.coordination import forwarding
-from samphiredock.coordination.forwarding import _merge_ways
+from samphiredock.coordination.forwarding import _merger_assignments
 from samphiredock import state
 from samphiredock import timers
 
@@ -42,17 +42,18 @@
         """What this site has itself crosses nowhere and counts nothing."""
         shards = self._shards(*['b'] * 4, *['ab'] * 9, *['c'] * 3)
         self.assertEqual(
-            ['b'], _merge_ways.sites_to_order('a', shards, self.targets)
+            ['b'],
+            _merger_assignments.sites_for_orders('a', shards, self.targets),
         )
 
     def test_a_shard_of_two_sites_counts_half_at_each(self) -> None:
         """It is asked at one of them."""
         shards = self._shards(*['bc'] * 8)
-        sites = _merge_ways.sites_to_order('a', shards, self.targets)
+        sites = _merger_assignments.sites_for_orders('a', shards, self.targets)
         self.assertEqual(['b', 'c'], sorted(sites))
         shards = self._shards(*['bc'] * 7)
         self.assertEqual(
-            [], _merge_ways.sites_to_order('a', shards, self.targets)
+            [], _merger_assignments.sites_for_orders('a', shards, self.targets)
         )
 
     def test_a_site_without_a_daemon_is_asked_directly(self) -> None:
@@ -60,9 +61,11 @@
         self._shards('d', 'b')
         for name in ('c-0', 'c-1'):
             self.peers.record(name).on_failure(True, self.clock.now_ms())
-        found = _merge_ways.choose_mergers('bcd', self.peers, self.loads)
+        found = _merger_assignments.choose_mergers(
+            'bcd', self.peers, self.loads
+        )
         self.assertEqual(['b'], list(found))
-        ways = _merge_ways.MergeWays(self.targets, found)
+        ways = _merger_assignments.MergerAssignments(self.targets, found)
         self.assertEqual('s0-d', ways.owner('s0-d'))
         self.assertEqual(found['b'], ways.owner('s1-b'))
         self.assertIsNone(ways.owner('unknown'))
@@ -70,8 +73,10 @@
     def test_a_daemon_that_is_given_up_is_not_used_again(self) -> None:
         """The rest of the search asks its targets directly."""
         self._shards('b')
-        ways = _merge_ways.MergeWays(self.targets, {'b': 'b-0'})
-        ways.give_up('b-0')
+        ways = _merger_assignments.MergerAssignments(
+            self.targets, {'b': 'b-0'}
+        )
+        ways.drop_merger('b-0')
         self.assertEqual('s0-b', ways.owner('s0-b'))
 
     def test_a_daemon_that_hangs_gets_few_orders(self) -> None:
@@ -79,7 +84,9 @@
         self.loads.sent('b-0')
         self.clock.advance(500.0)
         chosen = [
-            _merge_ways.choose_mergers('b', self.peers, self.loads)['b']
+            _merger_assignments.choose_mergers('b', self.peers, self.loads)[
+                'b'
+            ]
             for _ in range(200)
         ]
         self.assertLess(chosen.count('b-0'), 10)
--- a/tests/unit/test_presence.py
+++ b/tests/unit/test_presence.py
@@ -88,7 +88,7 @@
     ) -> None:
         """By a list that may be stale: it costs the store a tenth."""
         presence, store = self._start(7)
-        await asyncio.wait_for(presence.listed_once(), 5.0)
+        await asyncio.wait_for(presence.wait_listed(), 5.0)
         self.assertEqual([8], self.listed)
         self.assertEqual([True], store.stale)
         self.assertIn('samphiredock-daemons/me', store.objects)
@@ -101,7 +101,7 @@
         Taken for alone, it would follow all targets, as each of them.
         """
         presence, store = self._start(0)
-        await asyncio.wait_for(presence.listed_once(), 5.0)
+        await asyncio.wait_for(presence.wait_listed(), 5.0)
         self.assertEqual([True, False], store.stale)
         self.assertEqual(1, self.listed[-1])
         await presence.leave()
@@ -192,6 +192,6 @@
         """The daemon goes on to read for itself."""
         presence, store = self._start(7)
         store.is_down = True
-        await asyncio.wait_for(presence.listed_once(), 5.0)
+        await asyncio.wait_for(presence.wait_listed(), 5.0)
         self.assertEqual([], self.listed)
         await presence.leave()
--- a/tests/unit/test_roles.py
+++ b/tests/unit/test_roles.py
@@ -58,9 +58,9 @@
         counts the connections that it had.
         """
         for most, count in ((26, 8), (40, 8), (110, 8), (53, 6), (58, 8)):
-            each = forwarding.connections_of_one(most, count)
+            each = forwarding.connections_per_daemon(most, count)
             self.assertLessEqual(each * (count + 1), most)
-        self.assertEqual(1, forwarding.connections_of_one(26, 100))
+        self.assertEqual(1, forwarding.connections_per_daemon(26, 100))
 
     def test_equal_daemons_are_ranked_the_same_whatever_the_order(
         self,
@@ -88,7 +88,7 @@
         ]
         self.assertTrue(role.update(rows, 1_000.0))
         self.assertFalse(role.coordinates)
-        role.stand_in(2_000.0, 20_000.0)
+        role.coordinate_temporarily(2_000.0, 20_000.0)
         self.assertTrue(role.coordinates)
         self.assertEqual(2_000.0, role.since_ms)
         self.assertFalse(role.update(rows, 21_000.0))
@@ -101,7 +101,7 @@
 
     def setUp(self) -> None:
         """A daemon that holds version 4."""
-        self.routing = forwarding.RoutingKnowledge()
+        self.routing = forwarding.RoutingState()
         self.routing.offer(state.RoutingTable(4, (), {}, state.CallerLimits()))
         self.dialect = forwarding.HandoverDialect(self.routing)
         self.request = protocol.ForwardRequest(
@@ -151,7 +151,7 @@
 
     def test_a_coordinators_refusal_is_no_answer(self) -> None:
         """Another one is asked; nothing has run."""
-        reply = forwarding.refusal(self._handed(), 'behind')
+        reply = forwarding.refusal_reply(self._handed(), 'behind')
         read = self.dialect.read_reply(self.request, reply)
         self.assertIs(protocol.SubStatus.SHED, read.status)
 
