--- a/samphiredock/coordination/forwarding/_attempt_sender.py
+++ b/samphiredock/coordination/forwarding/_attempt_sender.py
@@ -10,7 +10,7 @@
 from samphiredock.coordination.forwarding import _pending_requests
 from samphiredock.coordination.forwarding import _target_client
 from samphiredock.coordination.search import _scatter_types
-from samphiredock.coordination.targets import _replicas
+from samphiredock.coordination.targets import _replica_selector
 from samphiredock import protocol
 from samphiredock import timers
 
@@ -36,7 +36,7 @@
         self,
         target_client: _target_client.TargetClient,
         orders: _order_client.OrderClient | None,
-        replicas: _replicas.Replicas,
+        replicas: _replica_selector.ReplicaSelector,
         clock: timers.Timers,
     ) -> None:
         self._target_client = target_client
@@ -188,7 +188,7 @@
         exchange = pending.exchanges.pop(attempt_id)
         if exchange.is_dropped:
             took_ms = self._clock.now_ms() - exchange.sent_ms
-            self._replicas.ended(exchange.target, took_ms)
+            self._replicas.record_ended(exchange.target, took_ms)
 
     def _drop(
         self, pending: _pending_requests.PendingRequest, attempt_id: str
@@ -208,7 +208,7 @@
         if exchange is None or exchange.task is None:
             return
         exchange.is_dropped = True
-        self._replicas.lingers(exchange.target, exchange.sent_ms)
+        self._replicas.keep_in_flight(exchange.target, exchange.sent_ms)
         self._clock.after(
             _pending_requests.LOSER_GRACE_MS, exchange.task.cancel
         )
@@ -238,7 +238,7 @@
             pending.parts.add(
                 item.shard_id, reply.receipt or '', reply.reply.body
             )
-        elif reply is not None and reply.may_be_passed:
+        elif reply is not None and reply.is_forwardable:
             pending.failure = reply
         self._on_result(pending, item, asked.status, asked.detail)
         await self._target_client.look_for_crash(request, item.target, asked)
--- a/standins/memory_links.py
+++ b/standins/memory_links.py
@@ -141,7 +141,7 @@
         elif reply.header('Refused'):
             status = protocol.SubStatus.SHED
         return protocol.TargetReply(
-            status, reply, receipt, may_be_passed=reply.status == 500
+            status, reply, receipt, is_forwardable=reply.status == 500
         )
 
 
@@ -196,9 +196,9 @@
             orders=self.make_orders(),
         )
 
-    def make_replicas(self) -> coordination.Replicas:
+    def make_replicas(self) -> coordination.ReplicaSelector:
         """Return the records of targets; here all are near."""
-        return coordination.Replicas(
+        return coordination.ReplicaSelector(
             random.Random(SEED),
             lambda target: True,
             now_ms=self.clock.now_ms,
--- a/standins/memory_orders.py
+++ b/standins/memory_orders.py
@@ -69,7 +69,7 @@
             return _failure(Kind.UNREACHABLE)
         if name in self.old:
             return result.Success(protocol.HttpReply(503))
-        order = protocol.read_order(request.body).unwrap()
+        order = protocol.decode_order(request.body).unwrap()
         seen = OrderSeen(name, order)
         self.seen.append(seen)
         assert on_chunk is not None
@@ -97,7 +97,7 @@
         spoils = name in self.garbled
         async with contextlib.aclosing(reports) as rows:
             async for report in rows:
-                chunk = protocol.encode_merging(report)
+                chunk = protocol.encode_merge_message(report)
                 on_chunk(b'\xc1' if spoils else chunk)
                 spoils = False
 
@@ -143,9 +143,9 @@
             state.LiveTarget(name, service, '127.0.0.1:1', site, 2, **changes)
         )
 
-    def make_replicas(self) -> coordination.Replicas:
+    def make_replicas(self) -> coordination.ReplicaSelector:
         """Return the records of targets; those of this site come first."""
-        return coordination.Replicas(
+        return coordination.ReplicaSelector(
             random.Random(memory_links.SEED),
             lambda name: self.targets.get(name).site == 'here',
             3.0,
@@ -154,7 +154,7 @@
 
     def make_orders(self) -> forwarding.OrderClient:
         """Return what sends this desk's orders."""
-        loads = coordination.Replicas(
+        loads = coordination.ReplicaSelector(
             random.Random(memory_links.SEED),
             lambda name: True,
             now_ms=self.clock.now_ms,
