--- a/samphiredock/coordination/forwarding/_order_tracker.py
+++ b/samphiredock/coordination/forwarding/_order_tracker.py
@@ -83,8 +83,8 @@
     ) -> None:
         """Order a daemon to send these attempts.
 
-        ``is_gathering`` is true for first attempts, the only ones whose results
-        may come back merged: see :class:`ReportBatcher`.
+        ``is_gathering`` is true for first attempts, the only ones whose
+        results may come back merged: see :class:`ReportBatcher`.
         """
         waiting = {_number_of(item.attempt_id): item for item in items}
         sent_order = _pending_requests.SentOrder(merger, waiting, is_gathering)
