--- a/samphiredock/coordination/targets/_exchanges.py
+++ b/samphiredock/coordination/targets/_exchanges.py
@@ -137,9 +137,9 @@
         if protocol.TargetStatus.OK in statuses:
             return _scheduler_types.ExchangeEnd.ANSWERED
         if statuses == {protocol.TargetStatus.NOT_LOADED}:
-            managed.scheduler.record.on_unloaded(self._clock.now_ms())
+            managed.scheduler.health.on_unloaded(self._clock.now_ms())
         elif statuses == {protocol.TargetStatus.SHED}:
-            managed.scheduler.record.on_shed(self._clock.now_ms())
+            managed.scheduler.health.on_shed(self._clock.now_ms())
         return _scheduler_types.ExchangeEnd.FREE
 
     async def _batch_failed(
@@ -203,7 +203,7 @@
             health = await managed.link.health(_PROBE_TIMEOUT_MS)
             lost_under = isinstance(health, result.Failure)
         unreachable = error.kind is transport.LinkErrorKind.UNREACHABLE
-        managed.scheduler.record.on_failure(
+        managed.scheduler.health.on_failure(
             unreachable or lost_under, self._clock.now_ms()
         )
         return lost_under
--- a/samphiredock/coordination/targets/_scheduler.py
+++ b/samphiredock/coordination/targets/_scheduler.py
@@ -78,7 +78,7 @@
         self._window_ends_ms = 0.0
         self._leaving = False
         self._released = False
-        self.record = _observed_health.ObservedHealth()
+        self.health = _observed_health.ObservedHealth()
 
     def reconfigure(
         self,
@@ -155,7 +155,7 @@
         for flow, count in flows.items():
             self._queue.charge(flow, part_ms * count, now_ms)
         if exchange_end is _scheduler_types.ExchangeEnd.ANSWERED:
-            self.record.on_answer(len(exchange.jobs), busy_ms, now_ms)
+            self.health.on_answer(len(exchange.jobs), busy_ms, now_ms)
         return self.pump(now_ms)
 
     def cancel(self, attempt_id: str) -> _scheduler_types.Job | None:
@@ -177,7 +177,7 @@
     def set_leaving(self, leaving: bool) -> list[_scheduler_types.Effect]:
         """Send nothing more to a leaving target; a returned one ramps up."""
         self._leaving = leaving
-        self.record.set_leaving(leaving)
+        self.health.set_leaving(leaving)
         if not leaving:
             return []
         return self._refuse_queued(protocol.SubStatus.DRAINING)
@@ -195,7 +195,7 @@
 
     def refuse_if_lost(self, now_ms: float) -> list[_scheduler_types.Effect]:
         """Give queued work back if the target cannot be reached."""
-        if not self.record.is_lost(now_ms):
+        if not self.health.is_lost(now_ms):
             return []
         return self._refuse_queued(protocol.SubStatus.UNREACHABLE)
 
@@ -227,7 +227,7 @@
         if self._foreign.own_limit is not None:
             if now_ms < self._foreign.until_ms:
                 slots = min(slots, self._foreign.own_limit)
-        allowed = self.record.allowed_slots(slots, now_ms)
+        allowed = self.health.allowed_slots(slots, now_ms)
         return min(allowed - own, self._target.slots - foreign - own)
 
     def foreign_slots(self, now_ms: float) -> int:
@@ -252,7 +252,7 @@
         times = [
             self._earliest_expiry_ms,
             self._window_ends_ms,
-            self.record.resume_at_ms(),
+            self.health.resume_at_ms(),
             self._queue.capped_until_ms or 0.0,
             self._foreign.until_ms,
             *self._held_slots.values(),
@@ -268,7 +268,7 @@
             return self._refuse(job, protocol.SubStatus.DRAINING)
         if job.expires_at_ms <= now_ms:
             return self._refuse(job, protocol.SubStatus.EXPIRED)
-        if self.record.is_lost(now_ms):
+        if self.health.is_lost(now_ms):
             return self._refuse(job, protocol.SubStatus.UNREACHABLE)
         if self._is_quarantined(job.request.fingerprint):
             return self._refuse(job, protocol.SubStatus.QUARANTINED)
@@ -303,7 +303,7 @@
     def _make_room(
         self, job: _scheduler_types.Job, now_ms: float
     ) -> list[_scheduler_types.Effect]:
-        wait_ms = self.record.queue_wait_ms(len(self._queue))
+        wait_ms = self.health.queue_wait_ms(len(self._queue))
         victim = self._queue.victim(job, now_ms + wait_ms)
         if victim is not None:
             self._queue.remove(victim)
@@ -346,7 +346,7 @@
         so it ends where its next item would make one of them too late.
         """
         most = min(self._limits.batch_items, -(-len(self._queue) // idle))
-        item_ms = self.record.expected_item_ms(now_ms)
+        item_ms = self.health.expected_item_ms(now_ms)
         jobs: list[_scheduler_types.Job] = []
         min_left_ms = math.inf
         while len(jobs) < most:
--- a/tests/unit/test_ownership.py
+++ b/tests/unit/test_ownership.py
@@ -155,7 +155,7 @@
     def _idle(self) -> int:
         scheduler = self.dispatcher.scheduler('t1')
         for _ in range(4):
-            scheduler.record.on_answer(0, 0.0, 0.0)
+            scheduler.health.on_answer(0, 0.0, 0.0)
         return scheduler.idle_slots(self.clock.now_ms())
 
     def test_members_are_gone_through_only_when_they_change(self) -> None:
--- a/tests/unit/test_scheduler.py
+++ b/tests/unit/test_scheduler.py
@@ -22,7 +22,7 @@
         dispatching.target(slots=slots), state.Limits(**limits)
     )
     for _ in range(4):
-        scheduler.record.on_answer(0, 0.0, 0.0)
+        scheduler.health.on_answer(0, 0.0, 0.0)
     return scheduler
 
 
@@ -151,7 +151,7 @@
 
     def test_work_that_cannot_finish_is_not_sent(self) -> None:
         scheduler = _scheduler_of(slots=1)
-        scheduler.record.on_answer(1, 50.0, 0.0)
+        scheduler.health.on_answer(1, 50.0, 0.0)
         scheduler.submit(dispatching.job('1', 40.0), 0.0)
         scheduler.submit(dispatching.job('2', 60.0), 0.0)
         effects = scheduler.pump(0.0)
