--- a/samphiredock/coordination/targets/__init__.py
+++ b/samphiredock/coordination/targets/__init__.py
@@ -1,4 +1,4 @@
-"""Work at targets: queues and slots, records and signs, shares, budget."""
+"""Dispatching to targets: queues, slots, health, draining, retry budget."""
 
 from samphiredock import lazy
 
--- a/samphiredock/coordination/targets/_budget.py
+++ b/samphiredock/coordination/targets/_budget.py
@@ -1,4 +1,4 @@
-"""One budget for the sub-queries that are sent beyond the needed ones."""
+"""The budget of hedges and retries."""
 
 import typing
 
@@ -9,12 +9,17 @@
 
 
 class RetryBudget:
-    """A token bucket filled by needed sub-queries, drained by extra ones.
+    """A token bucket that first attempts fill and hedges and retries drain.
 
-    Hedges and retries draw from the same bucket, so that a fault which
-    causes both cannot multiply the load.  The last part of the bucket is
-    kept for retries: without one a key range is lost, without a hedge an
-    answer is only late.
+    Hedges and retries share the bucket, so that a fault which causes both
+    cannot multiply the load.  A quarter of the bucket is reserved for
+    retries: without a retry a key range is missing from the answer, without
+    a hedge the answer is only late.
+
+    Parameters
+    ----------
+    burst
+        Capacity of the bucket, in tokens.
     """
 
     def __init__(self, burst: float = _BURST_TOKENS) -> None:
@@ -26,15 +31,15 @@
 
     @property
     def tokens(self) -> float:
-        """What is left."""
+        """The tokens left; negative after :meth:`owe`."""
         return self._tokens
 
     def note_needed(self, shards: typing.Sequence[str], share: float) -> None:
-        """Earn ``share`` of a token for each shard's first sub-query."""
+        """Add ``share`` of a token for the first attempt at each shard."""
         self.deposit(len(shards), share)
 
     def deposit(self, needed: int, share: float) -> None:
-        """Earn ``share`` of a token for each needed sub-query sent."""
+        """Add ``share`` of a token for each of ``needed`` first attempts."""
         self._tokens = min(self._burst, self._tokens + needed * share)
 
     def spend_hedge(self, shard: str = '') -> bool:
@@ -52,13 +57,13 @@
         return True
 
     def owe(self, shard: str = '') -> None:
-        """Take a token that cannot be refused, down to a bounded debt.
+        """Take a token even if none is left, down to a bounded debt.
 
-        For the retries after a lost dispatcher or target: each happens at
-        most once per attempt, and refusing them would lose coverage.
+        For retries after the loss of a dispatcher or target: there is at
+        most one for each attempt, and refusing it would lose coverage.
         """
         self._tokens = max(-_DEBT_TOKENS, self._tokens - 1.0)
 
     def refund(self, shard: str = '') -> None:
-        """Give back the token of a hedge that no target began."""
+        """Return the token of a hedge that no target started."""
         self._tokens = min(self._burst, self._tokens + 1.0)
--- a/samphiredock/coordination/targets/_dispatcher.py
+++ b/samphiredock/coordination/targets/_dispatcher.py
@@ -1,4 +1,4 @@
-"""The task that holds the connections to the targets a daemon owns."""
+"""The dispatcher: sends sub-queries and orders to the targets it owns."""
 
 import asyncio
 import collections
@@ -32,22 +32,27 @@
 
 
 class Dispatcher:
-    """Run lanes against their targets and report to the coordinators.
+    """Holds the connections to targets and executes their schedulers.
+
+    Coordinators, in this daemon or others, send it sub-queries and orders
+    and get one answer for each attempt.
 
     Parameters
     ----------
     peers
-        Where sub-queries come from and answers go.
+        Delivers messages from coordinators and sends the answers.
     clock
         The timer service.
     counters
         Metrics of this daemon.
     make_link
-        Builds the adapter to a target.
+        Builds the client of a target.
     is_quarantined
-        Whether a request content is refused because it crashed targets.
+        Returns whether the request content with a fingerprint is refused
+        because it crashed targets.
     signs
-        Which targets are leaving; None in tests of other things.
+        Which targets are leaving; without it every target counts as usable
+        until its own answers say otherwise.
     """
 
     def __init__(
@@ -95,7 +100,17 @@
         table: _ownership.OwnershipTable,
         is_live: typing.Callable[[str], bool],
     ) -> None:
-        """Take over and give up targets as the table of owners says."""
+        """Take over and give up targets as their owner changes.
+
+        Parameters
+        ----------
+        name
+            This daemon's member name.
+        table
+            The owner of each target.
+        is_live
+            Returns whether a member is live.
+        """
         self._handover = _handover.Handover(
             name, self, self._peers, self._clock, self._metrics, is_live
         )
@@ -104,7 +119,7 @@
         self._owns = lambda target: table.owner(target) == name
 
     def configure(self, configuration: state.Configuration) -> None:
-        """Apply a new revision."""
+        """Apply a new revision of the configuration."""
         self._configuration = configuration
         self._shares = _shares.shares_of(configuration)
         for name, managed in self._managed.items():
@@ -121,59 +136,59 @@
             self._schedule_pump(name)
 
     async def close(self) -> None:
-        """Stop every exchange and close every connection."""
+        """Cancel every exchange and close every connection."""
         for task in self._tasks:
             task.cancel()
         for managed in self._managed.values():
             await managed.link.close()
 
     async def drain(self) -> None:
-        """Return when everything taken in has been answered.
+        """Return when every accepted attempt has been answered.
 
-        The caller has left the membership before, so that by the table of
-        owners every target goes to another daemon: queued work is given
-        back as ``NOT_OWNER``, which proves that it was never sent.
+        The caller must have left the membership: every target then gets
+        another owner, and queued attempts are answered ``NOT_OWNER``, which
+        proves that they were never sent.
         """
         while self.in_flight():
             await asyncio.sleep(_DRAIN_POLL_MS / 1000.0)
 
     def stop(self) -> None:
-        """Refuse what comes after the drain; begun, it would be cut."""
+        """Refuse new attempts: the connections are about to be closed."""
         self._stopped = True
 
     def in_flight(self) -> int:
-        """Return what is queued or sent and not answered.
+        """Return the number of attempts queued or sent but not answered.
 
-        Answers that leave in the next turn of the event loop count too.
+        Answers to be sent in the next iteration of the event loop count.
         """
         return self._outbox.in_flight()
 
-    # What the handover does with lanes and targets.
+    # Implements _handover.Schedulers.
 
     def scheduler(self, target: str) -> _scheduler.TargetScheduler | None:
-        """Return the lane of a target, None if there is no such target."""
+        """Return a target's scheduler, None if it is not configured."""
         managed = self._managed_target(target)
         return managed.scheduler if managed is not None else None
 
     def existing_scheduler(
         self, target: str
     ) -> _scheduler.TargetScheduler | None:
-        """Return the lane of a target if there has been work for it."""
+        """Return a target's scheduler, None if it was never used."""
         managed = self._managed.get(target)
         return managed.scheduler if managed is not None else None
 
     def target(self, name: str) -> state.Target | None:
-        """Return a target of the configuration in force."""
+        """Return a target of the configuration in force, None if missing."""
         if self._configuration is None:
             return None
         return self._configuration.targets.get(name)
 
     def longest_deadline_ms(self) -> float:
-        """Return the longest deadline of any service."""
+        """Return the longest deadline of any search or operation."""
         return _handover.longest_deadline_ms(self._configuration)
 
     def probe(self, target: str) -> None:
-        """Ask a target, by an empty batch, how many exchanges run there."""
+        """Ask a target for the number of exchanges that run there."""
         managed = self._managed_target(target)
         if managed is not None:
             self._spawn(self._probe(target, managed))
@@ -192,7 +207,7 @@
     def execute(
         self, target: str, effects: list[_scheduler_types.Effect]
     ) -> None:
-        """Carry out what a lane decided, and let it start more."""
+        """Execute the effects that a scheduler returned, then pump it."""
         for effect in effects:
             if isinstance(effect, _scheduler_types.Refuse):
                 self._outbox.refuse(target, effect)
@@ -201,7 +216,7 @@
                 self._spawn(self._exchange(target, effect))
         self._schedule_pump(target)
 
-    # Work that comes in.
+    # Messages from coordinators.
 
     def _on_batch(self, sender: str, batch: protocol.SubQueryBatch) -> None:
         now_ms = self._clock.now_ms()
@@ -212,8 +227,8 @@
             self._submit(job.item.target, job, now_ms)
 
     def _max_age_ms(self, sender: str) -> float:
-        # A message to oneself waits in no socket: once the freeze has been
-        # noticed it is as fresh as it says.
+        # A message from this daemon to itself passes no socket.  After the
+        # timer has noticed the freeze, its budget is right.
         if sender == self._name and not self._message_age.has_unnoticed_gap():
             return 0.0
         return self._message_age.max_age_ms()
@@ -223,7 +238,7 @@
         job = _scheduler_types.job_of_run(sender, order, now_ms)
         if self._max_age_ms(sender) > 0.0:
             # The order may have waited in the socket while this process was
-            # frozen, and its sender has perhaps given it up since.
+            # frozen, and its sender may have given up on it meanwhile.
             self._metrics.add('runs_refused_after_freeze')
             refusal = _scheduler_types.Refuse(
                 job, protocol.SubStatus.CANCELLED, 'read after a freeze'
@@ -238,7 +253,7 @@
         managed = None if self._stopped else self._managed_target(target)
         if managed is None:
             refusal = _scheduler_types.Refuse(
-                job, protocol.SubStatus.NOT_OWNER, 'not served here'
+                job, protocol.SubStatus.NOT_OWNER, 'not served by this daemon'
             )
             self._outbox.refuse(target, refusal)
             return
@@ -267,10 +282,10 @@
             self._spawn(self._cancel_sent(target, attempts))
 
     def _is_worth_cancelling(self, job: _scheduler_types.Job) -> bool:
-        """Whether a cancel would save the target anything.
+        """Whether a cancel is worth the exchange that it costs.
 
-        Callers drop many attempts just at the deadline, at which the target
-        stops by itself; a cancel costs both sides an exchange.
+        Coordinators cancel many attempts right at the deadline, when the
+        target stops by itself.
         """
         left_ms = job.expires_at_ms - self._clock.now_ms()
         return job.item is None or left_ms > _MIN_LEFT_TO_CANCEL_MS
@@ -278,7 +293,7 @@
     async def _cancel_sent(
         self, target: str, attempts: list[_outbox.PendingAttempt]
     ) -> None:
-        """Ask the target; only its word proves that it never began."""
+        """Cancel at the target; only its answer proves what never started."""
         managed = self._managed[target]
         order = protocol.TargetCancel(
             [pending.job.attempt_id for pending in attempts]
@@ -303,7 +318,7 @@
         )
         self._outbox.refuse(pending.target, refusal)
 
-    # Lanes.
+    # Schedulers.
 
     def _managed_target(self, name: str) -> _exchanges.ManagedTarget | None:
         managed = self._managed.get(name)
@@ -329,20 +344,20 @@
         return managed
 
     def _schedule_pump(self, target: str) -> None:
-        """Pump the lane once at the end of this turn of the event loop.
+        """Pump the scheduler once, at the end of this event loop iteration.
 
-        What arrived in one turn, from several queries, then goes to the
-        target in one exchange.
+        Jobs that arrive in one iteration, from several queries, are then
+        sent to the target in one exchange.
         """
         if not self._to_pump:
             asyncio.get_running_loop().call_soon(self._pump)
         self._to_pump.add(target)
 
     def _expire_queued(self) -> None:
-        """Answer what was queued when this process was frozen.
+        """Refuse the jobs that were queued when this process was frozen.
 
-        Others took its targets over meanwhile and use all their slots, so
-        nothing may be sent on the strength of what was known before.
+        Other daemons have taken the targets over meanwhile and may use all
+        their slots, so nothing may be sent on the state before the freeze.
         """
         for target, managed in self._managed.items():
             self.execute(target, managed.scheduler.expire_queued())
@@ -400,7 +415,7 @@
             effects += managed.scheduler.refuse_if_lost(now_ms)
             self.execute(target, effects)
 
-    # Signs of leaving.
+    # Leaving targets.
 
     def _on_sign(self, target: str, leaving: bool) -> None:
         managed = self._managed.get(target)
--- a/samphiredock/coordination/targets/_exchanges.py
+++ b/samphiredock/coordination/targets/_exchanges.py
@@ -1,4 +1,4 @@
-"""The exchanges of one dispatcher with its targets."""
+"""One exchange with a target: send the jobs, report how each ended."""
 
 import dataclasses
 import typing
@@ -17,7 +17,7 @@
 
 _PROBE_TIMEOUT_MS = 300.0
 _SAMPLE_EVERY = 8
-"""Of the exchanges one in so many is recorded in the histogram."""
+"""One exchange in this many is recorded in ``target_service_ms``."""
 
 Answer = typing.Callable[
     [_scheduler_types.Job, protocol.SubAnswer | protocol.RunReport], None
@@ -26,7 +26,10 @@
 
 @dataclasses.dataclass(slots=True)
 class ManagedTarget:
-    """One target's lane, its link and the timer that wakes the lane."""
+    """One target's scheduler, its link and the timer that pumps it.
+
+    ``wake_at_ms`` is when ``timer`` is due.
+    """
 
     scheduler: _scheduler.TargetScheduler
     link: transport.TargetLink
@@ -36,18 +39,18 @@
 
 
 class Exchanges:
-    """Send what lanes decided and take in what targets answer.
+    """Runs the exchanges that schedulers start, and probes targets.
 
     Parameters
     ----------
     clock, counters
         The timer service and the metrics.
     signs
-        Where a target's own word that it leaves goes, if anywhere.
+        Gets a target's report that it is draining; None to drop reports.
     answer
-        Tells the origin of some work how it ended.
+        Sends a job's origin how the job ended.
     silent_after_ms
-        Reads after how long without an answer a connection is silent.
+        Returns how long to wait for the answer to a batch.
     """
 
     def __init__(
@@ -68,7 +71,7 @@
     async def run(
         self, managed: ManagedTarget, start: _scheduler_types.StartExchange
     ) -> _scheduler_types.ExchangeEnd:
-        """Do one exchange and answer its work; return what became of it."""
+        """Run one exchange, answer its jobs and return how it ended."""
         if start.jobs[0].item is None:
             exchange_end = await self._run(managed, start)
         else:
@@ -78,10 +81,10 @@
         return exchange_end
 
     async def probe(self, managed: ManagedTarget) -> None:
-        """Ask a target, by an empty batch, what runs there and if it drains.
+        """Ask a target how many exchanges it runs and whether it drains.
 
-        An empty batch takes no slot, and unlike the health endpoint it goes
-        the way that work goes.
+        Sends an empty batch, which takes no slot and, unlike a request to
+        the health endpoint, takes the same path as queries.
         """
         asked_at_ms = self._clock.wall_ms()
         reply = await managed.link.batch(
@@ -127,7 +130,7 @@
         reply: protocol.TargetBatchAnswer,
         answers: list[protocol.TargetAnswer],
     ) -> _scheduler_types.ExchangeEnd:
-        """Take in what a batch's answer says of the target itself."""
+        """Update the target's state from the answer to a batch."""
         statuses = {answer.status for answer in answers}
         if managed.scheduler.foreign_slots(self._clock.now_ms()):
             managed.scheduler.observe_running(reply.running)
@@ -165,8 +168,8 @@
     ) -> _scheduler_types.ExchangeEnd:
         job = start.jobs[0]
         order = typing.cast(protocol.RunOrder, job.request)
-        # A run waits for its whole budget: giving up earlier would only
-        # turn an outcome that is still to come into an unknown one.
+        # Wait for the whole budget, not silent_after_ms: giving up earlier
+        # would only make an outcome unknown that is still to come.
         left_ms = job.expires_at_ms - self._clock.now_ms()
         reply = await managed.link.run(
             _target_answers.target_run(order, left_ms), left_ms
@@ -191,11 +194,12 @@
     async def _record_failure(
         self, managed: ManagedTarget, error: transport.LinkError
     ) -> bool:
-        """Return whether the target was lost under the exchange.
+        """Record a failure; return whether the target was lost during it.
 
-        A new connection tells. A target that could not be reached in the
-        first place began nothing: if it counted, the loss of a site would
-        put every search that was tried at two of its targets in quarantine.
+        After a broken connection, a health request on a new connection
+        decides.  A target that could not be reached started nothing and
+        does not count as lost during the exchange: otherwise the loss of a
+        site would quarantine every search tried at two of its targets.
         """
         self._metrics.add('target_errors', kind=error.kind.value)
         lost_under = False
--- a/samphiredock/coordination/targets/_handover.py
+++ b/samphiredock/coordination/targets/_handover.py
@@ -1,8 +1,9 @@
-"""Handover of a target from one dispatcher to the next.
+"""Handover of a target when its owner changes.
 
-The earlier dispatcher's work goes on taking slots after the change.  While
-it lives it tells how many; when it died the target itself is asked, and
-until it answers, all slots count as taken for one longest deadline.
+Exchanges of the previous owner still take slots after the change.  A live
+previous owner reports how many.  If it is dead, the target is asked; until
+the target answers, all its slots count as taken, for at most the longest
+deadline.
 """
 
 import dataclasses
@@ -23,13 +24,18 @@
 
 @dataclasses.dataclass(slots=True)
 class _Takeover:
+    """A target taken over while its previous owner may still use slots."""
+
     old: str
     old_is_live: bool
     until_ms: float
 
 
 def longest_deadline_ms(configuration: state.Configuration | None) -> float:
-    """Return how long work of an earlier dispatcher may go on."""
+    """Return the longest deadline of any search or operation.
+
+    Exchanges of a previous owner may run for that long.
+    """
     if configuration is None:
         return float(state.Limits().deadline_limit_ms)
     deadlines = [
@@ -41,44 +47,44 @@
 
 
 class Schedulers(typing.Protocol):
-    """What the handover does with lanes and targets."""
+    """What the handover needs of the dispatcher."""
 
     def scheduler(self, target: str) -> _scheduler.TargetScheduler | None:
-        """Return the lane of a target, None if there is no such target."""
+        """Return a target's scheduler, None if it is not configured."""
 
     def existing_scheduler(
         self, target: str
     ) -> _scheduler.TargetScheduler | None:
-        """Return the lane of a target if there has been work for it."""
+        """Return a target's scheduler, None if it was never used."""
 
     def target(self, name: str) -> state.Target | None:
-        """Return a target of the configuration in force."""
+        """Return a target of the configuration in force, None if missing."""
 
     def execute(
         self, target: str, effects: list[_scheduler_types.Effect]
     ) -> None:
-        """Carry out what a lane decided, and let it start more."""
+        """Execute the effects that a scheduler returned, then pump it."""
 
     def probe(self, target: str) -> None:
-        """Ask a target how many exchanges run there."""
+        """Ask a target for the number of exchanges that run there."""
 
     def longest_deadline_ms(self) -> float:
-        """Return the longest deadline of any service."""
+        """Return the longest deadline of any search or operation."""
 
 
 class Handover:
-    """Take over and give up targets as the table of owners changes.
+    """Takes over and gives up targets as the table of owners changes.
 
     Parameters
     ----------
     name
         This daemon's member name.
-    lanes
-        The dispatcher's lanes.
+    schedulers
+        The dispatcher.
     peers, clock, counters
-        Where messages go, the timer service, the metrics.
-    lives
-        Whether a member is alive now.
+        Connections to the other daemons, the timer service, the metrics.
+    is_live
+        Returns whether a member is live.
     """
 
     def __init__(
@@ -104,7 +110,7 @@
         clock.every(_RETRY_INTERVAL_MS, self.tick)
 
     def on_changes(self, changes: list[_ownership.OwnerChange]) -> None:
-        """Follow a new table of owners."""
+        """Apply the changes of a new table of owners."""
         for change in changes:
             if change.new == self._name:
                 self._take_over(change)
@@ -114,10 +120,10 @@
     def on_new_scheduler(
         self, target: str, scheduler: _scheduler.TargetScheduler
     ) -> None:
-        """Start a lane as if an unknown dispatcher had died before it.
+        """Treat a new scheduler's target as taken over from a dead owner.
 
-        This daemon may have been restarted a moment ago, and its earlier
-        self's work may still be taking slots.
+        This daemon may have just restarted, and exchanges of the process
+        before the restart may still take slots.
         """
         if target in self._released:
             scheduler.set_released(True)
@@ -128,7 +134,7 @@
             )
 
     def tick(self) -> None:
-        """Ask again for what has not been confirmed."""
+        """Ask again about slots that are not confirmed as free."""
         now_ms = self._clock.now_ms()
         for target, takeover in list(self._takeovers.items()):
             scheduler = self._schedulers.scheduler(target)
@@ -200,10 +206,10 @@
 
     def _on_release(self, sender: str, release: protocol.Release) -> None:
         if release.target in self._owned:
-            # By this daemon's table the target is its own; the sender asks
-            # again until one of the two tables has followed.
+            # The two daemons' tables differ.  The sender asks again until
+            # one of them has caught up.
             return
-        # Whoever asks owns it now; after the answer nothing new is sent,
+        # The sender is the new owner.  Nothing may be sent after the answer,
         # even if this daemon never saw itself as the owner.
         self._give_up(release.target)
         scheduler = self._schedulers.existing_scheduler(release.target)
--- a/samphiredock/coordination/targets/_observed_health.py
+++ b/samphiredock/coordination/targets/_observed_health.py
@@ -1,7 +1,7 @@
-"""What this daemon has itself observed of one target.
+"""The health of one target as this daemon's own exchanges show it.
 
-Own observations rank above the target's health endpoint, which lags or
-misleads.
+It decides what is sent; the target's health endpoint does not, since that
+may lag or answer while requests fail.
 """
 
 import transitions
@@ -29,16 +29,16 @@
     ('leave', _LIVE, 'leaving'),
     ('come_back', 'leaving', 'warming'),
 )
-"""Trigger, sources, destination; any other pair changes nothing."""
+"""Trigger, sources, destination; a trigger in another state is ignored."""
 
 
 class ObservedHealth:
-    """The life of one target and its service time.
+    """State and service time of one target.
 
-    The machine is triggered only when something changes: an event costs
-    more than the rest of a sub-query's way through the dispatcher.  It is
-    made with the first event: 700 machines take 50 ms, for which the
-    callers of a daemon that starts would wait.
+    The state machine is created with the first event and triggered only
+    when the state may change: creating it for all targets would delay a
+    daemon's start, and a trigger is slow compared with the rest of a
+    sub-query's path through the dispatcher.
     """
 
     def __init__(self) -> None:
@@ -66,7 +66,7 @@
         self.trigger(event)
 
     def on_answer(self, items: int, busy_ms: float, now_ms: float) -> None:
-        """Take in an exchange that the target answered well."""
+        """Record an exchange of ``items`` jobs that the target answered."""
         self._measure(items, busy_ms, now_ms)
         if self.state == 'serving':
             return
@@ -78,17 +78,20 @@
             self._trigger('warmed')
 
     def on_unloaded(self, now_ms: float) -> None:
-        """The target holds none of what it was asked for."""
+        """Record that the target holds none of the requested shards."""
         self._good_answers = 0
         self._resume_at_ms = now_ms + _UNLOADED_PAUSE_MS
         self._trigger('unloaded')
 
     def on_shed(self, now_ms: float) -> None:
-        """The target refused a whole exchange; asking on only adds load."""
+        """Record that the target shed a whole exchange; pause briefly."""
         self._resume_at_ms = now_ms + _SHED_PAUSE_MS
 
     def on_failure(self, lost: bool, now_ms: float) -> None:
-        """An exchange gave no answer; ``lost``: nor did a new connection."""
+        """Record an exchange without an answer.
+
+        ``lost`` says that a new connection to the target failed too.
+        """
         self._good_answers = 0
         self._failures += 1
         if lost and self.state != 'lost':
@@ -99,7 +102,7 @@
             self._resume_at_ms = now_ms + min(pause_ms, _MAX_LOST_PAUSE_MS)
 
     def set_leaving(self, leaving: bool) -> None:
-        """Follow the signs; a target that returns ramps up."""
+        """Record that the target is leaving, or back; then it ramps up."""
         if leaving:
             self._trigger('leave')
             return
@@ -121,7 +124,7 @@
         }[self.state]
 
     def resume_at_ms(self) -> float:
-        """Return until when nothing is to be sent, 0.0 for no pause."""
+        """Return when the current pause ends, 0.0 without a pause."""
         return self._resume_at_ms
 
     def lost_for_ms(self, now_ms: float) -> float:
@@ -129,21 +132,21 @@
         return now_ms - self._lost_at_ms if self.state == 'lost' else 0.0
 
     def is_lost(self, now_ms: float) -> bool:
-        """Whether sending would be in vain; a trial follows the pause."""
+        """Whether the target is lost and its next trial is not due yet."""
         return self.state == 'lost' and now_ms < self._resume_at_ms
 
     def expected_item_ms(self, now_ms: float) -> float:
-        """Return the median time of an item, 0.0 while it is not known.
+        """Return the median time of a job, 0.0 while it is not known.
 
-        An old figure is forgotten: if it refused all work as too late, no
-        answer would ever correct it.
+        An old value is ignored: if it caused all jobs to be refused as too
+        late, no answer would ever correct it.
         """
         if self._item_ms is None or now_ms - self._item_at_ms > _STALE_MS:
             return 0.0
         return self._item_ms
 
     def queue_wait_ms(self, items: int) -> float:
-        """Return how long a queue of that many items takes to empty."""
+        """Return the time in which the target works off ``items`` jobs."""
         if not self._items_per_ms:
             return 100.0
         return items / self._items_per_ms
@@ -154,8 +157,8 @@
         each_ms = busy_ms / items
         if self._item_ms is None or now_ms - self._item_at_ms > _STALE_MS:
             self._item_ms = each_ms
-        # Steps towards the median: one straggler of ten times the usual
-        # must not make work look too late that is not.
+        # Fixed steps approximate the median: a mean would follow a single
+        # straggler, and jobs would be refused that are not too late.
         step_ms = max(self._item_ms * _MEDIAN_STEP, 0.01)
         error_ms = each_ms - self._item_ms
         self._item_ms += max(-step_ms, min(step_ms, error_ms))
--- a/samphiredock/coordination/targets/_outbox.py
+++ b/samphiredock/coordination/targets/_outbox.py
@@ -1,4 +1,4 @@
-"""Where each attempt is, and the answers that go out: one each."""
+"""Pending attempts of a dispatcher, and their answers: exactly one each."""
 
 import asyncio
 import collections
@@ -13,7 +13,10 @@
 
 @dataclasses.dataclass(slots=True)
 class PendingAttempt:
-    """Where an attempt is: queued in a lane, or in an exchange."""
+    """An attempt that has not been answered.
+
+    ``ticket`` is the exchange it was sent in, None while it is queued.
+    """
 
     target: str
     job: _scheduler_types.Job
@@ -21,12 +24,15 @@
 
 
 class Outbox:
-    """Attempts taken in and not answered yet, and answers on their way.
+    """Tracks pending attempts and sends each attempt's answer once.
+
+    Answers of one query are collected for one iteration of the event loop
+    and sent to the coordinator in one message.
 
     Parameters
     ----------
     peers
-        Where answers go.
+        Sends the answers to the coordinators.
     counters
         Metrics of this daemon.
     """
@@ -42,24 +48,24 @@
         )
 
     def in_flight(self) -> int:
-        """Return what is not answered, or whose answer has yet to leave."""
+        """Return the number of pending attempts and of unsent messages."""
         return len(self._pending) + len(self._replies)
 
     def track(self, target: str, job: _scheduler_types.Job) -> None:
-        """Take an attempt in."""
+        """Add an attempt that was accepted for a target."""
         self._pending[job.attempt_id] = PendingAttempt(target, job)
 
     def pending(self, attempt_id: str) -> PendingAttempt | None:
-        """Return where an attempt is, None if it has been answered."""
+        """Return a pending attempt, None if it has been answered."""
         return self._pending.get(attempt_id)
 
     def mark_sent(self, start: _scheduler_types.StartExchange) -> None:
-        """Note that these are in an exchange now."""
+        """Record that these jobs are in an exchange now."""
         for job in start.jobs:
             self._pending[job.attempt_id].ticket = start.ticket
 
     def refuse(self, target: str, refusal: _scheduler_types.Refuse) -> None:
-        """Tell the origin that the target never got it."""
+        """Answer that the target never got the job."""
         job = refusal.job
         self._metrics.add('dispatch_refused', status=refusal.status.value)
         self._pending.setdefault(job.attempt_id, PendingAttempt(target, job))
@@ -70,7 +76,7 @@
         job: _scheduler_types.Job,
         answer: protocol.SubAnswer | protocol.RunReport,
     ) -> None:
-        """Tell the origin how an attempt ended, unless it was told."""
+        """Send a job's origin how it ended, unless already answered."""
         if self._pending.pop(job.attempt_id, None) is None:
             return
         if isinstance(answer, protocol.RunReport):
--- a/samphiredock/coordination/targets/_scheduler.py
+++ b/samphiredock/coordination/targets/_scheduler.py
@@ -1,6 +1,7 @@
-"""The decisions for one target: its queue, its slots, its batches.
+"""Scheduling for one target: its queue, its slots, its batches.
 
-A pure object: work and ends of exchanges go in, effects come out.
+Does no I/O: jobs and ends of exchanges go in, effects for the dispatcher
+come out.
 """
 
 import collections
@@ -16,7 +17,7 @@
 from samphiredock import state
 
 _DEADLINE_SLACK_MS = 25.0
-"""The target's deadline starts when the request arrives, after ours."""
+"""The target counts its deadline from when the request arrives there."""
 
 _MIN_RETRY_AFTER_MS = 10
 _MAX_RETRY_AFTER_MS = 5_000
@@ -24,6 +25,11 @@
 
 @dataclasses.dataclass(slots=True)
 class _Exchange:
+    """An exchange that was started and has not ended.
+
+    ``unconfirmed`` holds the ids of attempts that may still run or start.
+    """
+
     jobs: tuple[_scheduler_types.Job, ...]
     started_ms: float
     deadline_at_ms: float
@@ -32,7 +38,11 @@
 
 @dataclasses.dataclass(slots=True)
 class _Foreign:
-    """Slots that an earlier dispatcher's work may still take."""
+    """Slots that exchanges of the previous owner may still take.
+
+    Until ``until_ms``, ``own_limit`` bounds this daemon's exchanges; None
+    is no bound.
+    """
 
     slots: int = 0
     until_ms: float = 0.0
@@ -47,14 +57,17 @@
 
 
 class TargetScheduler:
-    """The queue and slots of one target that this daemon dispatches for.
+    """The queue and slots of one target.
+
+    An exchange takes one slot of the target and carries one or more jobs.
 
     Parameters
     ----------
     target, limits, shares
         From the configuration in force.
     is_quarantined
-        Whether a request content is refused because it crashed targets.
+        Returns whether the request content with a fingerprint is refused
+        because it crashed targets.
     """
 
     def __init__(
@@ -86,7 +99,7 @@
         limits: state.Limits,
         shares: _shares.Shares,
     ) -> None:
-        """Apply a new revision; queued work and taken slots stay."""
+        """Apply a new revision; queued jobs and taken slots stay."""
         queued = self._queue.items()
         self._target = target
         self._limits = limits
@@ -99,7 +112,10 @@
     def submit(
         self, job: _scheduler_types.Job, now_ms: float
     ) -> list[_scheduler_types.Effect]:
-        """Queue work or refuse it; :meth:`pump` starts exchanges."""
+        """Queue a job or refuse it; :meth:`pump` starts exchanges.
+
+        A hedge is never queued: it starts at once or is refused.
+        """
         refusal = self._refusal(job, now_ms)
         if refusal is not None:
             return [refusal]
@@ -117,7 +133,7 @@
         return effects
 
     def pump(self, now_ms: float) -> list[_scheduler_types.Effect]:
-        """Answer what is too late; start exchanges while slots are free."""
+        """Refuse expired jobs and start exchanges while slots are free."""
         effects: list[_scheduler_types.Effect] = []
         if self._earliest_expiry_ms <= now_ms:
             effects += self._drop_expired(now_ms)
@@ -137,7 +153,11 @@
         exchange_end: _scheduler_types.ExchangeEnd,
         now_ms: float,
     ) -> list[_scheduler_types.Effect]:
-        """An exchange ended; its slot is free unless it was lost."""
+        """End an exchange and return the effects of pumping again.
+
+        Its slot becomes free, unless the exchange was lost and the target
+        may still work on it: then the slot is held until the deadline.
+        """
         exchange = self._busy.pop(ticket, None)
         if exchange is None:
             return []
@@ -147,7 +167,7 @@
             exchange_end is _scheduler_types.ExchangeEnd.LOST
             and exchange.unconfirmed
         ):
-            # The caller stopped waiting, the target perhaps did not.
+            # The target may go on working until the deadline there.
             self._held_slots[ticket] = until_ms
         busy_ms = now_ms - exchange.started_ms
         part_ms = busy_ms / max(1, len(exchange.jobs))
@@ -159,7 +179,7 @@
         return self.pump(now_ms)
 
     def cancel(self, attempt_id: str) -> _scheduler_types.Job | None:
-        """Drop queued work and return it; None if it is not queued."""
+        """Remove a queued job and return it, None if it is not queued."""
         for job in self._queue.items():
             if job.attempt_id == attempt_id:
                 self._queue.remove(job)
@@ -169,13 +189,16 @@
     def confirm_ended(
         self, ticket: int, attempt_ids: typing.Iterable[str]
     ) -> None:
-        """The target confirmed that these run no more and never will."""
+        """Record the target's word that these attempts do not run.
+
+        Nor will they start; a slot is not held for them.
+        """
         exchange = self._busy.get(ticket)
         if exchange is not None:
             exchange.unconfirmed.difference_update(attempt_ids)
 
     def set_leaving(self, leaving: bool) -> list[_scheduler_types.Effect]:
-        """Send nothing more to a leaving target; a returned one ramps up."""
+        """Stop sending to a leaving target, or ramp a returned one up."""
         self._leaving = leaving
         self.health.set_leaving(leaving)
         if not leaving:
@@ -183,18 +206,18 @@
         return self._refuse_queued(protocol.SubStatus.DRAINING)
 
     def set_released(self, released: bool) -> list[_scheduler_types.Effect]:
-        """Send nothing more: another daemon dispatches for the target."""
+        """Stop sending because another daemon owns the target, or resume."""
         self._released = released
         if not released:
             return []
         return self._refuse_queued(protocol.SubStatus.NOT_OWNER)
 
     def expire_queued(self) -> list[_scheduler_types.Effect]:
-        """Answer all queued work as too late, whatever its budget."""
+        """Refuse all queued jobs as expired, whatever their budget."""
         return self._refuse_queued(protocol.SubStatus.EXPIRED)
 
     def refuse_if_lost(self, now_ms: float) -> list[_scheduler_types.Effect]:
-        """Give queued work back if the target cannot be reached."""
+        """Refuse the queued jobs if the target cannot be reached."""
         if not self.health.is_lost(now_ms):
             return []
         return self._refuse_queued(protocol.SubStatus.UNREACHABLE)
@@ -202,19 +225,30 @@
     def reserve_foreign_slots(
         self, slots: int, until_ms: float, own_limit: int | None = None
     ) -> None:
-        """Count slots that another dispatcher's work may still take."""
+        """Count slots that exchanges of another owner may still take.
+
+        Parameters
+        ----------
+        slots
+            How many slots.
+        until_ms
+            When the last of those exchanges ends at the latest.
+        own_limit
+            The most exchanges of this daemon until then; None for no limit.
+        """
         self._foreign = _Foreign(slots, until_ms, own_limit)
 
     def observe_running(self, running: int) -> None:
-        """The target itself says how many exchanges run there.
+        """Lower the foreign slots to the number of exchanges at the target.
 
-        Own ones are not subtracted: one that is still on its way there is
-        not among them, and would hide another's.
+        This daemon's own exchanges are not subtracted from ``running``: one
+        still on its way to the target is not counted there, and subtracting
+        it would hide a foreign one.
         """
         self._foreign.slots = min(self._foreign.slots, running)
 
     def idle_slots(self, now_ms: float) -> int:
-        """Return how many exchanges may start now."""
+        """Return how many exchanges may start now; may be negative."""
         if self._held_slots:
             self._held_slots = {
                 ticket: until_ms
@@ -231,22 +265,22 @@
         return min(allowed - own, self._target.slots - foreign - own)
 
     def foreign_slots(self, now_ms: float) -> int:
-        """Return how many slots an earlier owner's work may take."""
+        """Return how many slots the previous owner's exchanges may take."""
         return self._foreign.count(now_ms)
 
     def busy_slots(self, now_ms: float) -> tuple[int, float]:
-        """Return the slots taken by own work, and for how long at most."""
+        """Return this daemon's taken slots, and the ms until all are free."""
         ends = [row.deadline_at_ms for row in self._busy.values()]
         ends += [end for end in self._held_slots.values() if end > now_ms]
         return len(ends), max(ends, default=now_ms) - now_ms
 
     def in_flight(self) -> int:
-        """Return how much work is queued or sent and not answered."""
+        """Return how many jobs are queued or sent but not answered."""
         sent = sum(len(row.jobs) for row in self._busy.values())
         return len(self._queue) + sent
 
     def wake_at_ms(self, now_ms: float) -> float | None:
-        """Return when to call :meth:`pump` though nothing happens."""
+        """Return when to call :meth:`pump` next, None if not by a timer."""
         if not self._queue:
             return None
         times = [
@@ -295,7 +329,7 @@
     def _submit_hedge(
         self, job: _scheduler_types.Job, now_ms: float
     ) -> list[_scheduler_types.Effect]:
-        # With two slots a hedge that queues only delays first attempts.
+        # A queued hedge would only delay first attempts.
         if self._queue or self.idle_slots(now_ms) <= 0:
             return [self._refuse(job, protocol.SubStatus.NO_IDLE_SLOT)]
         return [self._start((job,), now_ms)]
@@ -340,10 +374,11 @@
     def _next_jobs(
         self, idle: int, now_ms: float, effects: list[_scheduler_types.Effect]
     ) -> tuple[_scheduler_types.Job, ...]:
-        """Take the next batch: one run alone, or sub-queries together.
+        """Take the next batch: one run, or sub-queries together.
 
-        What waits is spread over the idle slots.  A batch runs in order,
-        so it ends where its next item would make one of them too late.
+        The queued jobs are spread over the idle slots.  A target works
+        through a batch in order and answers it as a whole, so a job that
+        would make any job of the batch late is left for the next batch.
         """
         most = min(self._limits.batch_items, -(-len(self._queue) // idle))
         item_ms = self.health.expected_item_ms(now_ms)
--- a/samphiredock/coordination/targets/_scheduler_types.py
+++ b/samphiredock/coordination/targets/_scheduler_types.py
@@ -1,4 +1,4 @@
-"""What goes into a lane and what comes out of it."""
+"""The input and the effects of a :class:`TargetScheduler`."""
 
 import dataclasses
 import enum
@@ -9,7 +9,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
 class Job:
-    """One sub-query or unrepeatable request that waits for a slot."""
+    """One sub-query or unrepeatable request (run) that needs a slot.
+
+    ``item`` is the sub-query within ``request``, None for a run.
+    """
 
     origin: str
     query_id: str
@@ -22,13 +25,13 @@
 
     @property
     def is_alone(self) -> bool:
-        """Whether it may share its exchange with nothing else."""
+        """Whether the job must have an exchange of its own."""
         return self.item is None or self.request.alone
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartExchange:
-    """Send these to the target; they take one slot until they end."""
+    """Effect: send these jobs to the target in one exchange."""
 
     ticket: int
     jobs: tuple[Job, ...]
@@ -37,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """Tell the origin that this was never sent."""
+    """Effect: answer that this job was never sent to the target."""
 
     job: Job
     status: protocol.SubStatus
@@ -51,9 +54,9 @@
 class ExchangeEnd(enum.Enum):
     """What the end of an exchange says about its slot and its target.
 
-    ``FREE`` frees the slot but is no good answer: never sent, or an error
-    that the target answered.  Only ``LOST`` leaves the slot taken: the
-    target may still be working.
+    ``ANSWERED``: the target answered; the slot is free.  ``FREE``: it was
+    never sent, or the target refused or failed it; the slot is free.
+    ``LOST``: no answer came; the target may still use the slot.
     """
 
     ANSWERED = 'answered'
@@ -67,7 +70,7 @@
     expires_at_ms: float,
     now_ms: float,
 ) -> list[Job]:
-    """Return the sub-queries of a message as work."""
+    """Return one job for each sub-query of a message."""
     flow = _shares.Flow(batch.service, batch.site)
     return [
         Job(
@@ -85,7 +88,7 @@
 
 
 def job_of_run(sender: str, order: protocol.RunOrder, now_ms: float) -> Job:
-    """Return an unrepeatable request as work."""
+    """Return the job of an unrepeatable request."""
     return Job(
         sender,
         '',
--- a/samphiredock/coordination/targets/_target_answers.py
+++ b/samphiredock/coordination/targets/_target_answers.py
@@ -1,4 +1,4 @@
-"""Translate between what peers ask and what targets are sent."""
+"""Conversion between the messages of peers and those of targets."""
 
 import typing
 
@@ -29,7 +29,7 @@
 def target_query(
     job: _scheduler_types.Job, now_ms: float
 ) -> protocol.TargetQuery:
-    """Return one item of a batch, with what is left of its deadline."""
+    """Return a batch item, its deadline as the ms left from ``now_ms``."""
     request = typing.cast(protocol.SubQueryBatch, job.request)
     item = typing.cast(protocol.SubQuery, job.item)
     return protocol.TargetQuery(
@@ -48,7 +48,7 @@
 
 
 def target_run(order: protocol.RunOrder, left_ms: float) -> protocol.TargetRun:
-    """Return the body that runs an unrepeatable request."""
+    """Return the target's message for an unrepeatable request."""
     return protocol.TargetRun(
         order.attempt_id,
         order.service,
@@ -62,7 +62,7 @@
 def sub_answer(
     target: str, answer: protocol.TargetAnswer, waited_ms: float
 ) -> protocol.SubAnswer:
-    """Return what the coordinator is told of a target's answer."""
+    """Return the coordinator's message for a target's answer."""
     return protocol.SubAnswer(
         answer.attempt_id,
         target,
@@ -84,7 +84,7 @@
     ran_alone: bool,
     target_lost: bool,
 ) -> protocol.SubAnswer:
-    """Return what the coordinator is told of a failed exchange."""
+    """Return the coordinator's message for a failed exchange."""
     return protocol.SubAnswer(
         attempt_id,
         target,
@@ -101,7 +101,7 @@
     reply: result.Result[protocol.TargetRunAnswer, transport.LinkError],
     target_lost: bool,
 ) -> protocol.RunReport:
-    """Return how an unrepeatable request ended."""
+    """Return the origin's message for the end of an unrepeatable request."""
     if isinstance(reply, result.Failure):
         error = reply.failure()
         return protocol.RunReport(
@@ -125,7 +125,7 @@
 def refusal_message(
     target: str, refusal: _scheduler_types.Refuse
 ) -> protocol.SubAnswer | protocol.RunReport:
-    """Return the message that tells the origin of a refusal."""
+    """Return the origin's message for a job that was refused here."""
     job = refusal.job
     kind = protocol.RunReport if job.item is None else protocol.SubAnswer
     return kind(
