--- a/samphiredock/coordination/targets/_replica_selector.py
+++ b/samphiredock/coordination/targets/_replica_selector.py
@@ -5,9 +5,9 @@
 import typing
 
 _SMOOTHING = 0.2
-_START_MS = 1.0
+_INITIAL_LATENCY_MS = 1.0
 
-_FAILURE_FACTOR = 6.0
+_FAILURE_PENALTY = 6.0
 """How much longer the wait at a target looks that fails every request.  A
 target that refuses, breaks or spoils a part of its work is quick with it,
 and looks as good as its latency; each failure costs a retry of a budget
@@ -19,7 +19,7 @@
 OTHER_SITE_FACTOR = 1.05
 _EXPLORE_SHARE = 0.01
 
-_FORGET_HALF_MS = 5_000.0
+_HALF_LIFE_MS = 5_000.0
 """Half-life of a latency that is not measured any more.  A target that was
 slow for some seconds is asked again about so long after, and not only by
 the small share that goes anywhere."""
@@ -29,18 +29,18 @@
     __slots__ = (
         'started_ms',
         'latency_ms',
-        'measured_ms',
-        'failing',
-        'judged_ms',
+        'measured_at_ms',
+        'failure_rate',
+        'result_at_ms',
         'factor',
     )
 
     def __init__(self, factor: float) -> None:
         self.started_ms: collections.deque[float] = collections.deque()
-        self.latency_ms = _START_MS
-        self.measured_ms = 0.0
-        self.failing = 0.0
-        self.judged_ms = 0.0
+        self.latency_ms = _INITIAL_LATENCY_MS
+        self.measured_at_ms = 0.0
+        self.failure_rate = 0.0
+        self.result_at_ms = 0.0
         self.factor = factor
 
     def expected_ms(self, now_ms: float) -> float:
@@ -49,25 +49,28 @@
         An exchange that hangs has no latency yet, and work would be sent
         after it until it ends.
         """
-        left = _left_of_age(now_ms - self.measured_ms)
-        smoothed_ms = _START_MS + (self.latency_ms - _START_MS) * left
+        left = _decay(now_ms - self.measured_at_ms)
+        smoothed_ms = (
+            _INITIAL_LATENCY_MS
+            + (self.latency_ms - _INITIAL_LATENCY_MS) * left
+        )
         oldest_ms = now_ms - self.started_ms[0] if self.started_ms else 0.0
         return max(smoothed_ms, oldest_ms)
 
-    def failing_share(self, now_ms: float) -> float:
+    def recent_failure_rate(self, now_ms: float) -> float:
         """Return the share of its work that failed lately."""
-        return self.failing * _left_of_age(now_ms - self.judged_ms)
+        return self.failure_rate * _decay(now_ms - self.result_at_ms)
 
-    def judge(self, failed: bool, now_ms: float) -> None:
+    def record_result(self, failed: bool, now_ms: float) -> None:
         """Take one end in, good or failed."""
-        share = self.failing_share(now_ms)
-        self.failing = share + _SMOOTHING * (failed - share)
-        self.judged_ms = now_ms
+        share = self.recent_failure_rate(now_ms)
+        self.failure_rate = share + _SMOOTHING * (failed - share)
+        self.result_at_ms = now_ms
 
 
-def _left_of_age(age_ms: float) -> float:
+def _decay(age_ms: float) -> float:
     """Return what is left of a record that is not renewed."""
-    return 0.5 ** (age_ms / _FORGET_HALF_MS)
+    return 0.5 ** (age_ms / _HALF_LIFE_MS)
 
 
 class ReplicaSelector:
@@ -131,16 +134,22 @@
         draw = self._rng.random()
         if draw < _EXPLORE_SHARE:
             return candidates[int(draw / _EXPLORE_SHARE * count)]
-        first = self._first(candidates, draw)
+        first = self._first_index(candidates, draw)
         second = (first + 1) % count
         if count > 2:
             second = (first + 1 + int(self._rng.random() * (count - 1))) % (
                 count
             )
         one, other = candidates[first], candidates[second]
-        return one if self._wait(one) <= self._wait(other) else other
-
-    def _first(self, candidates: typing.Sequence[str], draw: float) -> int:
+        return (
+            one
+            if self._expected_wait(one) <= self._expected_wait(other)
+            else other
+        )
+
+    def _first_index(
+        self, candidates: typing.Sequence[str], draw: float
+    ) -> int:
         """Return the place of the first candidate, a near one if any is.
 
         Where another site counts much worse, two candidates at random
@@ -156,11 +165,11 @@
                 return near[int(draw * len(near))]
         return int(draw * len(candidates))
 
-    def _wait(self, target: str) -> float:
+    def _expected_wait(self, target: str) -> float:
         load = self._load(target)
         now_ms = self._now_ms()
         latency_ms = load.expected_ms(now_ms) * load.factor
-        failures = 1.0 + _FAILURE_FACTOR * load.failing_share(now_ms)
+        failures = 1.0 + _FAILURE_PENALTY * load.recent_failure_rate(now_ms)
         return (len(load.started_ms) + 1) * latency_ms * failures
 
     def record_sent(self, target: str) -> None:
@@ -190,12 +199,12 @@
         """Take in a latency; also of an attempt that was ended before."""
         load = self._load(target)
         load.latency_ms += _SMOOTHING * (took_ms - load.latency_ms)
-        load.measured_ms = self._now_ms()
-        load.judge(False, load.measured_ms)
+        load.measured_at_ms = self._now_ms()
+        load.record_result(False, load.measured_at_ms)
 
     def record_failure(self, target: str) -> None:
         """Take in that a target refused, broke or spoilt an attempt."""
-        self._load(target).judge(True, self._now_ms())
+        self._load(target).record_result(True, self._now_ms())
 
     def forget(self, target: str) -> None:
         """Drop the record of a target that is gone."""
--- a/samphiredock/coordination/targets/_shares.py
+++ b/samphiredock/coordination/targets/_shares.py
@@ -205,7 +205,7 @@
         ]
 
     def victim(
-        self, newcomer: QueueItem, useless_before_ms: float
+        self, newcomer: QueueItem, expires_before_ms: float
     ) -> typing.Any | None:
         """Return what to drop so that ``newcomer`` fits, None for itself.
 
@@ -217,22 +217,24 @@
         for site_name, site in self._sites.items():
             for service in site.flow_queues:
                 flow = Flow(service, site_name)
-                over = self._excess(flow, int(flow == newcomer.flow))
-                if over > excess:
-                    fullest, excess = flow, over
+                excess_here = self._excess(flow, int(flow == newcomer.flow))
+                if excess_here > excess:
+                    fullest, excess = flow, excess_here
         items = self._sites[fullest.site].flow_queues[fullest.service].items
         for item in items:
-            if item.expires_at_ms <= useless_before_ms:
+            if item.expires_at_ms <= expires_before_ms:
                 return item
         return None if fullest == newcomer.flow else items[-1]
 
-    def _excess(self, flow: Flow, more: int) -> float:
+    def _excess(self, flow: Flow, added: int) -> float:
         site = self._site(flow.site)
         flow_queue = self._flow_queue(site, flow)
         sites = sum(row.weight for row in self._sites.values())
         flow_queues = sum(row.weight for row in site.flow_queues.values())
-        part = site.weight / sites * flow_queue.weight / flow_queues
-        return len(flow_queue.items) + more - part * self._limit
+        guaranteed_share = (
+            site.weight / sites * flow_queue.weight / flow_queues
+        )
+        return len(flow_queue.items) + added - guaranteed_share * self._limit
 
     def _next_flow_queue(
         self, site: _SiteQueue, now_ms: float
--- a/samphiredock/coordination/targets/_target_signs.py
+++ b/samphiredock/coordination/targets/_target_signs.py
@@ -45,7 +45,7 @@
     TARGET = 'target'
 
 
-_STATUS = msgspec.json.Decoder(TargetObject)
+_DECODER = msgspec.json.Decoder(TargetObject)
 
 _Listener = typing.Callable[[str, bool], None]
 
@@ -125,7 +125,7 @@
         """Take an object below ``targets/``; unreadable ones are counted."""
         name = stored.key.removeprefix(TARGETS_PREFIX)
         try:
-            status = _STATUS.decode(stored.value)
+            status = _DECODER.decode(stored.value)
         except (msgspec.DecodeError, UnicodeDecodeError):
             self._metrics.add('target_objects_unreadable')
             return
@@ -195,7 +195,7 @@
                 return result.Failure(error)
         else:
             version = found.unwrap().version
-            at_ms = max(at_ms, _at_ms(found.unwrap()) + 1)
+            at_ms = max(at_ms, _stored_at_ms(found.unwrap()) + 1)
         value = msgspec.json.encode(TargetObject(leaving, at_ms))
         put = await self._platform.put(key, value, version)
         if isinstance(put, result.Success):
@@ -221,7 +221,7 @@
     ) -> None:
         signs = self._signs.setdefault(target, {})
         known = signs.get(source)
-        if known is not None and _order(status) <= _order(known):
+        if known is not None and _sort_key(status) <= _sort_key(known):
             return
         signs[source] = status
         self._digest = 0
@@ -311,12 +311,12 @@
             await _pause.pause(self._clock, pause_ms)
 
 
-def _order(status: TargetObject) -> tuple[int, bool]:
+def _sort_key(status: TargetObject) -> tuple[int, bool]:
     return status.at_ms, status.leaving
 
 
-def _at_ms(stored: transport.StoredObject) -> int:
+def _stored_at_ms(stored: transport.StoredObject) -> int:
     try:
-        return _STATUS.decode(stored.value).at_ms
+        return _DECODER.decode(stored.value).at_ms
     except (msgspec.DecodeError, UnicodeDecodeError):
         return 0
