--- a/samphiredock/coordination/targets/_replica_selector.py
+++ b/samphiredock/coordination/targets/_replica_selector.py
@@ -1,4 +1,4 @@
-"""Which replica of a shard gets an attempt."""
+"""Selection of the replica that gets an attempt."""
 
 import collections
 import random
@@ -8,24 +8,25 @@
 _INITIAL_LATENCY_MS = 1.0
 
 _FAILURE_PENALTY = 6.0
-"""How much longer the wait at a target looks that fails every request.  A
-target that refuses, breaks or spoils a part of its work is quick with it,
-and looks as good as its latency; each failure costs a retry of a budget
-that is soon used up.  With 6, one failure alone does not outweigh another
-site's factor of 3, a share of 40 % does.  Without it a day on which 20 of 40
-targets refused 6 of 10 requests lost 0.056 to 0.088 of its worth (played
-days, one seed each)."""
+"""How much the expected wait grows for a target that fails every request.
+Failures are often fast, so by latency alone a failing target would be
+preferred, and each failure costs a retry.  The value is low enough that one
+failure does not outweigh an ``other_site_factor`` of 3."""
 
 OTHER_SITE_FACTOR = 1.05
 _EXPLORE_SHARE = 0.01
 
 _HALF_LIFE_MS = 5_000.0
-"""Half-life of a latency that is not measured any more.  A target that was
-slow for some seconds is asked again about so long after, and not only by
-the small share that goes anywhere."""
+"""Half-life of a recorded latency or failure rate, so that a target which
+gets no attempts because it was slow or failing is tried again."""
 
 
 class _TargetLoad:
+    """Attempts in flight at one target, its latency and failure rate.
+
+    ``started_ms`` has the start of each attempt in flight, oldest first.
+    """
+
     __slots__ = (
         'started_ms',
         'latency_ms',
@@ -44,10 +45,10 @@
         self.factor = factor
 
     def expected_ms(self, now_ms: float) -> float:
-        """Return the smoothed latency, or the age of what is overdue.
+        """Return the latency, or the age of the oldest attempt if greater.
 
-        An exchange that hangs has no latency yet, and work would be sent
-        after it until it ends.
+        An attempt that hangs gives no latency until it ends; without its
+        age, more attempts would be sent after it.
         """
         left = _decay(now_ms - self.measured_at_ms)
         smoothed_ms = (
@@ -58,46 +59,44 @@
         return max(smoothed_ms, oldest_ms)
 
     def recent_failure_rate(self, now_ms: float) -> float:
-        """Return the share of its work that failed lately."""
+        """Return the smoothed share of attempts that failed, decayed."""
         return self.failure_rate * _decay(now_ms - self.result_at_ms)
 
     def record_result(self, failed: bool, now_ms: float) -> None:
-        """Take one end in, good or failed."""
+        """Record that an attempt failed or succeeded."""
         share = self.recent_failure_rate(now_ms)
         self.failure_rate = share + _SMOOTHING * (failed - share)
         self.result_at_ms = now_ms
 
 
 def _decay(age_ms: float) -> float:
-    """Return what is left of a record that is not renewed."""
+    """Return the weight, 0 to 1, of a measurement of that age."""
     return 0.5 ** (age_ms / _HALF_LIFE_MS)
 
 
 class ReplicaSelector:
-    """Least expected wait among two replicas drawn at random.
+    """Selects the replica with the shorter expected wait of two drawn.
 
-    The wait is the target's smoothed latency times what this coordinator
-    has in flight there, and more if it fails part of its work.  A small
-    share of attempts goes to a replica whatever its record, so that one
-    which was slow once is seen to recover.
+    Two replicas are drawn at random.  The expected wait is the target's
+    smoothed latency times this daemon's attempts in flight there, and grows
+    with the target's failure rate.  A small share of attempts goes to any
+    replica at random, so that the recovery of a slow one is noticed.
 
     Parameters
     ----------
     rng
-        Seeded source of randomness.
+        Seeded random source.
     is_near
-        Whether a target is in this daemon's site.
-    now_ms
-        The monotonic clock; without one nothing is forgotten.
+        Returns whether a target is in this daemon's site.
     other_site_factor
-        How much longer a target at another site may look before it is
-        passed over: 1.05 decides between equals only.
+        Factor on the expected wait of targets at other sites; the default
+        only decides between equals.
+    now_ms
+        The monotonic clock; without one, measurements do not decay.
     near_only
-        Take one of another site only if none of this one is a candidate.
-        For daemons that requests are handed to: one that was never asked
-        looks quick, so that without it 76 of 173 hand-overs crossed sites
-        and took 9.3 ms in place of 2.7 ms (median, log of one played day
-        of 195 daemons).
+        Select a target of another site only if no candidate is in this
+        site.  Otherwise a target that was never used would look fast and
+        draw attempts to other sites.
     """
 
     def __init__(
@@ -124,7 +123,7 @@
         return load
 
     def choose(self, candidates: typing.Sequence[str]) -> str:
-        """Return one of ``candidates``, which may not be empty."""
+        """Return one of ``candidates``, which must not be empty."""
         if self._near_only:
             near = [name for name in candidates if self._is_near(name)]
             candidates = near or candidates
@@ -150,10 +149,11 @@
     def _first_index(
         self, candidates: typing.Sequence[str], draw: float
     ) -> int:
-        """Return the place of the first candidate, a near one if any is.
+        """Return the index of the first of the two candidates.
 
-        Where another site counts much worse, two candidates at random
-        would leave the only near one out a third of the time.
+        If other sites count as much slower, it is a near one if there is
+        any: with two of three drawn at random, a single near candidate
+        would be left out a third of the time.
         """
         if self._other_site_factor > OTHER_SITE_FACTOR:
             near = [
@@ -173,20 +173,24 @@
         return (len(load.started_ms) + 1) * latency_ms * failures
 
     def record_sent(self, target: str) -> None:
-        """Count an attempt as in flight."""
+        """Record that an attempt was sent to a target."""
         self._load(target).started_ms.append(self._now_ms())
 
     def record_ended(self, target: str, took_ms: float | None) -> None:
-        """Count an attempt as ended; ``took_ms`` None leaves the record."""
+        """Record that an attempt ended.
+
+        ``took_ms`` is its latency, None to leave the latency as it is.
+        """
         load = self._load(target)
         load.started_ms.popleft()
         if took_ms is not None:
             self.record_latency(target, took_ms)
 
     def keep_in_flight(self, target: str, sent_ms: float) -> None:
-        """Count an attempt as in flight that was ended here, but runs on.
+        """Count an attempt in flight that ended here but runs at the target.
 
-        :meth:`ended` follows when its exchange has ended.
+        ``sent_ms`` is when it was sent.  :meth:`record_ended` must follow
+        when its exchange ends.
         """
         started_ms = self._load(target).started_ms
         started_ms.append(sent_ms)
@@ -196,18 +200,18 @@
             )
 
     def record_latency(self, target: str, took_ms: float) -> None:
-        """Take in a latency; also of an attempt that was ended before."""
+        """Record the latency of a successful attempt."""
         load = self._load(target)
         load.latency_ms += _SMOOTHING * (took_ms - load.latency_ms)
         load.measured_at_ms = self._now_ms()
         load.record_result(False, load.measured_at_ms)
 
     def record_failure(self, target: str) -> None:
-        """Take in that a target refused, broke or spoilt an attempt."""
+        """Record that a target refused an attempt or failed it."""
         self._load(target).record_result(True, self._now_ms())
 
     def forget(self, target: str) -> None:
-        """Drop the record of a target that is gone."""
+        """Drop the data of a removed target, unless attempts are in flight."""
         load = self._loads.get(target)
         if load is not None and not load.started_ms:
             del self._loads[target]
--- a/samphiredock/coordination/targets/_scheduler.py
+++ b/samphiredock/coordination/targets/_scheduler.py
@@ -280,7 +280,7 @@
         return len(self._queue) + sent
 
     def wake_at_ms(self, now_ms: float) -> float | None:
-        """Return when to call :meth:`pump` next, None if not by a timer."""
+        """Return when a timer must call :meth:`pump`, None if none must."""
         if not self._queue:
             return None
         times = [
--- a/samphiredock/coordination/targets/_scheduler_types.py
+++ b/samphiredock/coordination/targets/_scheduler_types.py
@@ -54,9 +54,10 @@
 class ExchangeEnd(enum.Enum):
     """What the end of an exchange says about its slot and its target.
 
-    ``ANSWERED``: the target answered; the slot is free.  ``FREE``: it was
-    never sent, or the target refused or failed it; the slot is free.
-    ``LOST``: no answer came; the target may still use the slot.
+    ``ANSWERED``: the target served it; the slot is free.  ``FREE``: it was
+    never sent, the target did not serve it, or the target is draining; the
+    slot is free.  ``LOST``: no answer came; the target may still use the
+    slot.
     """
 
     ANSWERED = 'answered'
--- a/samphiredock/coordination/targets/_shares.py
+++ b/samphiredock/coordination/targets/_shares.py
@@ -1,9 +1,8 @@
-"""Weighted fair queueing of one target's work over sites and services.
+"""Weighted fair queueing of one target's jobs over sites and services.
 
-Start-time fair queueing on two levels: first the site with the least
-virtual time, then within it the service.  A site that is alone gets
-everything (its share is lent); when another one returns, its next item
-overtakes whatever the borrower has queued.
+Start-time fair queueing on two levels: first the site with the lowest start
+tag, then the service within it.  The share of an idle site goes to the
+others; when it has jobs again, they overtake what the others have queued.
 """
 
 import collections
@@ -18,29 +17,31 @@
 
 
 class Flow(typing.NamedTuple):
-    """Whose work it is: a service's, at one entry site."""
+    """A service and the entry site that its requests came in at."""
 
     service: str
     site: str
 
 
 class QueueItem(typing.Protocol):
-    """What the queue reads of its items."""
+    """What the queue needs of its items."""
 
     @property
     def flow(self) -> Flow:
-        """Whose work it is."""
+        """The service and entry site of the item."""
 
     @property
     def expires_at_ms(self) -> float:
-        """When the answer is of no more use."""
+        """When the answer comes too late to be used."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shares:
-    """Weights and caps, as parts of one target's slot time.
+    """Weights and caps of sites and services, as parts of 1.0.
 
-    A missing site or service gets the least weight; a missing cap is 1.0.
+    Weights divide one target's throughput; caps bound the part of its slot
+    time that is used.  A missing site or service gets the minimum weight; a
+    missing cap is 1.0, which is no bound.
     """
 
     site_shares: typing.Mapping[str, float]
@@ -53,7 +54,7 @@
 
 
 def shares_of(configuration: state.Configuration) -> Shares:
-    """Return the shares that a configuration gives."""
+    """Return the weights and caps of a configuration."""
     sites = configuration.sites.values()
     return Shares(
         {site.name: site.share for site in sites},
@@ -68,7 +69,7 @@
 
 
 class _CapMeter:
-    """A leaky bucket of slot time: it leaks at the capped rate."""
+    """A leaky bucket of used slot time that leaks at the capped rate."""
 
     def __init__(self, cap: float, slots: int) -> None:
         self._rate = cap * slots if cap < 1.0 else math.inf
@@ -100,7 +101,7 @@
 
 
 class _SiteQueue:
-    """The lines of one site."""
+    """The queues of one site's services."""
 
     def __init__(self, weight: float, meter: _CapMeter) -> None:
         self.flow_queues: dict[str, _FlowQueue] = {}
@@ -117,9 +118,9 @@
     Parameters
     ----------
     limit
-        Most items in all lines together.
+        Maximum number of items.
     slots
-        The target's slots, for the caps.
+        The target's slots; caps are parts of their time.
     shares
         Weights and caps.
     """
@@ -138,15 +139,15 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether a further item would exceed the bound."""
+        """Whether another item would exceed the limit."""
         return self._size >= self._limit
 
     def push(self, item: QueueItem) -> None:
-        """Append to the item's own line; the caller saw to the bound."""
+        """Append an item; the caller must have checked :attr:`is_full`."""
         flow = item.flow
         site = self._site(flow.site)
         flow_queue = self._flow_queue(site, flow)
-        # An idle line gets no credit for the time it asked for nothing.
+        # An idle site or flow gets no credit for the time it was idle.
         if not site.backlog:
             site.start_tag = max(site.start_tag, self._virtual_time)
         if not flow_queue.items:
@@ -156,9 +157,10 @@
         self._size += 1
 
     def head(self, now_ms: float) -> typing.Any | None:
-        """Return the item whose turn it is, None if none may go now.
+        """Return the next item, None if there is none or caps forbid all.
 
-        ``capped_until_ms`` is then when a capped line may go again.
+        In the latter case ``capped_until_ms`` is when the first cap allows
+        an item again.
         """
         self.capped_until_ms = None
         waiting = [site for site in self._sites.values() if site.backlog]
@@ -171,7 +173,7 @@
         return None
 
     def take(self, item: QueueItem) -> None:
-        """Remove the item that :meth:`head` gave and charge its line."""
+        """Remove the item that :meth:`head` returned; advance the tags."""
         site = self._sites[item.flow.site]
         flow_queue = site.flow_queues[item.flow.service]
         flow_queue.items.popleft()
@@ -183,13 +185,13 @@
         self._size -= 1
 
     def charge(self, flow: Flow, busy_ms: float, now_ms: float) -> None:
-        """Count slot time that a flow used against its caps."""
+        """Count slot time used by a flow against its site's and own cap."""
         site = self._site(flow.site)
         site.meter.charge(busy_ms, now_ms)
         self._flow_queue(site, flow).meter.charge(busy_ms, now_ms)
 
     def remove(self, item: QueueItem) -> None:
-        """Remove an item that nobody wants any more."""
+        """Remove a queued item without serving it."""
         site = self._sites[item.flow.site]
         site.flow_queues[item.flow.service].items.remove(item)
         site.backlog -= 1
@@ -207,11 +209,12 @@
     def victim(
         self, newcomer: QueueItem, expires_before_ms: float
     ) -> typing.Any | None:
-        """Return what to drop so that ``newcomer`` fits, None for itself.
+        """Return the item to drop for ``newcomer``, None for ``newcomer``.
 
-        The line that is most beyond its guaranteed places gives way, so a
-        flooding site only ever fills its own.  Within it the oldest item
-        that can no longer be of use goes first.
+        It is taken from the flow that is most beyond its guaranteed part of
+        the limit, so that a flooding site displaces only its own items.
+        Within that flow it is the oldest item that expires before
+        ``expires_before_ms``, else the newest.
         """
         fullest, excess = newcomer.flow, self._excess(newcomer.flow, 1)
         for site_name, site in self._sites.items():
@@ -229,10 +232,10 @@
     def _excess(self, flow: Flow, added: int) -> float:
         site = self._site(flow.site)
         flow_queue = self._flow_queue(site, flow)
-        sites = sum(row.weight for row in self._sites.values())
-        flow_queues = sum(row.weight for row in site.flow_queues.values())
+        total_sites = sum(row.weight for row in self._sites.values())
+        total_flows = sum(row.weight for row in site.flow_queues.values())
         guaranteed_share = (
-            site.weight / sites * flow_queue.weight / flow_queues
+            site.weight / total_sites * flow_queue.weight / total_flows
         )
         return len(flow_queue.items) + added - guaranteed_share * self._limit
 
--- a/samphiredock/coordination/targets/_target_signs.py
+++ b/samphiredock/coordination/targets/_target_signs.py
@@ -1,8 +1,9 @@
-"""Which targets are leaving: the newest sign wins, whatever /health says.
+"""Which targets are leaving (draining), from signs of several sources.
 
-The platform's host list is read by few daemons for all: at hundreds of
-daemons one reading each would take a quarter of the store's reads, and the
-list of thousands of hosts would come to each of them every second.
+A sign is a dated report that a target is leaving or back, from an operator,
+the platform's host list or the target itself.  Health endpoints are not
+asked.  Only a few daemons poll the host list and tell the others, since
+hundreds of daemons polling it would take much of the store's capacity.
 """
 
 import asyncio
@@ -31,14 +32,17 @@
 
 
 class TargetObject(msgspec.Struct, frozen=True):
-    """The object ``targets/NAME``, an operator's word on a target."""
+    """The stored object ``targets/NAME``, an operator's sign on a target.
+
+    ``at_ms`` is wall-clock time.
+    """
 
     leaving: bool
     at_ms: int
 
 
 class SignSource(enum.Enum):
-    """Who said that a target is leaving."""
+    """Where a sign came from."""
 
     OPERATOR = 'operator'
     HOST_LIST = 'host-list'
@@ -51,27 +55,28 @@
 
 
 class TargetSigns:
-    """Every sign of leaving and of return that this daemon knows.
+    """The newest sign of each source on each target.
 
-    A leaving sign of any source stands until the same source takes it back
-    later.  A newer word of an operator settles the target's own sign too.
-    A host list that no longer shows a target as leaving may be late, so it
-    does not count as a return: the dispatcher's probe decides.
+    A target is leaving while the newest sign of any source says so.  A newer
+    operator's sign of return also replaces the target's own sign.  A host
+    list that no longer shows a target as leaving may be outdated, so its
+    return becomes a leaving sign of the target itself, which the owner's
+    next probe of the target confirms or ends.
 
     Parameters
     ----------
     platform
         Store and host list.
     peers, broadcaster
-        Where signs are sent.
+        Send signs to one daemon and to all.
     clock, counters
         The timer service and the metrics.
-    chance
-        A seeded source, picks the peer to ask.
+    rng
+        Seeded random source, selects the peer to ask.
     members
-        Names of the daemons that may be asked.
+        Returns the names of the daemons that may be asked.
     is_watcher
-        Whether this daemon reads the host list for the others.
+        Returns whether this daemon polls the host list for the others.
     """
 
     def __init__(
@@ -102,19 +107,19 @@
         peers.subscribe(protocol.TargetSignsWanted, self._on_wanted)
 
     def subscribe(self, listener: _Listener) -> None:
-        """Call back with (target, leaving) at each change."""
+        """Call ``listener(target, leaving)`` when a target's state changes."""
         self._listeners.append(listener)
 
     def is_usable(self, target: str) -> bool:
-        """Whether a target may get new work, as far as signs go."""
+        """Whether no sign says that the target is leaving."""
         return target not in self._leaving
 
     def leaving(self) -> set[str]:
-        """Return the targets that get no new work."""
+        """Return the names of the leaving targets."""
         return set(self._leaving)
 
     def targets_to_probe(self) -> list[str]:
-        """Return targets that only their own word still holds back."""
+        """Return the targets that are leaving by their own sign only."""
         return [
             name
             for name in self._leaving
@@ -122,7 +127,7 @@
         ]
 
     def on_object(self, stored: transport.StoredObject) -> None:
-        """Take an object below ``targets/``; unreadable ones are counted."""
+        """Apply a stored object below ``targets/``; count unreadable ones."""
         name = stored.key.removeprefix(TARGETS_PREFIX)
         try:
             status = _DECODER.decode(stored.value)
@@ -136,7 +141,7 @@
                 self._learn(name, SignSource.TARGET, status)
 
     def on_hosts(self, hosts: typing.Iterable[transport.Host]) -> None:
-        """Take the lagging list in."""
+        """Apply the platform's host list and broadcast what changed."""
         now_ms = self._clock.wall_ms()
         for host in hosts:
             known = self._signs.get(host.name, {}).get(SignSource.HOST_LIST)
@@ -152,18 +157,18 @@
     def _learn_from_host_list(self, name: str, status: TargetObject) -> None:
         known = self._signs.get(name, {}).get(SignSource.HOST_LIST)
         if known is not None and known.leaving and not status.leaving:
-            # Dated back, so that a return that another daemon has
-            # already seen stays the newer one.
+            # Keeps the date of the leaving sign, so that a return which
+            # another daemon has already seen is newer.
             self._learn(name, SignSource.TARGET, known)
         self._learn(name, SignSource.HOST_LIST, status)
 
     def on_target_report(
         self, target: str, leaving: bool, asked_at_ms: int | None = None
     ) -> None:
-        """Take what a target itself answered, and tell the others.
+        """Apply a target's own report and broadcast it if it is news.
 
-        ``asked_at_ms`` is the wall-clock time at which it was asked: a word
-        that was on its way when a newer sign came is no return.
+        ``asked_at_ms`` is the wall-clock time at which the target was asked:
+        an answer that is older than the newest sign is no return.
         """
         known = self._signs.get(target, {}).get(SignSource.TARGET)
         if known is None and not leaving:
@@ -184,7 +189,11 @@
     async def set_leaving(
         self, target: str, leaving: bool
     ) -> result.Result[int, transport.StoreError]:
-        """Write an operator's word; a racing writer gets a conflict."""
+        """Store an operator's sign; return the version of its object.
+
+        Returns a ``Failure`` if the store cannot be reached or another
+        writer was first.
+        """
         key = TARGETS_PREFIX + target
         found = await self._platform.get(key)
         version = transport.CREATE_ONLY
@@ -203,12 +212,12 @@
         return put
 
     def start(self) -> None:
-        """Poll the host list and now and then ask a peer for its signs."""
+        """Start to poll the host list and to ask peers for their signs."""
         self._clock.every(_ASK_PERIOD_MS, self._ask_peer)
         self._task = asyncio.create_task(self._poll_hosts())
 
     def close(self) -> None:
-        """Stop."""
+        """Stop polling the host list."""
         if self._task is not None:
             self._task.cancel()
 
@@ -258,9 +267,9 @@
             self._peers.send(sender, sign)
 
     def _shared_signs(self) -> list[protocol.TargetSign]:
-        """Return what daemons tell each other, oldest first.
+        """Return the signs that daemons send each other, oldest first.
 
-        An operator's word is left out: everybody follows its object.
+        Operators' signs are left out: every daemon reads their objects.
         """
         rows = [
             protocol.TargetSign(
@@ -286,7 +295,7 @@
         return self._digest
 
     def _ask_peer(self) -> None:
-        # A broadcast may be lost, and a new daemon has heard none.
+        # A broadcast may be lost, and a new daemon has received none.
         names = sorted(self._members())
         if names:
             self._peers.send(
