--- a/samphiredock/coordination/fleet/__init__.py
+++ b/samphiredock/coordination/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""The daemons: who lives, who owns which target, how news spread."""
+"""Membership of the daemons, ownership of targets, relayed broadcasts."""
 
 from samphiredock import lazy
 
--- a/samphiredock/coordination/fleet/_directory.py
+++ b/samphiredock/coordination/fleet/_directory.py
@@ -1,8 +1,8 @@
-"""The list of daemons in the platform's store.
+"""The directory: the list of daemons in the platform's store.
 
-Each daemon writes its own entry once for each start and reads the others'
-to find somebody to ask; from then on it learns by gossip.  The list is
-read again seldom, at a rate that falls with the number of daemons.
+At its start each daemon writes its entry and reads the others' to find peers
+to ask; everything else it learns by gossip.  The list is read again at an
+interval that grows with the number of daemons, to bound the store's load.
 """
 
 import random
@@ -36,14 +36,14 @@
     Parameters
     ----------
     me
-        Returns this daemon's member now.
+        Returns this daemon's current entry.
     platform, clock, counters, rng
         The store, the timers, the metrics and a seeded random source.
     live
         Returns the live members.
     on_read
-        Called with the members listed, this one left out; with None when
-        the store gave no list.
+        Called after each read with the other members listed, or with None
+        if the store could not be read.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._absent_since: dict[str, float] = {}
 
     async def follow(self) -> None:
-        """Register, then read the list for ever."""
+        """Register this daemon, then read the list until cancelled."""
         registered = False
         while True:
             if not registered:
@@ -74,8 +74,8 @@
             found = await self._read()
             if found is not None:
                 own = MEMBERS_PREFIX + self._me().name
-                # The entry of a daemon that was cut off for long may have
-                # been removed as one of a host long gone.
+                # Another daemon may have removed the entry as stale while
+                # this one was partitioned.
                 registered = any(stored.key == own for stored in found)
                 await self._remove_stale(found)
             await _pause.pause(self._clock, self._wait_ms(found, registered))
@@ -117,7 +117,10 @@
     async def _remove_stale(
         self, found: tuple[transport.StoredObject, ...]
     ) -> None:
-        """Let one member remove the entries of hosts long gone."""
+        """Remove entries of daemons long absent, if this daemon is elected.
+
+        The first live member in the relay order does it for all.
+        """
         live = {member.name for member in self._live()}
         now_ms = self._clock.now_ms()
         listed = {row.key.removeprefix(MEMBERS_PREFIX): row for row in found}
--- a/samphiredock/coordination/fleet/_gossip.py
+++ b/samphiredock/coordination/fleet/_gossip.py
@@ -1,9 +1,10 @@
-"""Decisions of membership: who is probed, suspected, dead, back.
+"""SWIM-style membership protocol, without I/O.
 
-SWIM-style.  Each period one member is probed; one that does not answer is
-probed through others, then suspected, and dead if it does not refute that
-in time.  Changes travel on the probes.  So the bytes a daemon sends do not
-grow with the number of members.  Pure: ticks and messages in, effects out.
+Each period a daemon probes one member.  A member that does not answer is
+probed through others, then suspected, and declared dead if it does not
+refute the suspicion in time.  Changes are piggybacked on probes, so that the
+bytes a daemon sends do not grow with the number of members.  Ticks and
+messages go in, effects for :class:`Membership` come out.
 """
 
 import random
@@ -43,15 +44,15 @@
     me
         This daemon's row at its start.
     rng
-        Seeded source of the choice of members.
+        Seeded random source.
     versions
-        What this daemon holds, told with each probe.
+        Returns the versions this daemon holds, sent with each probe.
     settled
-        Whether those versions can be relied on.
-    behind
-        Whether a peer has told of newer versions.
+        Returns whether this daemon is settled, see :class:`Settling`.
+    is_behind
+        Returns whether a peer has reported newer versions.
     now_ms
-        The time of the start.
+        The monotonic time of the start.
     """
 
     def __init__(
@@ -91,14 +92,14 @@
         return self._neighbours.names(self.table)
 
     def is_current(self, now_ms: float) -> bool:
-        """Whether the view is not older than a gap in this process."""
+        """Whether the view is not from before a freeze of this process."""
         late_ms = now_ms - self._last_ms
         return late_ms < _GAP_MS and not self._view_freshness.is_stale
 
     # Inputs.
 
     def tick(self, now_ms: float) -> _Effects:
-        """Do what is due; to be called each ``TICK_MS``."""
+        """Do what is due; must be called every ``TICK_MS``."""
         effects = self._check_gap(now_ms)
         self._last_ms = now_ms
         effects += self._refresh_view(now_ms)
@@ -120,7 +121,7 @@
     def on_message(
         self, sender: str, message: msgspec.Struct, now_ms: float
     ) -> _Effects:
-        """Take a peer's message in."""
+        """Handle a message of a peer."""
         effects = self._check_gap(now_ms)
         handler = _HANDLERS[type(message)]
         return effects + handler(self, sender, message, now_ms)
@@ -128,10 +129,10 @@
     def ask_unknown(
         self, rows: typing.Sequence[protocol.MemberRow]
     ) -> _Effects:
-        """Ask some of the members that the directory lists but this lacks.
+        """Ask some of the daemons in ``rows`` that are not live members.
 
-        The directory may list hosts long gone, so that a row in it makes
-        no member: the member's own answer does.
+        The directory may list daemons long dead, so they become members
+        only when they answer.
         """
         unknown = [row for row in rows if not self.table.is_live(row.name)]
         chosen = self._rng.sample(
@@ -144,22 +145,22 @@
         return effects + self._ask_state(names, full=True)
 
     def ask_some(self) -> _Effects:
-        """Ask some members what they hold."""
+        """Ask some neighbours for their member tables."""
         return self._ask_state(self._random_neighbours(_REFRESH_PEERS))
 
     def leave(self) -> protocol.MemberRow:
-        """Mark this daemon as leaving; return its row to be told."""
+        """Mark this daemon as having left; return its row to be sent."""
         return self._reports.leave()
 
-    # A gap in this process.
+    # Freezes of this process.
 
     def _check_gap(self, now_ms: float) -> _Effects:
         late_ms = now_ms - self._last_ms - TICK_MS
         if late_ms <= 0:
             return []
         if late_ms < _GAP_MS:
-            # A short stall of this process is no fault of the others: it
-            # must not count as time in which they were silent.
+            # During a short stall of this process the others cannot be
+            # heard: it must not count towards their timeouts.
             self._probes.postpone(late_ms)
             self._reports.postpone_suspicions(late_ms)
             self._last_ms = now_ms - TICK_MS
@@ -167,10 +168,11 @@
         return self.on_gap(now_ms)
 
     def on_gap(self, now_ms: float) -> _Effects:
-        """Take note that this process was frozen until now.
+        """Handle a freeze of this process that ended now.
 
-        Its view is old and the others may hold it dead: without this it
-        would suspect everybody, and act on what it owned before.
+        The view is outdated and the other daemons may hold this one dead.
+        Without this the daemon would suspect every member and act on the
+        targets it owned before.
         """
         last_ms, self._last_ms = self._last_ms, now_ms
         if not self._view_freshness.is_stale:
@@ -219,7 +221,7 @@
         return self._probe(name, now_ms + _DIRECT_TIMEOUT_MS) if name else []
 
     def _probe_lost(self, now_ms: float) -> _Effects:
-        """Probe one dead member, so that the end of a cut is found."""
+        """Probe one dead member, to detect the end of a partition."""
         effects: _Effects = []
         for name in self._reports.forget_lost(now_ms - _LOST_RETENTION_MS):
             effects.append(_gossip_state.MemberForgotten(name))
@@ -283,7 +285,10 @@
         return [_gossip_state.SendTo(name, message) for name in names]
 
     def state_ask(self) -> protocol.StateAsk:
-        """Return the message that asks a bare address for all it knows."""
+        """Return the request for a full member table.
+
+        For peers of which only the address is known.
+        """
         return protocol.StateAsk(
             self._next_number(), self.me, [], self._versions()
         )
@@ -297,8 +302,9 @@
         doubted = any(row.name == self._name for row in message.rows)
         leaving = self.me.state is protocol.MemberState.LEFT
         if (doubted or leaving) and self.me not in rows:
-            # The report may be older than the news of its refutation; and
-            # who probes a leaving daemon may have missed that it leaves.
+            # The refutation may not be piggybacked any more when an old
+            # report comes; and the prober may not know that this daemon has
+            # left.
             rows.append(self.me)
         answer = protocol.ProbeAnswer(message.number, self._versions(), rows)
         return [*effects, _gossip_state.SendTo(sender, answer)]
@@ -315,8 +321,9 @@
             if probe.asked_by:
                 effects += self._relay_answer(probe, message)
         elif probe is not None and probe.indirect:
-            # Another one reaches it: the connection between the two is
-            # silent.  If it is so the other way, its probes find that.
+            # Another member reaches the target, so only this daemon's
+            # connection to it is silent.  The target's own probes detect a
+            # silent connection in the other direction.
             self._probes.close(message.number)
             effects.append(_gossip_state.ResetPeer(probe.target))
         if was_lost and sender not in self._reports.lost_since:
@@ -392,11 +399,11 @@
     protocol.StatePush: Gossip._on_state_push,
 }
 GOSSIP_MESSAGES = tuple(_HANDLERS)
-"""The messages that a :class:`Gossip` takes in."""
+"""The messages that :meth:`Gossip.on_message` handles."""
 
 
 def health_of(row: protocol.MemberRow, revision: int) -> dict:
-    """Return one member for ``status``."""
+    """Return one member's row in the output of ``status``."""
     return {
         'member': _member_table.member_of(row),
         'state': row.state.name.lower(),
--- a/samphiredock/coordination/fleet/_gossip_state.py
+++ b/samphiredock/coordination/fleet/_gossip_state.py
@@ -1,4 +1,4 @@
-"""Parts of membership's decisions: effects, open probes, news, freshness."""
+"""Effects and partial states of the membership protocol."""
 
 import dataclasses
 import math
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendTo:
-    """Send this message to a member."""
+    """Effect: send this message to a member."""
 
     member: str
     message: msgspec.Struct
@@ -26,28 +26,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResetPeer:
-    """Make a new connection to a member; the open one is silent."""
+    """Effect: replace the silent connection to a member by a new one."""
 
     member: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """A member's row changed; its address may be new."""
+    """Effect: a member's row changed; its address may be new."""
 
     row: protocol.MemberRow
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberForgotten:
-    """A member has been dead so long that its row was dropped."""
+    """Effect: a member was dead for so long that its row was dropped."""
 
     member: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerVersions:
-    """What a peer says it holds of configuration and snapshots."""
+    """Effect: a peer reported its configuration and snapshot versions."""
 
     member: str
     versions: protocol.HeldVersions
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerAnswered:
-    """A peer has answered a full exchange."""
+    """Effect: a peer has answered a request for its member table."""
 
     member: str
     settled: bool
@@ -73,10 +73,11 @@
 
 @dataclasses.dataclass(slots=True)
 class OpenProbe:
-    """A probe without answer so far.
+    """A probe that has not been answered.
 
-    ``asked_by`` and ``asked_number`` name the probe of another daemon on
-    whose behalf this one was sent.
+    ``indirect`` says that others were asked to probe the target too.  If
+    the probe was sent on behalf of another daemon, ``asked_by`` is that
+    daemon and ``asked_number`` the number of its probe.
     """
 
     target: str
@@ -87,7 +88,7 @@
 
 
 class Probes:
-    """The probes without answer, and whose turn it is to be probed."""
+    """The open probes by number, and the order in which to probe members."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -95,23 +96,23 @@
         self._round: list[str] = []
 
     def add(self, number: int, probe: OpenProbe) -> None:
-        """Note a probe that is sent."""
+        """Add a probe that is sent."""
         self._open[number] = probe
 
     def get(self, number: int) -> OpenProbe | None:
-        """Return an open probe."""
+        """Return an open probe, None if there is none of that number."""
         return self._open.get(number)
 
     def close(self, number: int) -> None:
-        """Forget a probe."""
+        """Remove an open probe."""
         del self._open[number]
 
     def clear(self) -> None:
-        """Forget all probes."""
+        """Remove all open probes."""
         self._open.clear()
 
     def due(self, now_ms: float) -> list[tuple[int, OpenProbe]]:
-        """Return the probes whose time is over."""
+        """Return the probes whose timeout is over, with their numbers."""
         return [
             (number, probe)
             for number, probe in self._open.items()
@@ -124,9 +125,10 @@
             probe.due_ms += delay_ms
 
     def next_target(self, others: typing.Sequence[str]) -> str | None:
-        """Return whose turn it is.
+        """Return the next member to probe, None if there is none.
 
-        Each member comes once in a round, so that none is left out long.
+        Each member comes once in a round, in random order, so that the time
+        between two probes of a member is bounded.
         """
         while self._round:
             name = self._round.pop()
@@ -138,22 +140,22 @@
 
 
 class PiggybackQueue:
-    """Names of members whose rows are still to be told to others.
+    """The members whose rows are to be piggybacked on messages.
 
-    Each is told a number of times that grows with the logarithm of the
-    size, which is enough to reach all with high probability.
+    Each row is sent a number of times that grows with the logarithm of the
+    number of members, which reaches all with high probability.
     """
 
     def __init__(self) -> None:
         self._left: dict[str, int] = {}
 
     def add(self, name: str, size: int) -> None:
-        """Tell of a member to others from now on."""
+        """Piggyback a member's row, in a fleet of ``size`` members."""
         sends = _SENDS_PER_DECADE * math.ceil(math.log10(size + 2))
         self._left[name] = max(_MIN_SENDS, sends)
 
     def take(self) -> list[str]:
-        """Choose the names for one message, the least told ones first."""
+        """Return the names for one message, the least often sent first."""
         chosen = sorted(self._left, key=self._left.get, reverse=True)
         chosen = chosen[:_ROWS_PER_MESSAGE]
         for name in chosen:
@@ -163,12 +165,12 @@
         return chosen
 
     def clear(self) -> None:
-        """Tell of nobody."""
+        """Remove all names."""
         self._left.clear()
 
 
 class ViewFreshness:
-    """Whether the view is left over from before a freeze."""
+    """Tracks whether the view of members is from before a freeze."""
 
     def __init__(self) -> None:
         self._stale_since_ms: float | None = None
@@ -177,37 +179,37 @@
 
     @property
     def is_stale(self) -> bool:
-        """Whether peers must be asked before the view may be used."""
+        """Whether peers must answer before the view may be used."""
         return self._stale_since_ms is not None
 
     def on_gap(self, now_ms: float) -> None:
-        """The process was frozen until now."""
+        """Mark the view as stale: the process was frozen until now."""
         self._stale_since_ms = now_ms
         self._next_ask_ms = now_ms
         self._answered.clear()
 
     def on_answer(self, member: str) -> None:
-        """A peer has told what it knows."""
+        """Record that a peer has sent its member table."""
         self._answered.add(member)
 
     def should_ask(self, now_ms: float, wanted: int, is_behind: bool) -> bool:
-        """Whether to ask peers now; ends the staleness when it may end.
+        """Return whether to ask peers now; mark the view fresh if it is.
 
         Parameters
         ----------
         now_ms
-            The time.
+            The monotonic time.
         wanted
             How many answers are enough.
-        behind
-            Whether peers told of versions not held yet: those must have
-            come too, or the daemon would present what it held before.
+        is_behind
+            Whether peers reported newer versions than this daemon holds:
+            the view stays stale until those have arrived too.
         """
         if self._stale_since_ms is None:
             return False
         enough = len(self._answered) >= wanted and not is_behind
-        # All daemons may have been frozen at once, or all others be gone:
-        # nobody answers, and waiting longer would teach nothing.
+        # All daemons may have been frozen at once, or all others be dead:
+        # then nobody answers, and waiting longer is of no use.
         late = now_ms - self._stale_since_ms >= _MAX_REFRESH_MS
         if enough or late:
             self._stale_since_ms = None
--- a/samphiredock/coordination/fleet/_member_table.py
+++ b/samphiredock/coordination/fleet/_member_table.py
@@ -1,7 +1,7 @@
-"""What is held of every member, and which of two reports wins.
+"""The table of members, and the order of reports about a member.
 
-A pure table.  Reports are ordered, so that all daemons which have seen the
-same reports hold the same rows, whatever the order they came in.
+Reports are totally ordered, so that daemons which have seen the same reports
+hold the same rows, whatever the order of arrival.
 """
 
 import typing
@@ -18,17 +18,17 @@
 
 
 def order_of(row: protocol.MemberRow) -> tuple[int, bool, int, int]:
-    """Return the sort key by which a report beats another.
+    """Return the sort key of a report; the greater one wins.
 
-    A later start beats an earlier one; within one start, having left is
-    final; then a later refutation, then the worse state.
+    A higher incarnation wins.  Within one incarnation, having left is final;
+    then the higher refutation number wins, then the worse state.
     """
     left = row.state is protocol.MemberState.LEFT
     return row.incarnation, left, row.refutation, row.state
 
 
 def member_of(row: protocol.MemberRow) -> state.Member:
-    """Return the row's member."""
+    """Return the member that a row describes."""
     return state.Member(
         row.name,
         row.site,
@@ -54,12 +54,15 @@
 
 
 def bucket_of(name: str) -> int:
-    """Return the bucket of the digest that a name belongs to."""
+    """Return the digest bucket that a name belongs to."""
     return xxhash.xxh32_intdigest(name.encode()) % BUCKETS
 
 
 class MemberTable:
-    """Rows of all members, this daemon's own included."""
+    """The rows of all members, this daemon's included.
+
+    ``version`` changes whenever the live members change.
+    """
 
     def __init__(self, me: protocol.MemberRow) -> None:
         self._rows: dict[str, protocol.MemberRow] = {}
@@ -70,7 +73,7 @@
         self.set(me)
 
     def get(self, name: str) -> protocol.MemberRow | None:
-        """Return what is held of one member."""
+        """Return a member's row, None if unknown."""
         return self._rows.get(name)
 
     def rows(self) -> list[protocol.MemberRow]:
@@ -78,7 +81,7 @@
         return list(self._rows.values())
 
     def is_live(self, name: str) -> bool:
-        """Whether a member is held to live (a suspect one still is)."""
+        """Whether a member is alive or suspect."""
         return name in self._members
 
     def names(self) -> typing.KeysView[str]:
@@ -92,12 +95,12 @@
         return self._live
 
     def beats(self, row: protocol.MemberRow) -> bool:
-        """Whether ``row`` is news to this table."""
+        """Whether ``row`` wins against the row in this table."""
         held = self._rows.get(row.name)
         return held is None or order_of(row) > order_of(held)
 
     def set(self, row: protocol.MemberRow) -> None:
-        """Hold ``row``, whatever was held before."""
+        """Replace the member's row, whichever wins."""
         held = self._rows.get(row.name)
         if held is not None and held.state in _LIVE:
             self._digests[bucket_of(row.name)] ^= _hash(held)
@@ -122,10 +125,10 @@
         del self._rows[name]
 
     def digests(self) -> list[int]:
-        """Return one number for the live rows of each bucket.
+        """Return one hash over the live rows of each bucket.
 
-        Rows of dead members are left out: daemons forget them at
-        different times, and would differ for ever.
+        Rows of dead members are left out: daemons forget them at different
+        times, so the digests would keep differing.
         """
         return list(self._digests)
 
@@ -142,7 +145,7 @@
     def in_buckets(
         self, buckets: typing.Iterable[int]
     ) -> list[protocol.MemberRow]:
-        """Return the rows that belong to some buckets."""
+        """Return the rows in the given buckets."""
         wanted = set(buckets)
         if len(wanted) == BUCKETS:
             return self.rows()
--- a/samphiredock/coordination/fleet/_membership.py
+++ b/samphiredock/coordination/fleet/_membership.py
@@ -1,7 +1,7 @@
-"""Which daemons live, and one message to all of them.
+"""Membership of the daemons, and broadcasts to all of them.
 
-Carries out what :mod:`_gossip` decides: sockets, timers and the directory
-are here, decisions are there.
+Connects :mod:`_gossip`, which does no I/O, to the peer connections, timers
+and the directory.
 """
 
 import asyncio
@@ -36,26 +36,26 @@
 
 
 class Membership:
-    """The live daemons as this one sees them.
+    """The live daemons as this daemon sees them.
 
     Parameters
     ----------
     me
-        This daemon at its start.
+        This daemon's entry at its start.
     peers
-        The peer sockets.
+        The connections to the other daemons.
     codec
-        Encodes messages that travel through relays.
+        Encodes messages that are relayed.
     platform
         The store with the directory.
     clock, counters
         The timers and metrics of this daemon.
     versions
-        What this daemon holds of configuration and snapshots.
+        Returns the configuration and snapshot versions this daemon holds.
     rng
         Seeded random source.
     seeds
-        Addresses to ask when the platform is down at the start.
+        Peer addresses to ask at the start, in case the store is down.
     """
 
     def __init__(
@@ -110,26 +110,26 @@
         peers.subscribe(protocol.RevisionHeld, self._on_revision)
         clock.on_gap(self._on_gap)
 
-    # What the other parts ask.
+    # State.
 
     @property
     def version(self) -> int:
-        """A number that changes with each change of the live members."""
+        """A number that changes whenever the live members change."""
         return self._gossip.table.version
 
     def live(self) -> tuple[state.Member, ...]:
-        """Return the members that may dispatch, this one included.
+        """Return the live members, this daemon included.
 
         The same tuple is returned until a member changes.
         """
         return self._gossip.table.live()
 
     def neighbours(self) -> list[str]:
-        """Return the live members that this one has connections to."""
+        """Return the names of the members that this daemon probes."""
         return self._gossip.neighbours()
 
     def revisions(self) -> dict[str, int]:
-        """Return the revision that each live member last reported."""
+        """Return the configuration revision each live member reported."""
         rows = {
             name: revision
             for name, revision in self._revisions.items()
@@ -138,7 +138,11 @@
         return {**rows, self._name: self._versions().revision}
 
     def confirmations(self, revision: int) -> dict[str, dict[str, int]]:
-        """Return for each site its live members and who holds a revision."""
+        """Return by site how many members are live and hold ``revision``.
+
+        The keys of the inner dictionaries are ``live`` and ``confirmed``; a
+        member with a newer revision counts as confirmed.
+        """
         revisions = self.revisions()
         sites: dict[str, dict[str, int]] = {}
         for member in self.live():
@@ -148,7 +152,7 @@
         return sites
 
     def health(self) -> list[dict[str, typing.Any]]:
-        """Return all members known, dead ones included, for ``status``."""
+        """Return all known members, dead ones included, for ``status``."""
         revisions = self.revisions()
         return [
             _gossip.health_of(row, revisions.get(row.name, 0))
@@ -156,32 +160,35 @@
         ]
 
     def is_current(self) -> bool:
-        """Whether the view is not left over from before a freeze."""
+        """Whether the view is not from before a freeze of this process."""
         return self._gossip.is_current(self._clock.now_ms())
 
     def is_settled(self) -> bool:
-        """Whether this fresh daemon has learned what is in force."""
+        """Whether this daemon may rely on the versions that it holds."""
         now_ms = self._clock.now_ms()
         return self._settling.is_settled(now_ms, self._versions())
 
     def on_change(self, callback: _ChangeCallback) -> None:
-        """Call back with the members that joined and were lost."""
+        """Call ``callback(joined, lost)`` when the live members change."""
         self._change_callbacks.append(callback)
 
     def on_peer_versions(self, callback: _VersionsCallback) -> None:
-        """Call back with what a peer says it holds."""
+        """Call ``callback(member, versions)`` when a peer reports versions."""
         self._versions_callbacks.append(callback)
 
     def broadcast(
         self, message: msgspec.Struct, site: str | None = None
     ) -> None:
-        """Send a message to every other live member, best effort."""
+        """Send a message to every other live member, or those of one site.
+
+        Delivery is best effort.
+        """
         self._relay.broadcast(message, site)
 
-    # Life.
+    # Start and stop.
 
     def start(self) -> None:
-        """Register, join, and begin to probe."""
+        """Register in the directory, join and start to probe."""
         self._timers = [
             self._clock.every(_gossip.TICK_MS, self._tick),
             self._clock.every(_JOIN_RETRY_MS, self._join),
@@ -191,17 +198,17 @@
         self._ask_seeds()
 
     def on_store_read(self) -> None:
-        """Take note that the store has been asked for its objects."""
+        """Record that the store was read, or could not be."""
         self._settling.on_store()
 
     def leave(self) -> None:
-        """Say that this daemon takes no more dispatching."""
+        """Tell all members that this daemon owns no targets any more."""
         row = self._gossip.leave()
         self.broadcast(protocol.StatePush([row]))
         self._execute([])
 
     def close(self) -> None:
-        """Stop."""
+        """Stop probing and reading the directory."""
         for timer in self._timers:
             timer.cancel()
         if self._task is not None:
@@ -229,7 +236,7 @@
 
     def _on_directory(self, members: list[state.Member] | None) -> None:
         if members is None:
-            # The store is down: the settings' addresses are what there is.
+            # The store is unreachable: only the seed addresses are known.
             self._settling.on_store()
             if not self._listed:
                 self._settling.on_directory(self._seed_names())
@@ -314,8 +321,8 @@
             callback(effect.member, effect.versions)
 
     def _record_revision(self, member: str, revision: int) -> None:
-        # Messages may be delivered late; a member's revision only rises
-        # within one start.
+        # Messages may arrive out of order; a member's revision only rises
+        # within one incarnation.
         known = self._revisions.get(member, 0)
         self._revisions[member] = max(known, revision)
 
@@ -337,6 +344,6 @@
 def watchers_of(
     members: typing.Iterable[state.Member], site: str, count: int
 ) -> list[str]:
-    """Return the members of a site that watch the store for the others."""
+    """Return ``count`` members of a site that watch the store for it."""
     names = [member.name for member in members if member.site == site]
     return list(itertools.islice(_relay.relay_order(names, 'watchers'), count))
--- a/samphiredock/coordination/fleet/_message_age.py
+++ b/samphiredock/coordination/fleet/_message_age.py
@@ -1,4 +1,4 @@
-"""How old a message may be that was read after this process was frozen."""
+"""The age of messages that are read after this process was frozen."""
 
 from samphiredock import timers
 
@@ -7,11 +7,12 @@
 
 
 class MessageAge:
-    """The unknown age of messages read just after a freeze.
+    """Bounds the age of messages that are read just after a freeze.
 
-    A frozen process (stopped, swapped, its host paused) finds messages
-    that were sent at any time since it stopped.  Their budgets count from
-    when they are read, so without a correction stale work looks fresh.
+    A process that was frozen (stopped, swapped out, its host paused) reads
+    messages that were sent at any time during the freeze.  Their budgets
+    count from when they are read, so without a correction expired requests
+    would be served.
     """
 
     def __init__(self, clock: timers.Timers) -> None:
@@ -21,11 +22,11 @@
         clock.on_gap(self._on_gap)
 
     def has_unnoticed_gap(self) -> bool:
-        """Whether there was a freeze that the timer has not noticed yet."""
+        """Whether a freeze ended that the timer has not noticed yet."""
         return self._clock.frozen_for_ms() > timers.GAP_MS
 
     def max_age_ms(self) -> float:
-        """Return the most that a message read now may have waited."""
+        """Return how long a message read now may have waited at most."""
         # The socket may be read before the timer that notices the gap.
         if self.has_unnoticed_gap():
             return self._clock.frozen_for_ms()
--- a/samphiredock/coordination/fleet/_neighbours.py
+++ b/samphiredock/coordination/fleet/_neighbours.py
@@ -1,10 +1,10 @@
-"""Which members a daemon probes.
+"""Selection of the members that a daemon probes.
 
-An open connection between two daemons costs both of them memory (29 KB at
-each end, docs/design/membership.md), so that probing everybody would not
-fit at hundreds of daemons.  Each probes a few, chosen by a hash of the
-pair: the choice spreads over all sites, changes little when a member comes
-or goes, and every member is probed by about as many.
+Each open connection costs memory in both daemons, so in a large fleet a
+daemon probes only some members, selected by a hash of the pair of names.
+The selection spreads over all sites and changes little when a member joins
+or leaves, and each member is probed by about the same number of others.
+Background: docs/design/membership.md.
 """
 
 import xxhash
@@ -16,7 +16,7 @@
 
 
 class Neighbours:
-    """The members that one daemon probes, kept until the members change.
+    """The members that one daemon probes, cached until the members change.
 
     Parameters
     ----------
--- a/samphiredock/coordination/fleet/_ownership.py
+++ b/samphiredock/coordination/fleet/_ownership.py
@@ -1,11 +1,11 @@
-"""Which daemon dispatches for which target.
+"""Ownership: which daemon dispatches for which target.
 
-Ownership is an optimisation: it gives a target one queue and one counter
-of slots.  Two daemons may disagree for a few seconds after a change of
-membership, so no promise rests on it.
+One owner gives a target one queue and one count of its slots.  It is only an
+optimisation: after a membership change two daemons may disagree for a few
+seconds, so correctness must not depend on it.
 
-Targets that the same searches touch are owned together, a few to a group,
-so that one message to a dispatcher carries several sub-queries.
+Targets that the same searches use are owned in small groups, so that one
+message to a dispatcher carries several sub-queries.
 """
 
 import collections
@@ -30,11 +30,11 @@
 def ownership_groups(
     targets: _Targets, snapshot: state.Snapshot | None
 ) -> list[tuple[str, ...]]:
-    """Return the targets in groups that are queried together.
+    """Return the targets' names in groups that are queried together.
 
-    Deterministic: the same configuration and snapshot give the same groups
-    at every daemon.  Targets of one site that hold shards of the same
-    indexes are split into groups of at most ``GROUP_SIZE``.
+    Targets of one site that hold shards of the same indexes are split into
+    groups of at most ``GROUP_SIZE``.  The result is deterministic, so that
+    all daemons with the same configuration and snapshot agree.
     """
     kinds = _groups_by_kind(targets, snapshot).values()
     return [group for groups in kinds for group in groups]
@@ -66,12 +66,13 @@
     members: typing.Iterable[state.Member],
     sites: _Sites,
 ) -> dict[str, str]:
-    """Return each target's dispatcher; targets without one are left out.
+    """Return the owner of each target; targets without one are left out.
 
-    Rendezvous hashing of a group over the live daemons of its site, or of
-    its region, or of all, with a limit: hashing alone gives some daemons
-    several times the mean, since there is about one group for each, and what
-    is searched most is the load (docs/design/ownership.md).
+    Groups are assigned by rendezvous hashing over the live daemons of their
+    site, else of their region, else over all.  The number of groups of each
+    daemon is limited: there are so few groups that hashing alone would give
+    some daemons several times the mean load.  Background:
+    docs/design/ownership.md.
     """
     live = sorted(members, key=lambda member: member.name)
     kinds = _groups_by_kind(targets, snapshot)
@@ -94,10 +95,17 @@
 
 
 class _SiteAssignment:
-    """How many groups of one site its daemons own so far.
+    """Assigns the groups of one site to daemons.
 
-    A daemon owns at most its even part, rounded up, of the site's groups
-    and of those of one kind, which are searched equally often.
+    A daemon gets at most its even share, rounded up, of the site's groups
+    and of the groups of each kind, which are searched equally often.
+
+    Parameters
+    ----------
+    groups
+        How many groups the site has.
+    members
+        The daemons to assign them to.
     """
 
     def __init__(self, groups: int, members: list[state.Member]) -> None:
@@ -111,7 +119,7 @@
     def assign(
         self, groups: list[_Group]
     ) -> typing.Iterator[tuple[_Group, str]]:
-        """Give the groups of one kind their owners."""
+        """Yield each group of one kind with its owner."""
         max_of_kind = self._even_share(len(groups))
         owned_of_kind: collections.Counter[str] = collections.Counter()
         for group in groups:
@@ -141,14 +149,14 @@
     members: typing.Iterable[state.Member],
     sites: _Sites,
 ) -> str | None:
-    """Return the member that dispatches for a target in no group."""
+    """Return the owner of a target that is a group of its own."""
     owners = owners_of({target.name: target}, None, members, sites)
     return owners.get(target.name)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnerChange:
-    """A target has another dispatcher than before; None if none."""
+    """A change of a target's owner; ``old`` and ``new`` None for no owner."""
 
     target: str
     old: str | None
@@ -157,13 +165,14 @@
 
 
 class OwnershipTable:
-    """The owner of every target, computed when what it rests on changes.
+    """The owner of every target, recomputed when an input changes.
 
     Parameters
     ----------
-    configuration, snapshot, live
-        Read what is in force; ``live`` returns the live members, the same
-        tuple until one changes.
+    configuration, snapshot
+        Return the configuration and snapshot in force.
+    live
+        Returns the live members, the same tuple until one changes.
     clock
         The timer service.
     """
@@ -190,26 +199,26 @@
     def subscribe(
         self, listener: typing.Callable[[list[OwnerChange]], None]
     ) -> None:
-        """Call back with the changes of each new table."""
+        """Call ``listener(changes)`` when owners change."""
         self._listeners.append(listener)
 
     def owner(self, target: str) -> str | None:
-        """Return the daemon that dispatches for a target."""
-        # Asked for each sub-query, so the members are not listed each time.
+        """Return the name of a target's owner, None if it has none."""
+        # Called for each sub-query, so inputs are checked only at intervals.
         if self._clock.now_ms() >= self._fresh_until_ms:
             self.refresh()
         return self._owners.get(target)
 
     def refresh(self) -> None:
-        """Compute the table anew if its basis changed."""
+        """Recompute the table if an input changed."""
         self._fresh_until_ms = self._clock.now_ms() + _REFRESH_MS
         configuration = self._configuration()
         if configuration is None:
             return
         snapshot = self._snapshot()
         live = self._live()
-        # Looked at up to 50 times a second: the members are gone through
-        # only when membership gives another tuple.
+        # Called many times a second: iterating over all members is avoided
+        # while the inputs are the same objects.
         previous_inputs, self._last_inputs = (
             self._last_inputs,
             (configuration, snapshot, live),
--- a/samphiredock/coordination/fleet/_relay.py
+++ b/samphiredock/coordination/fleet/_relay.py
@@ -1,11 +1,11 @@
-"""One message to every daemon, by relays where there are many.
-
-Each site has its own tree, made from a hash of the message's id, so that
-no daemon is a relay for every message.  The sender gives the message to
-the root of each site's tree; a receiver passes it on to its children.
-Two daemons may see different members for a while, so that one is left out
-or served twice: repeats are dropped, and what must not be missed is also
-found by comparing versions on the probes.
+"""Broadcast of a message to every daemon, relayed in large fleets.
+
+Each message has a tree for each site, ordered by a hash of the message id,
+so that no daemon relays every message.  The sender sends the message to the
+root of each site's tree; each receiver forwards it to its children.  Since
+two daemons may see different members for a while, a daemon may be left out
+or reached twice: repeats are dropped, and missed versions are detected by
+comparing the versions sent with probes.
 """
 
 import collections
@@ -26,7 +26,7 @@
 
 
 class PeerLinks(typing.Protocol):
-    """What membership and spread need of the peer sockets."""
+    """What this package and ``config`` need of the peer connections."""
 
     def send(self, member: str, message: msgspec.Struct) -> bool:
         """Queue a message; False if it cannot be queued."""
@@ -37,22 +37,26 @@
         """Call ``handler(sender, message)`` for each message of a type."""
 
     def set_address(self, member: str, address: str) -> None:
-        """Say where a member listens."""
+        """Set the address at which a member listens."""
 
     def reset(self, member: str) -> None:
-        """Make a new connection to a member."""
+        """Replace the connection to a member by a new one."""
 
     def close_idle(self) -> None:
         """Close the connections that were not used since the last call."""
 
     def deliver(self, sender: str, message: msgspec.Struct) -> None:
-        """Hand a message to its subscribers here."""
+        """Call this daemon's handlers as if ``sender`` sent the message."""
 
 
 def children_of(
     name: str, members: typing.Iterable[str], message_id: str
 ) -> list[str]:
-    """Return whom ``name`` passes a message to among its site's members."""
+    """Return the members that ``name`` forwards a message to.
+
+    ``members`` are the names of its site's members; the list is empty if
+    ``name`` is not one of them.
+    """
     order = relay_order(members, message_id)
     if name not in order:
         return []
@@ -61,7 +65,7 @@
 
 
 def relay_order(members: typing.Iterable[str], message_id: str) -> list[str]:
-    """Return the members in the order of one message's tree."""
+    """Return the members in the order of a message's tree, root first."""
     return sorted(
         members,
         key=lambda name: xxhash.xxh64_intdigest(
@@ -71,7 +75,7 @@
 
 
 class Relay:
-    """Sends to all members, and passes on what others send.
+    """Broadcasts to all members and forwards the broadcasts of others.
 
     Parameters
     ----------
@@ -109,7 +113,7 @@
     def broadcast(
         self, message: msgspec.Struct, site: str | None = None
     ) -> None:
-        """Send to every other live member, or to those of one site."""
+        """Send to every other live member, or those of one site."""
         others = [
             member
             for member in self._live()
@@ -152,8 +156,8 @@
             self._metrics.add('peer_messages_unreadable')
             return
         self._forward(envelope)
-        # A notice of a version is answered by who passed it on, so that
-        # large objects follow the tree and nobody has to serve everyone.
+        # A version notice is attributed to the relay, so that the object is
+        # fetched from there: large objects then follow the tree, too.
         notice = isinstance(message, protocol.ObjectVersion)
         self._peers.deliver(sender if notice else envelope.origin, message)
 
--- a/samphiredock/coordination/fleet/_reports.py
+++ b/samphiredock/coordination/fleet/_reports.py
@@ -1,4 +1,4 @@
-"""What is said of the members: who is believed, and what is told on."""
+"""Reports about members: which are accepted, and which are sent on."""
 
 import collections
 import math
@@ -27,10 +27,10 @@
 
 
 class Reports:
-    """The table of members, and the reports that change it.
+    """The table of members and the rules by which reports change it.
 
-    ``lost_since`` has the time since when a member is gone, ``doubtful``
-    the reports of deaths that the member itself is to be asked about.
+    ``lost_since`` is when each lost member died or left.  ``unverified``
+    has the reports of deaths that are verified by probing the member.
 
     Parameters
     ----------
@@ -45,7 +45,7 @@
         self.unverified: collections.deque[protocol.MemberRow] = (
             collections.deque(maxlen=_MAX_UNVERIFIED)
         )
-        # Starts known to have ended, of members that are not in the table.
+        # The highest incarnation known to have left, of unknown members.
         self._left_incarnations: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
@@ -59,31 +59,32 @@
         return self.table.get(self._name)
 
     def period_ms(self) -> float:
-        """Return the time between two probes at the present size."""
+        """Return the time between two probes at the current fleet size."""
         small = len(self.table.names()) <= _SMALL_FLEET_SIZE
         return _SMALL_FLEET_PERIOD_MS if small else _PERIOD_MS
 
     def suspicion_ms(self) -> float:
-        """Return the time a suspect has to refute.
+        """Return the time a suspect member has to refute the suspicion.
 
-        It grows with the logarithm of the size, as does the time in which
-        the suspicion reaches the suspect and its answer comes back.
+        It grows with the logarithm of the fleet size, like the time in which
+        gossip reaches the suspect and the refutation comes back.
         """
         rounds = math.log2(len(self.table.names()) + 1)
         return max(_MIN_SUSPICION_MS, self.period_ms() * rounds)
 
     def disseminate(self, name: str) -> None:
-        """Send a member's row along with the next messages."""
+        """Piggyback a member's row on the next messages."""
         self.piggyback.add(name, len(self.table.names()))
 
     def rows_for(self, receiver: str) -> list[protocol.MemberRow]:
-        """Return the rows to send along with a message."""
+        """Return the rows to piggyback on a message to ``receiver``."""
         rows = [self.table.get(name) for name in self.piggyback.take()]
         about = self.table.get(receiver)
         if about is not None and about.state is not _ALIVE:
-            # Who is held suspect or dead is told so, to refute it; and who
-            # is asking, since it may have started again with nothing while
-            # the store that lists the members is down.
+            # The receiver gets the report that it is suspect or dead, so
+            # that it can refute it.  It also gets this daemon's row, since
+            # it may have restarted without a member list and needs the
+            # address to answer.
             rows += [about, self.me]
         return [row for row in rows if row is not None]
 
@@ -93,12 +94,12 @@
         now_ms: float,
         from_exchange: bool = False,
     ) -> _Effects:
-        """Take in what is said of members.
+        """Apply reports about members.
 
-        ``hearsay`` marks the rows of a full exchange, which may be from
-        before a cut and are not believed when they report a death.  Nor
-        are they told on: the peer has them from others, and telling all
-        members' rows after each start would fill the probes for minutes.
+        ``from_exchange`` marks rows of a table exchange.  They may be from
+        before a partition, so their reports of deaths are verified first.
+        They are not sent on: the peer got them by gossip, and piggybacking
+        the whole table after each start would fill the probes for minutes.
         """
         effects: _Effects = []
         for row in rows:
@@ -107,9 +108,9 @@
             elif not self.table.beats(row) or self._is_outdated(row):
                 self._record_left(row)
             elif from_exchange and self._needs_verification(row):
-                # After a cut each side holds the other's members dead.
-                # Believing that would take every member out for a moment
-                # on both sides; the member itself is asked instead.
+                # After a partition each side holds the other's members dead.
+                # Accepting that would remove live members on both sides for
+                # a moment; the member itself is probed instead.
                 self.unverified.append(row)
             else:
                 effects += self._accept(row, now_ms)
@@ -118,19 +119,19 @@
         return effects
 
     def _is_outdated(self, row: protocol.MemberRow) -> bool:
-        # Each daemon forgets the dead at a time of its own.  Learning them
-        # again from each other, they would never be forgotten.
+        # Daemons forget dead members at different times.  If they accepted
+        # those again from each other, no daemon would ever forget them.
         if self.table.get(row.name) is not None:
             return False
         has_left = self._left_incarnations.get(row.name, -1) >= row.incarnation
         return row.state in _GONE or has_left
 
     def _record_left(self, row: protocol.MemberRow) -> None:
-        """Keep in mind that a start which left is over.
+        """Record the incarnation of an unknown member that has left.
 
-        A fresh daemon may hear of it before it hears, from someone who
-        does not know yet, that the member lives: it would send work to a
-        process that has gone, and wait for an answer in vain.
+        A new daemon may get this report before an older one that the member
+        is alive.  Accepting the older one, it would send requests to a
+        process that has ended.
         """
         if row.state is not _LEFT or self.table.get(row.name) is not None:
             return
@@ -157,12 +158,12 @@
             self.refute(row)
 
     def refute(self, row: protocol.MemberRow) -> None:
-        """Say something of this daemon that beats ``row``."""
+        """Publish a row of this daemon that wins against ``row``."""
         mine = self.me
         incarnation, refutation = mine.incarnation, row.refutation + 1
         if row.incarnation > incarnation or row.state is _LEFT:
-            # An earlier start of this daemon ran with a later wall clock,
-            # or has left under the same number.
+            # An earlier process of this daemon had a later wall clock, or
+            # has left with the same incarnation.
             incarnation, refutation = row.incarnation + 1, 0
         self.table.set(
             msgspec.structs.replace(
@@ -184,11 +185,11 @@
         return [_gossip_state.MemberChanged(row)]
 
     def suspect(self, row: protocol.MemberRow, now_ms: float) -> _Effects:
-        """Hold a member suspect; it is dead if it does not refute that."""
+        """Suspect a member; it is declared dead if it does not refute."""
         return self.merge([_member_table.with_state(row, _SUSPECT)], now_ms)
 
     def expire_suspicions(self, now_ms: float) -> _Effects:
-        """Hold dead whose time to refute is over."""
+        """Declare the members dead whose time to refute is over."""
         due = [
             name
             for name, until_ms in self._suspected_until.items()
@@ -201,18 +202,18 @@
         return self.merge(dead, now_ms)
 
     def postpone_suspicions(self, delay_ms: float) -> None:
-        """Give all suspects more time."""
+        """Give all suspect members more time to refute."""
         for name in self._suspected_until:
             self._suspected_until[name] += delay_ms
 
     def leave(self) -> protocol.MemberRow:
-        """Hold this daemon as leaving; return its row."""
+        """Mark this daemon as having left; return its row."""
         self.table.set(_member_table.with_state(self.me, _LEFT))
         self.disseminate(self._name)
         return self.me
 
     def forget_lost(self, before_ms: float) -> list[str]:
-        """Drop the members that were lost before a time; return them."""
+        """Drop the members lost by ``before_ms``; return their names."""
         names = [
             name
             for name, since_ms in self.lost_since.items()
--- a/samphiredock/coordination/fleet/_settling.py
+++ b/samphiredock/coordination/fleet/_settling.py
@@ -1,9 +1,9 @@
-"""When a fresh daemon may rely on what it has learned.
+"""When a daemon that has just started may rely on the versions it holds.
 
-A fresh daemon starts with nothing, so a stale read of the store would put
-an older revision in force after a newer one was seen elsewhere.  It is
-settled only when the store and enough peers have been asked and nothing
-newer than what it holds was told.
+A new daemon holds nothing, so a stale read of the store would put an old
+revision in force although others have a newer one.  The daemon is settled
+when the store and enough peers have been asked and none has reported a newer
+version than it holds.
 """
 
 from samphiredock import protocol
@@ -14,7 +14,10 @@
 
 
 class Settling:
-    """Decides once after the start; pure."""
+    """Decides, once after the start, when this daemon is settled.
+
+    Does no I/O.
+    """
 
     def __init__(self, now_ms: float) -> None:
         self._started_ms = now_ms
@@ -27,39 +30,38 @@
         self._settled = False
 
     def on_store(self) -> None:
-        """The store gave its objects, or is down: do not wait for it."""
+        """Record that the store was read or is unreachable."""
         self._store_asked = True
 
     def on_directory(self, names: set[str]) -> None:
-        """The directory, or the settings, list these other daemons."""
+        """Record the other daemons that the directory or settings list."""
         self._directory_read = True
         self._listed = names
 
     def on_versions(self, versions: protocol.HeldVersions) -> None:
-        """A peer holds these versions."""
+        """Record the versions that a peer holds."""
         self._highest = protocol.HeldVersions(
             max(self._highest.revision, versions.revision),
             max(self._highest.snapshot_id, versions.snapshot_id),
         )
 
     def on_answer(self, member: str, settled: bool) -> None:
-        """A peer answered the question of what it knows.
+        """Record that a peer answered, and whether it is settled itself.
 
-        An answer of a peer that is not settled itself proves little: it
-        may have read the same stale object.
+        A peer that is not settled may have read the same stale object.
         """
         self._answered.add(member)
         if settled:
             self._answered_settled.add(member)
 
     def is_settled(self, now_ms: float, held: protocol.HeldVersions) -> bool:
-        """Whether the daemon may become ready; it stays so."""
+        """Whether the daemon is settled; once True, it stays so."""
         if not self._settled:
             self._settled = self._decide(now_ms, held)
         return self._settled
 
     def is_behind(self, held: protocol.HeldVersions) -> bool:
-        """Whether a peer has told of something newer than what is held."""
+        """Whether a peer has reported a newer version than ``held``."""
         return (
             held.revision < self._highest.revision
             or held.snapshot_id < self._highest.snapshot_id
@@ -70,10 +72,10 @@
             return False
         age_ms = now_ms - self._started_ms
         if self.is_behind(held):
-            # Whoever told of it may have died, with the store restored
-            # from a backup: then it can't be had any more.
+            # The newer version may be lost: its holder dead and the store
+            # restored from a backup.
             return age_ms >= _MAX_BEHIND_WAIT_MS
-        # All listed peers may be gone, or frozen.
+        # All listed peers may be dead or frozen.
         asked = self._store_asked and self._peers_asked()
         return asked or age_ms >= _MAX_WAIT_MS
 
--- a/samphiredock/coordination/targets/_target_signs.py
+++ b/samphiredock/coordination/targets/_target_signs.py
@@ -243,7 +243,7 @@
             self._leaving.discard(target)
         self._metrics.add('target_signs', leaving=is_leaving)
         _log.notice(
-            'target sign',
+            'target leaving state changed',
             target=target,
             leaving=is_leaving,
             source=source.value,
