--- a/samphiredock/coordination/targets/_dispatcher.py
+++ b/samphiredock/coordination/targets/_dispatcher.py
@@ -51,8 +51,8 @@
         Returns whether the request content with a fingerprint is refused
         because it crashed targets.
     signs
-        Which targets are leaving; without it every target counts as usable
-        until its own answers say otherwise.
+        Which targets are leaving; without it, leaving targets are sent
+        requests until they refuse them.
     """
 
     def __init__(
--- a/samphiredock/coordination/targets/_observed_health.py
+++ b/samphiredock/coordination/targets/_observed_health.py
@@ -90,7 +90,7 @@
     def on_failure(self, lost: bool, now_ms: float) -> None:
         """Record an exchange without an answer.
 
-        ``lost`` says that a new connection to the target failed too.
+        ``lost``: a new connection to the target failed too.
         """
         self._good_answers = 0
         self._failures += 1
--- a/samphiredock/coordination/targets/_scheduler.py
+++ b/samphiredock/coordination/targets/_scheduler.py
@@ -189,9 +189,9 @@
     def confirm_ended(
         self, ticket: int, attempt_ids: typing.Iterable[str]
     ) -> None:
-        """Record the target's word that these attempts do not run.
+        """Record that the target confirmed the end of these attempts.
 
-        Nor will they start; a slot is not held for them.
+        They do not run and will not start, so no slot is held for them.
         """
         exchange = self._busy.get(ticket)
         if exchange is not None:
--- a/samphiredock/coordination/targets/_target_signs.py
+++ b/samphiredock/coordination/targets/_target_signs.py
@@ -2,7 +2,7 @@
 
 A sign is a dated report that a target is leaving or back, from an operator,
 the platform's host list or the target itself.  Health endpoints are not
-asked.  Only a few daemons poll the host list and tell the others, since
+asked.  Only a few daemons poll the host list and send its signs on, since
 hundreds of daemons polling it would take much of the store's capacity.
 """
 
--- a/tests/failure/test_leaving_targets.py
+++ b/tests/failure/test_leaving_targets.py
@@ -1,4 +1,4 @@
-"""A target that is leaving gets no new work after a few seconds."""
+"""Leaving targets get no new requests."""
 
 import random
 import unittest
@@ -19,7 +19,7 @@
 
 
 class LeavingTargetTest(unittest.IsolatedAsyncioTestCase):
-    """Daemon d1 dispatches for a target of one slot."""
+    """Daemon d1 owns a target of one slot."""
 
     def setUp(self) -> None:
         self.clock = timers.ManualTimers()
@@ -83,11 +83,9 @@
         self.assertEqual(before, len(self.link.batches))
 
     async def test_targets_own_word_beats_its_health_endpoint(self) -> None:
-        """The target answers one batch and says that it drains.
+        """The target reports draining, the host list shows it as live.
 
-        Its health endpoint goes on saying healthy and the platform's list
-        shows it as live.  What was queued goes back to the coordinators at
-        once as never started, and no later work is sent.
+        Queued attempts are refused as never started and no new ones sent.
         """
         sent, queued = await self._ask(), await self._ask()
         self.link.draining = True
@@ -101,7 +99,7 @@
             await self._assert_sends_nothing()
 
     async def test_without_signs_it_is_sent_work_again_and_again(self) -> None:
-        """The safeguard off: every later sub-query goes to the target."""
+        """Without the safeguard, every later sub-query goes to the target."""
         self.dispatcher = self._dispatcher(None)
         self.peers._handlers[protocol.SubQueryBatch].pop(0)
         for _ in range(3):
@@ -111,21 +109,16 @@
         self.assertEqual(3, len(self.link.batches))
 
     async def test_drain_survives_a_change_of_dispatcher(self) -> None:
-        """The sign came to another daemon, which told everybody and died.
-
-        This daemon becomes the target's dispatcher with the sign known and
-        never asks the target to find out.
-        """
+        """A new owner that got the sign from a peer sends nothing."""
         at_ms = self.clock.wall_ms()
         self.link.draining = True
         self.peers.deliver(protocol.TargetSign('t1', True, at_ms), 'd2')
         await self._assert_sends_nothing()
 
     async def test_return_is_seen_by_the_dispatchers_probe(self) -> None:
-        """The target drained, restarted and answers an empty batch well.
+        """A restarted target is used again once a probe finds it serving.
 
-        It is used again after the probe, one slot first, and the other
-        daemons are told with a sign that is newer than the leaving one.
+        The other daemons get a sign that is newer than the leaving one.
         """
         self.link.draining = True
         self.signs.on_target_report('t1', True)
@@ -143,10 +136,7 @@
         self.assertGreater(signs[1].at_ms, signs[0].at_ms)
 
     async def test_operators_drain_is_not_undone_by_a_probe(self) -> None:
-        """An operator drains a target that itself feels well.
-
-        Only a later object says that it is back.
-        """
+        """A target drained by an operator returns only by a newer object."""
         for leaving, at_ms in ((b'true', 10), (b'false', 20)):
             value = b'{"leaving":%s,"at_ms":%d}' % (leaving, at_ms)
             self.signs.on_object(
--- a/tests/failure/test_limits.py
+++ b/tests/failure/test_limits.py
@@ -1,4 +1,4 @@
-"""A target's slots and connections are never exceeded."""
+"""A target's limits of slots and connections are never exceeded."""
 
 import asyncio
 import os
@@ -29,7 +29,7 @@
 
 
 class _Bench:
-    """One dispatcher against one stand-in target, both in this process."""
+    """One dispatcher and one stand-in target, both in this process."""
 
     def __init__(self) -> None:
         self.random = random.Random(os.environ['SAMPHIREDOCK_SEED'])
@@ -71,7 +71,7 @@
         self.counters.close()
 
     async def load(self) -> None:
-        """Offer queries; cancel some, swallow the answers of others."""
+        """Send queries; cancel some, drop the answers of others."""
         for number in range(_QUERIES):
             budget_ms = self.random.choice([40.0, 150.0, 400.0])
             message = dispatching.batch(
@@ -90,24 +90,21 @@
 
     @property
     def stats(self) -> target_limits.Stats:
-        """What the target counted."""
+        """The counters of the target."""
         return self.target._stats
 
 
 class LimitsTest(unittest.TestCase):
-    """One target of two slots and four connections under bad luck.
+    """One target of two slots and four connections, under faults.
 
-    The time is counted: how many queries reach the target before their
-    callers give up does not depend on the machine.
+    Time is simulated, so that the results do not depend on the machine.
     """
 
     def test_no_breach_under_lost_answers_and_cancels(self) -> None:
-        """Callers give up or cancel, connections go silent with answers due.
+        """Attempts expire or are cancelled, and connections go silent.
 
-        Each attempt is answered exactly once, and the target itself counts
-        no breach: a slot whose exchange was lost stays taken until the
-        deadline at the target, and a retired connection counts until it is
-        closed.
+        Each attempt is answered exactly once, and the target counts no use
+        beyond its limits.
         """
         counted_time.run(self._check_lost_answers_and_cancels())
 
@@ -124,11 +121,9 @@
         self.assertEqual(once, counts)
 
     def test_target_that_works_on_is_breached_without_the_hold(self) -> None:
-        """A slow target keeps working after its connection went silent.
+        """A slow target goes on working after the dispatcher gave up.
 
-        The dispatcher gives up after 80 ms, the target works for up to
-        400.  With the slot held the target sees no breach; freed at the
-        caller's end, as a naive pool does, it sees several.
+        If the slot were freed then, the target would exceed its slots.
         """
         counted_time.run(self._check_hold())
 
--- a/tests/failure/test_membership.py
+++ b/tests/failure/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership under loss, freezes and cuts."""
+"""Membership under message loss, freezes and partitions."""
 
 import asyncio
 import os
@@ -34,12 +34,12 @@
     def assert_views(
         self, network: memory_daemons.Network, expected: set[str]
     ) -> None:
-        """Every member of ``expected`` holds exactly these live."""
+        """Assert that the ``expected`` members hold exactly these live."""
         views = {name: network.daemons[name].live_names() for name in expected}
         self.assertEqual({name: expected for name in expected}, views)
 
     async def start(self, network: memory_daemons.Network) -> set[str]:
-        """Start nine daemons and wait until all know all."""
+        """Start nine daemons, wait until all hold all live; return names."""
         memory_daemons.start_sites(network, THREE_REGIONS, 9)
         await network.run(3_000)
         everyone = set(network.daemons)
@@ -47,11 +47,9 @@
         return everyone
 
     def test_killed_is_lost_and_the_rest_stays(self) -> None:
-        """Owners of targets change only for the daemon that died.
+        """With a tenth of all messages lost, only a killed daemon is lost.
 
-        A tenth of all messages is lost, so that single probes fail all the
-        time; probes through others keep the live ones in, while the one
-        that was killed is out after its suspicion.
+        Indirect probes keep live members from being declared dead.
         """
 
         async def body(network: memory_daemons.Network) -> None:
@@ -65,11 +63,10 @@
         simulate(body)
 
     def test_cut_regions_go_on_and_meet_again(self) -> None:
-        """Each region works with its own members; after the cut all are in.
+        """Both sides of a partition keep their members; then all rejoin.
 
-        Regions lose each other for an hour.  Both sides hold the others
-        dead; when the cut heals, a probe of a lost member finds it, and no
-        member of either side is taken out by the other side's reports.
+        After it heals, reports of deaths from the other side must not
+        remove live members.
         """
 
         async def body(network: memory_daemons.Network) -> None:
@@ -103,11 +100,9 @@
         simulate(body)
 
     def test_frozen_daemon_is_not_current_until_it_has_asked(self) -> None:
-        """A woken daemon takes no ownership on its old view.
+        """After a long freeze a daemon must not act on its outdated view.
 
-        It is frozen for longer than every timeout, the others drop it.
-        When it wakes its timers are all due: it must not suspect the
-        others, and is current only after they have told what changed.
+        It must not suspect the others, and is current after they answered.
         """
 
         async def body(network: memory_daemons.Network) -> None:
@@ -128,10 +123,9 @@
         simulate(body)
 
     def test_all_frozen_at_once_go_on(self) -> None:
-        """The machine under all of them stopped: nobody is lost for it.
+        """No daemon is lost when all are frozen at the same time.
 
-        All daemons wake together, each with an old view, and answer each
-        other; one that nobody can answer goes on after a bounded time.
+        A daemon that gets no answers is current after a bounded time.
         """
 
         async def body(network: memory_daemons.Network) -> None:
@@ -157,10 +151,9 @@
         simulate(body)
 
     def test_silent_connection_is_made_anew(self) -> None:
-        """One open connection swallows all while new ones work.
+        """A connection that drops everything is replaced.
 
-        Probes and answers from one daemon to another vanish.  Others
-        still reach both, so neither is lost: the connection is replaced.
+        Others still reach both daemons, so neither is lost.
         """
 
         async def body(network: memory_daemons.Network) -> None:
@@ -175,10 +168,9 @@
         simulate(body)
 
     def test_restart_with_an_earlier_wall_clock(self) -> None:
-        """A daemon that comes back with a lower incarnation gets in.
+        """A daemon that restarts with a lower incarnation becomes live.
 
-        Its host was replaced by one whose clock is behind; the others
-        hold reports of a later start and would ignore it for ever.
+        The others hold reports of a higher incarnation and would ignore it.
         """
 
         async def body(network: memory_daemons.Network) -> None:
@@ -199,7 +191,7 @@
         simulate(body)
 
     def test_leaving_is_known_at_once(self) -> None:
-        """A daemon that says it leaves gets nothing new after a moment."""
+        """All members know within 200 ms that a daemon has left."""
 
         async def body(network: memory_daemons.Network) -> None:
             everyone = await self.start(network)
--- a/tests/failure/test_shares.py
+++ b/tests/failure/test_shares.py
@@ -1,4 +1,4 @@
-"""No site takes more than its share."""
+"""No site gets more than its share of a target while others need theirs."""
 
 import dataclasses
 import unittest
@@ -15,9 +15,9 @@
 
 
 class _Run:
-    """A target of two slots at 10 ms a batch of two, on a manual clock.
+    """A target of two slots, 10 ms for a batch of two, on a manual clock.
 
-    It serves 400 items a second.
+    Its capacity is 400 items a second.
     """
 
     def __init__(self, by_site: bool = True) -> None:
@@ -35,7 +35,7 @@
         self.shed = dict.fromkeys(_SITES, 0)
 
     def offer(self, from_ms: int, to_ms: int, rates: dict[str, float]) -> None:
-        """Offer items by site, each rate in items per ms."""
+        """Offer items; ``rates`` are items per ms by site."""
         owed = dict.fromkeys(rates, 0.0)
         for now_ms in range(from_ms, to_ms):
             while self._ends and self._ends[0][0] <= now_ms:
@@ -77,11 +77,9 @@
     """One site floods one target."""
 
     def test_flooding_site_leaves_the_others_their_share(self) -> None:
-        """Site a offers ten times the capacity, b and c half of theirs.
+        """Site a offers ten times the capacity, b and c half of their share.
 
-        Callers of b and c get every answer; a gets what is left and is
-        refused the rest at once.  One queue for all sites would fill with
-        a's work and refuse b and c as often as a.
+        Nothing of b and c is shed, and a gets the rest of the capacity.
         """
         run = _Run()
         run.offer(0, 5_000, {'a': 4.0, 'b': 0.06, 'c': 0.06})
@@ -91,10 +89,9 @@
         self.assertGreaterEqual(run.served['a'], 1_300)
 
     def test_lent_share_comes_back_at_once(self) -> None:
-        """Site a alone uses everything; then b and c ask for their share.
+        """Site a uses the whole target while alone; then b and c send too.
 
-        Within the next second each is served at its share although a goes
-        on flooding: their work overtakes what a has queued.
+        Within the next second each site is served at its share.
         """
         run = _Run()
         run.offer(0, 2_000, {'a': 4.0})
@@ -106,10 +103,9 @@
             self.assertAlmostEqual(share * 400, got[site], delta=16)
 
     def test_one_line_for_all_sites_lets_the_others_starve(self) -> None:
-        """The same flood without the queue by site, to see what it does.
+        """Without queues by site, the same flood sheds most of b and c.
 
-        Callers of b and c are refused most of what they ask, although
-        together they want less than a third of the target.
+        Together they need less than a third of the capacity.
         """
         run = _Run(by_site=False)
         run.offer(0, 5_000, {'a': 4.0, 'b': 0.06, 'c': 0.06})
--- a/tests/unit/dispatching.py
+++ b/tests/unit/dispatching.py
@@ -1,4 +1,4 @@
-"""Builders for the tests of the dispatcher's parts."""
+"""Builders of the dispatcher's inputs, for tests."""
 
 import asyncio
 import typing
@@ -11,7 +11,7 @@
 
 
 def target(name: str = 't1', slots: int = 2, site: str = 'a') -> state.Target:
-    """Return a target with some slots."""
+    """Return a target of the configuration."""
     return state.Target(name, site, f'http://{name}', slots, 25, 6)
 
 
@@ -51,7 +51,7 @@
     site: str = 'a',
     fingerprint: str = 'f',
 ) -> protocol.SubQueryBatch:
-    """Return a message with sub-queries of one query."""
+    """Return a message with sub-queries of one query, made of ``items``."""
     return protocol.SubQueryBatch(
         'q',
         'svc',
@@ -89,7 +89,7 @@
     hedge: bool = False,
     **fields: typing.Any,
 ) -> _scheduler_types.Job:
-    """Return a sub-query that waits at a dispatcher."""
+    """Return a scheduler's job with one sub-query."""
     sub_query = item(attempt_id, hedge=hedge)
     request = batch(sub_query, **fields)
     flow = _shares.Flow('svc', request.site)
@@ -99,7 +99,7 @@
 
 
 def sent(effects: typing.Iterable[_scheduler_types.Effect]) -> list[list[str]]:
-    """Return the attempts of each exchange that was started."""
+    """Return the attempt ids of each exchange that was started."""
     return [
         [row.attempt_id for row in effect.jobs]
         for effect in effects
@@ -110,7 +110,7 @@
 def refused(
     effects: typing.Iterable[_scheduler_types.Effect],
 ) -> dict[str, str]:
-    """Return the status of each refused attempt."""
+    """Return the status of each refused attempt by its id."""
     return {
         effect.job.attempt_id: effect.status.value
         for effect in effects
@@ -119,6 +119,6 @@
 
 
 async def settle() -> None:
-    """Let the tasks of the loop run."""
+    """Let the tasks of the event loop run."""
     for _ in range(20):
         await asyncio.sleep(0)
--- a/tests/unit/test_dispatcher.py
+++ b/tests/unit/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher's task: what it tells the coordinators, and when."""
+"""The dispatcher: which answer each attempt gets, and when it is sent."""
 
 import typing
 import unittest
@@ -84,11 +84,10 @@
     async def test_target_that_was_dead_before_is_not_lost_under_a_request(
         self,
     ) -> None:
-        """A dead site convicts no search.
+        """An unreachable target is not reported as lost during the attempt.
 
-        The targets of a site die; a search that is then tried at two of
-        them finds no connection. It has begun at none, so that neither
-        counts as crashed by it, or its content would be quarantined.
+        Otherwise the loss of a site would quarantine the content of every
+        search that is tried at two of its targets.
         """
         self.dispatcher.scheduler('t1')
         self.link.healthy = False
@@ -136,7 +135,7 @@
         self._assert_told(**{'1': 'cancelled'})
 
     async def test_run_read_after_a_freeze_is_refused(self) -> None:
-        """Both before and after the timer has noticed the gap."""
+        """The sender may have given up on it; with the gap noticed or not."""
         self.clock.unseen_gap_ms = 4_000.0
         await self._deliver(dispatching.order('1'))
         self.clock.unseen_gap_ms = 0.0
@@ -155,9 +154,9 @@
     async def test_work_queued_before_a_freeze_is_not_sent_after_it(
         self,
     ) -> None:
-        """Its budget is not used up, but another daemon dispatches by now.
+        """Its budget is left, but another daemon owns the target by now.
 
-        The exchange that was out may end before the timer sees the gap.
+        The open exchange may end before or after the timer notices the gap.
         """
         for seen_by_timer in (True, False):
             self.setUp()
@@ -199,10 +198,10 @@
         self._assert_told(**{'1': 'not-owner'})
 
     async def test_order_after_the_drain_is_refused(self) -> None:
-        """A peer that missed the leave sends to a daemon that is closing.
+        """A peer may send an order to a daemon whose connections close.
 
-        Begun then, the order would be cut when the connections close, and
-        nobody would know whether it ran; refused, it goes elsewhere.
+        Started, it would have an unknown outcome; refused, it is retried at
+        another daemon.
         """
         await self.dispatcher.drain()
         self.dispatcher.stop()
@@ -225,7 +224,7 @@
         self._assert_told(**{'1': 'answered'})
 
     async def test_drain_waits_for_answers_that_leave_later(self) -> None:
-        """They are sent in the next turn; then the sockets are closed."""
+        """They are sent in the next iteration of the event loop."""
         self.peers.deliver(dispatching.batch(dispatching.item('1', 't9')))
         await self.dispatcher.drain()
         self._assert_told(**{'1': 'not-owner'})
--- a/tests/unit/test_gossip.py
+++ b/tests/unit/test_gossip.py
@@ -1,4 +1,4 @@
-"""Decisions of one daemon's membership, message by message."""
+"""The membership protocol of one daemon, message by message."""
 
 import random
 import unittest
@@ -27,10 +27,10 @@
 
 
 class GossipTest(unittest.TestCase):
-    """Three members: a (this one), b and c."""
+    """Three members: a (this daemon), b and c."""
 
     def setUp(self) -> None:
-        """Let a know b and c."""
+        """Add b and c to the table of a."""
         self.gossip = _gossip.Gossip(
             row('a'),
             random.Random(1),
@@ -42,11 +42,11 @@
         self.push(row('b'), row('c'))
 
     def push(self, *rows: protocol.MemberRow) -> list:
-        """Hand rows in as another member's exchange."""
+        """Deliver rows as another member's table exchange."""
         return self.gossip.on_message('b', protocol.StatePush(list(rows)), 0.0)
 
     def tick_to(self, start_ms: int, end_ms: int) -> list:
-        """Tick at the usual pace."""
+        """Tick every ``TICK_MS``; return the effects."""
         effects = []
         step_ms = int(_gossip.TICK_MS)
         for now_ms in range(start_ms, end_ms, step_ms):
@@ -54,11 +54,11 @@
         return effects
 
     def live(self) -> set[str]:
-        """Return the names held live."""
+        """Return the names of the live members."""
         return set(self.gossip.table.names())
 
     def test_who_never_answers_is_suspected_then_dead(self) -> None:
-        """Nobody answers: each goes through suspicion before it is lost."""
+        """A member that does not answer is suspected before it is lost."""
         self.tick_to(0, 1_200)
         held = {r.name: r.state for r in self.gossip.table.rows()}
         self.assertEqual({'a', 'b', 'c'}, self.live())
@@ -67,7 +67,7 @@
         self.assertEqual({'a'}, self.live())
 
     def test_late_tick_suspects_nobody(self) -> None:
-        """A tick that comes late must not count as the others' silence."""
+        """A late tick must not count as silence of the other members."""
         self.tick_to(0, 200)
         for late_ms in (1_300.0, 60_000.0):
             with self.subTest(late_ms=late_ms):
@@ -79,7 +79,7 @@
         self.assertFalse(self.gossip.is_current(60_200.0))
 
     def test_not_current_while_behind_what_peers_told(self) -> None:
-        """All peers have answered, but the newer object is on its way."""
+        """All peers have answered, but a newer version has not arrived."""
         self.gossip._is_behind = lambda: True
         self.gossip.tick(5_000.0)
         answer = protocol.StateAnswer(1, [], [], HELD, True)
@@ -92,7 +92,7 @@
         self.assertTrue(self.gossip.is_current(5_200.0))
 
     def test_freeze_is_seen_by_the_first_message_too(self) -> None:
-        """A woken process may read its messages before its timers."""
+        """After a freeze, messages may be read before timers run."""
         self.tick_to(0, 200)
         probe = protocol.Probe(1, HELD)
         self.gossip.on_message('b', probe, 30_000.0)
@@ -100,7 +100,7 @@
         self.assertEqual(1, self.gossip.me.refutation)
 
     def test_reports_of_itself_are_refuted(self) -> None:
-        """Whatever is said of this daemon, it says something stronger."""
+        """This daemon publishes a row that wins against each report."""
         for said in (
             changed(row('a'), state=STATES.SUSPECT),
             changed(row('a'), state=STATES.DEAD, refutation=7),
@@ -116,7 +116,7 @@
                 self.assertEqual(STATES.ALIVE, mine.state)
 
     def test_who_is_held_dead_is_told_so(self) -> None:
-        """An answer names the report, so that the member can refute it."""
+        """The answer contains the report, so that the member can refute it."""
         dead = changed(row('b'), state=STATES.DEAD)
         probe = protocol.Probe(1, HELD, [dead])
         self.gossip.on_message('c', probe, 0.0)
@@ -125,7 +125,7 @@
         self.assertIn(dead, answer[-1].message.rows)
 
     def test_old_report_of_itself_is_answered(self) -> None:
-        """The prober's report is older than the news of its refutation."""
+        """The prober's report is older than this daemon's refutation."""
         self.gossip._reports.piggyback.clear()
         dead = changed(row('a'), state=STATES.DEAD)
         for _ in range(2):
@@ -135,7 +135,7 @@
             self.assertIn(self.gossip.me, answer[-1].message.rows)
 
     def test_left_is_final_for_one_start(self) -> None:
-        """No late report brings back a member that has left."""
+        """No late report makes a member live again that has left."""
         self.push(changed(row('b'), state=STATES.LEFT))
         self.push(changed(row('b'), refutation=9))
         self.assertEqual({'a', 'c'}, self.live())
@@ -143,9 +143,9 @@
         self.assertEqual({'a', 'b', 'c'}, self.live())
 
     def test_left_member_is_not_learned_from_older_reports(self) -> None:
-        """A fresh daemon hears of a stop first, then from before it.
+        """A new daemon gets the report that a member left, then an older one.
 
-        It would send work to a daemon that has gone, and wait in vain.
+        Accepting the older one, it would send requests to a dead daemon.
         """
         self.push(changed(row('d'), state=STATES.LEFT))
         self.push(row('d'))
@@ -154,7 +154,7 @@
         self.assertIn('d', self.live())
 
     def test_leaving_daemon_tells_whoever_probes_it(self) -> None:
-        """Who missed the word of its leaving holds it live until told."""
+        """A prober that missed the broadcast holds it live until then."""
         self.gossip.leave()
         for number in range(30):
             probe = protocol.Probe(number, HELD, [])
@@ -167,12 +167,12 @@
             self.assertEqual([STATES.LEFT], told)
 
     def test_lost_member_is_told_who_probes_it(self) -> None:
-        """It may have started again with nothing, and no store to ask.
+        """A restarted daemon without the store lacks the prober's address.
 
-        Without the prober's address it cannot answer, and never gets ready.
+        Without it, the daemon could not answer and would never be ready.
         """
         self.push(changed(row('b'), state=STATES.LEFT))
-        self.tick_to(100, 4_000)  # The news has been told often enough.
+        self.tick_to(100, 4_000)  # Until the row is not piggybacked any more.
         probes = [
             effect.message
             for effect in self.tick_to(4_000, 12_000)
@@ -185,7 +185,7 @@
             self.assertIn('a', [each.name for each in probe.rows])
 
     def test_lost_members_are_forgotten_in_the_end(self) -> None:
-        """The list of lost members is bounded in time."""
+        """Otherwise the list of lost members would grow without bound."""
         self.push(changed(row('b'), state=STATES.LEFT))
         self.gossip._reports.lost_since['b'] = -_gossip._LOST_RETENTION_MS
         effects = self.tick_to(0, 2_200)
@@ -195,7 +195,7 @@
         self.assertIsNone(self.gossip.table.get('b'))
 
     def test_live_is_cached_and_digests_follow(self) -> None:
-        """The tuple and version change with the members, and only then."""
+        """The tuple and the version change only with the live members."""
         table = self.gossip.table
         live, version, digests = table.live(), table.version, table.digests()
         self.push(changed(row('b'), refutation=1))
--- a/tests/unit/test_neighbours.py
+++ b/tests/unit/test_neighbours.py
@@ -1,4 +1,4 @@
-"""The graph of who probes whom."""
+"""The graph of neighbours: which member probes which."""
 
 import unittest
 
@@ -29,15 +29,15 @@
 
 
 class NeighboursTest(unittest.TestCase):
-    """At the size to design for, and below the bound."""
+    """A large fleet, and one in which all probe each other."""
 
     def test_few_are_all_probed(self) -> None:
-        """Up to the bound everybody probes everybody."""
+        """In a small fleet every daemon probes every other."""
         sizes = {len(names) for names in graph_of(33).values()}
         self.assertEqual({32}, sizes)
 
     def test_many_are_each_probed_by_some_and_all_are_joined(self) -> None:
-        """Nobody is left unprobed, and news reaches everybody."""
+        """Every member is probed, and the graph is connected."""
         graph = graph_of(490)
         self.assertEqual(
             {_neighbours.NEIGHBOUR_COUNT},
--- a/tests/unit/test_observed_health.py
+++ b/tests/unit/test_observed_health.py
@@ -1,4 +1,4 @@
-"""The life of one target."""
+"""The observed health of one target."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class TargetRecordTest(unittest.TestCase):
-    """States, ramp and service time."""
+    """States, ramp-up, pauses and service time."""
 
     def setUp(self) -> None:
         self.health = _observed_health.ObservedHealth()
@@ -69,7 +69,7 @@
         self.assertLess(self.health.expected_item_ms(0.0), 5.5)
 
     def test_old_service_time_is_forgotten(self) -> None:
-        """Else one slow answer could refuse all work for good."""
+        """Otherwise one slow answer could cause all jobs to be refused."""
         self.health.on_answer(1, 900.0, 0.0)
         self.assertEqual(900.0, self.health.expected_item_ms(1_000.0))
         self.assertEqual(0.0, self.health.expected_item_ms(1_001.0))
--- a/tests/unit/test_ownership.py
+++ b/tests/unit/test_ownership.py
@@ -1,4 +1,4 @@
-"""Owners of targets, and the handover between them."""
+"""Owners of targets, and the handover when they change."""
 
 import collections
 import typing
@@ -20,7 +20,7 @@
 
 
 class _CountedMembers(tuple):
-    """Live members that count how often they are gone through."""
+    """Live members that count how often they are iterated over."""
 
     walks = 0
 
@@ -30,7 +30,7 @@
 
 
 def _snapshot(**shards: list[str]) -> state.Snapshot:
-    """Return a snapshot with one shard an index on some replicas."""
+    """Return a snapshot with one shard for each index, on these replicas."""
     whole = protocol.KeyRange(0, state.KEY_SPACE_SIZE)
     return state.Snapshot(
         1,
@@ -42,7 +42,7 @@
 
 
 class OwnersTest(unittest.TestCase):
-    """Groups and rendezvous."""
+    """Groups of targets and their assignment to daemons."""
 
     def setUp(self) -> None:
         names = [f't{number:02}' for number in range(24)]
@@ -66,11 +66,7 @@
             self.assertEqual(1, len({owners[name] for name in group}))
 
     def test_leaving_daemon_moves_its_own_and_few_others(self) -> None:
-        """Its groups go to daemons with room; each may push one on.
-
-        What is left is spread evenly again, so each of the departed groups
-        and of the raised limits may move a few, never most of them.
-        """
+        """Most targets of the other daemons keep their owner."""
         members = [_member(f'd{number}') for number in range(8)]
         before = self._owners(*members)
         for gone in members:
@@ -82,10 +78,9 @@
             self.assertLessEqual(len(moved - own), 8)
 
     def test_no_daemon_owns_more_than_its_even_part(self) -> None:
-        """Six groups, any number of daemons: even, by site and by index.
+        """Groups are spread evenly, in all and by index.
 
-        Hashing alone gave three of them to one daemon of a few: under load
-        it answers late while others have nothing to do.
+        With hashing alone one daemon may get several times the mean load.
         """
         for count in range(1, 12):
             owners = self._owners(
@@ -108,7 +103,7 @@
 
 
 class HandoverTest(unittest.IsolatedAsyncioTestCase):
-    """Daemon d1 takes t1 of four slots over, or gives it up."""
+    """Daemon d1 takes over or gives up target t1, which has four slots."""
 
     def setUp(self) -> None:
         self.clock = timers.ManualTimers()
@@ -159,7 +154,7 @@
         return scheduler.idle_slots(self.clock.now_ms())
 
     def test_members_are_gone_through_only_when_they_change(self) -> None:
-        """At 490 members a walk is 0.1 ms, and traffic asks each 20 ms."""
+        """Iterating over many members at each check would be slow."""
         self.live = _CountedMembers([_member('d1')])
         self.table.refresh()
         walks = self.live.walks
@@ -183,7 +178,7 @@
         self.assertEqual(4, self._idle())
 
     async def test_restarted_daemon_asks_before_it_sends(self) -> None:
-        """Its earlier self may have died with work at the target."""
+        """Exchanges of the process before the restart may still run."""
         self._set_live('d1')
         self.link.running = 4
         self.peers.deliver(dispatching.batch(dispatching.item('1')))
@@ -207,7 +202,7 @@
     async def test_living_owner_confirms_before_all_slots_are_used(
         self,
     ) -> None:
-        """The earlier owner stays alive, say it moved to another site."""
+        """The previous owner stays live, here by moving to another site."""
         taken_from = self.other
         self._set_live('d1', taken_from)
         self.live = [_member('d1'), _member(taken_from, 'b')]
@@ -238,7 +233,7 @@
         self.assertEqual(0, self.peers.of(protocol.Released)[1].busy)
 
     async def test_own_orders_wait_in_no_socket_after_a_freeze(self) -> None:
-        """Only a peer's order may have been sent before the freeze."""
+        """Only an order from a peer may have been sent before the freeze."""
         self._set_live('d1')
         self.dispatcher.scheduler('t1')
         await dispatching.settle()
--- a/tests/unit/test_replica_selector.py
+++ b/tests/unit/test_replica_selector.py
@@ -1,4 +1,4 @@
-"""Which replica gets an attempt, by what was seen of each."""
+"""Selection of replicas by latency, load, failures and site."""
 
 import os
 import random
@@ -10,10 +10,10 @@
 
 
 class ReplicasTest(unittest.TestCase):
-    """Two near targets and a far one, time moved by hand."""
+    """Two near targets and one at another site, with a manual clock."""
 
     def setUp(self) -> None:
-        """All targets have been measured at 15 ms."""
+        """Record a latency of 15 ms for all targets."""
         self.now_ms = 1_000.0
         self.replicas = coordination.ReplicaSelector(
             random.Random(SEED),
@@ -31,21 +31,17 @@
         return chosen.count(target) / len(chosen)
 
     def test_the_near_one_is_taken_while_it_is_well(self) -> None:
-        """Parts that cross between sites cost the users more."""
+        """Attempts at another site take longer."""
         self.assertGreater(self._share_of('near', 'near', 'far'), 0.95)
 
     def test_what_hangs_is_avoided_before_it_ends(self) -> None:
-        """An exchange without an end has no latency yet.
-
-        A target falls silent; until its first exchange times out, every
-        request would be sent after it.
-        """
+        """A silent target gets no more attempts before the first times out."""
         self.replicas.record_sent('near')
         self.now_ms += 90.0
         self.assertLess(self._share_of('near', 'near', 'far'), 0.05)
 
     def test_a_loser_that_runs_on_still_counts(self) -> None:
-        """It was cancelled here, and hangs at its target all the same."""
+        """A hedged attempt that was cancelled here may hang at its target."""
         self.replicas.record_sent('near')
         sent_ms = self.now_ms
         self.now_ms += 60.0
@@ -56,7 +52,7 @@
         self.replicas.record_ended('near', 120.0)
 
     def test_a_slow_one_is_asked_again_after_some_seconds(self) -> None:
-        """Nothing measures a target that gets no work."""
+        """Without decay, a target without attempts would stay slow."""
         for _ in range(3):
             self.replicas.record_latency('near', 180.0)
         self.now_ms += 20_000.0
@@ -64,10 +60,9 @@
         self.assertGreater(self._share_of('near', 'near', 'far'), 0.9)
 
     def test_one_that_fails_a_part_of_its_work_is_avoided(self) -> None:
-        """Each failure costs a retry, and those are few.
+        """The near target fails two of five attempts, as fast as it answers.
 
-        The near target refuses two of five requests at once, as quick as
-        ever.  By its latency alone every request would still go there first.
+        By latency alone it would be selected, and each failure costs a retry.
         """
         for number in range(50):
             self.replicas.record_sent('near')
@@ -79,12 +74,12 @@
         self.assertLess(self._share_of('near', 'near', 'far'), 0.05)
 
     def test_one_failure_alone_sends_nothing_to_another_site(self) -> None:
-        """Any target loses a connection now and then."""
+        """Single failures are normal and must not cause cross-site traffic."""
         self.replicas.record_failure('near')
         self.assertGreater(self._share_of('near', 'near', 'far'), 0.95)
 
     def test_failures_are_forgotten(self) -> None:
-        """A target that gets no work cannot show that it is well again."""
+        """Without decay, a target without attempts would stay failing."""
         for _ in range(20):
             self.replicas.record_failure('near')
         self.now_ms += 20_000.0
@@ -92,7 +87,7 @@
         self.assertGreater(self._share_of('near', 'near', 'far'), 0.9)
 
     def test_a_near_one_is_always_among_the_two_drawn(self) -> None:
-        """Of three, two at random leave it out a third of the time."""
+        """Two of three drawn at random would leave it out a third of times."""
         for name in ('far-2', 'far-3'):
             self.replicas.record_latency(name, 15.0)
         replicas = coordination.ReplicaSelector(
--- a/tests/unit/test_scheduler.py
+++ b/tests/unit/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The decisions of one target's lane."""
+"""The scheduler of one target."""
 
 import unittest
 
@@ -27,7 +27,7 @@
 
 
 class SlotsTest(unittest.TestCase):
-    """A slot is free when the target says so, or at its deadline."""
+    """A slot is free after an answer, else at the deadline."""
 
     def test_lost_exchange_holds_its_slot_until_its_deadline(self) -> None:
         scheduler = _scheduler_of(slots=1)
@@ -62,7 +62,7 @@
     def test_target_never_runs_more_than_its_slots(
         self, steps: list[tuple[str, int]], slots: int
     ) -> None:
-        """The model target works on lost exchanges until their deadline."""
+        """The modelled target runs lost exchanges until their deadline."""
         scheduler = _scheduler_of(slots=slots)
         now_ms, runs_until, out = 0.0, {}, []
         for number, (step, amount) in enumerate(steps):
@@ -94,7 +94,7 @@
 
 
 class BatchTest(unittest.TestCase):
-    """What goes together."""
+    """Which jobs share an exchange."""
 
     def test_what_queued_while_busy_goes_together(self) -> None:
         scheduler = _scheduler_of(slots=1, batch_items=3)
@@ -137,7 +137,7 @@
 
 
 class RefusalTest(unittest.TestCase):
-    """Work that is answered without being sent."""
+    """Jobs that are refused without being sent."""
 
     def test_expired_work_is_answered_by_the_timer(self) -> None:
         scheduler = _scheduler_of(slots=1)
@@ -198,7 +198,7 @@
 
 
 class TakeOverTest(unittest.TestCase):
-    """Slots that an earlier owner's work takes."""
+    """Slots that exchanges of the previous owner take."""
 
     def test_foreign_slots_count_until_seen_free(self) -> None:
         scheduler = _scheduler_of(slots=2)
--- a/tests/unit/test_settling.py
+++ b/tests/unit/test_settling.py
@@ -1,4 +1,4 @@
-"""When a fresh daemon may become ready."""
+"""When a daemon that has just started is settled."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 def asked(listed: set[str]) -> _settling.Settling:
-    """Return one that has read the store and the directory."""
+    """Return a Settling after reads of the store and the directory."""
     settling = _settling.Settling(0.0)
     settling.on_store()
     settling.on_directory(listed)
@@ -19,16 +19,16 @@
 
 
 class SettlingTest(unittest.TestCase):
-    """Store, directory and peers in each combination that matters."""
+    """Combinations of answers from the store, the directory and peers."""
 
     def test_alone_is_settled_with_the_store(self) -> None:
-        """Nobody else is listed: the store's word is all there is."""
+        """With no other daemon listed, the store's versions suffice."""
         settling = asked(set())
         self.assertFalse(settling.is_settled(10, NONE))
         self.assertTrue(settling.is_settled(10, FOUR))
 
     def test_waits_for_peers_and_takes_the_highest(self) -> None:
-        """A peer that tells of a newer revision is believed, not late."""
+        """A newer revision that a peer reports must arrive first."""
         settling = asked({'a', 'b', 'c'})
         self.assertFalse(settling.is_settled(10, FOUR))
         for name in ('a', 'b'):
@@ -39,7 +39,7 @@
         self.assertTrue(settling.is_settled(5_000, FIVE))
 
     def test_answers_of_fresh_peers_are_not_enough(self) -> None:
-        """Two fresh daemons may have read the same stale object."""
+        """Peers that are not settled may have read the same stale object."""
         settling = asked({'a', 'b', 'c'})
         settling.on_answer('a', False)
         settling.on_answer('b', False)
@@ -48,7 +48,7 @@
         self.assertTrue(settling.is_settled(10, FOUR))
 
     def test_waits_no_longer_than_its_limits(self) -> None:
-        """Listed hosts may all be gone; a told revision may be, too."""
+        """All listed peers may be dead; a reported revision may be lost."""
         settling = asked({'a', 'b'})
         self.assertFalse(settling.is_settled(2_900, FOUR))
         self.assertTrue(settling.is_settled(3_000, FOUR))
--- a/tests/unit/test_shares.py
+++ b/tests/unit/test_shares.py
@@ -24,7 +24,7 @@
 
 
 class FairQueueTest(unittest.TestCase):
-    """Order, loans, bounds and caps."""
+    """Order by share, unused shares, the limit and caps."""
 
     def test_sites_are_served_by_share(self) -> None:
         queue = _shares.FairQueue(500, 2, _SHARES)
@@ -33,7 +33,7 @@
         self.assertEqual({'a': 75, 'b': 25}, _served(queue, 100))
 
     def test_idle_site_saves_up_no_credit(self) -> None:
-        """b was alone for long; a may not now starve it in return."""
+        """Site a was idle while b was served; it must not starve b now."""
         queue = _shares.FairQueue(500, 2, _SHARES)
         _fill(queue, 'b', 200)
         self.assertEqual({'a': 0, 'b': 100}, _served(queue, 100))
@@ -66,5 +66,5 @@
             queue.take(item)
             queue.charge(item.flow, 20.0, now_ms)
             used_ms += 20.0
-        # Half of two slots is one slot's time, and the burst.
+        # The cap is half of two slots: one slot's time, plus the burst.
         self.assertAlmostEqual(10_000.0, used_ms, delta=100.0)
--- a/tests/unit/test_target_signs.py
+++ b/tests/unit/test_target_signs.py
@@ -1,4 +1,4 @@
-"""Signs of leaving and of return."""
+"""Signs that targets are leaving or back."""
 
 import random
 import unittest
@@ -16,7 +16,7 @@
 
 
 class SignsCase(unittest.IsolatedAsyncioTestCase):
-    """One daemon over a fake store."""
+    """One daemon with a store in memory."""
 
     def setUp(self) -> None:
         self.clock = timers.ManualTimers()
@@ -56,7 +56,7 @@
 
 
 class TargetSignsTest(SignsCase):
-    """One daemon's knowledge of the signs."""
+    """Which sign of which source decides."""
 
     def test_newest_object_wins_in_any_order(self) -> None:
         self._object(True, 20)
@@ -138,7 +138,7 @@
 
 
 class HostListTest(SignsCase):
-    """Few daemons read the platform's list for all."""
+    """A few daemons read the platform's host list for all."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -152,7 +152,7 @@
         await dispatching.settle()
 
     async def test_only_watchers_read_it_again(self) -> None:
-        """490 daemons that each read it would take 490 reads a second."""
+        """Reads of the list must not grow with the number of daemons."""
         for is_watcher, reads in ((False, 1), (True, 11)):
             with self.subTest(is_watcher=is_watcher):
                 self.is_watcher = is_watcher
@@ -164,7 +164,7 @@
                 self.assertEqual(reads, self.store.calls['hosts'])
 
     async def test_what_a_watcher_reads_holds_at_the_others(self) -> None:
-        """Leaving and return, with the first notice of each lost."""
+        """Leaving and return, with the first broadcast of each lost."""
         for leaving in (True, False):
             self.clock.advance(1_000.0)
             self._hosts(leaving)
@@ -177,7 +177,7 @@
         return signs.leaving(), signs.targets_to_probe()
 
     def _exchange(self) -> int:
-        """Let the other ask; return how many signs it was told."""
+        """Let the other daemon ask; return how many signs it was sent."""
         self.other._ask_peer()
         asked = self.other_peers.of(protocol.TargetSignsWanted)[-1]
         self.peers.sent.clear()
@@ -188,7 +188,7 @@
         return len(told)
 
     def test_peer_that_knows_all_is_told_nothing(self) -> None:
-        """2,300 signs each 2 s would be 70 KB/s at every daemon."""
+        """Sending all signs each time would use much bandwidth."""
         names = [f't{number}' for number in range(50)]
         self.signs.on_hosts([transport.Host(name, True) for name in names])
         self.assertEqual([50, 0], [self._exchange(), self._exchange()])
