--- a/tests/failure/test_leaving_targets.py
+++ b/tests/failure/test_leaving_targets.py
@@ -82,7 +82,7 @@
         self.assertEqual('draining', self._told(attempt_id))
         self.assertEqual(before, len(self.link.batches))
 
-    async def test_targets_own_word_beats_its_health_endpoint(self) -> None:
+    async def test_targets_own_report_overrides_the_host_list(self) -> None:
         """The target reports draining, the host list shows it as live.
 
         Queued attempts are refused as never started and no new ones sent.
--- a/tests/failure/test_limits.py
+++ b/tests/failure/test_limits.py
@@ -28,7 +28,7 @@
 _QUERIES = 400
 
 
-class _Bench:
+class _System:
     """One dispatcher and one stand-in target, both in this process."""
 
     def __init__(self) -> None:
@@ -109,18 +109,18 @@
         counted_time.run(self._check_lost_answers_and_cancels())
 
     async def _check_lost_answers_and_cancels(self) -> None:
-        async with _Bench() as bench:
-            await bench.load()
-            statuses = bench.peers.statuses()
-            self.assertGreater(bench.stats.items, 40)
-            self.assertGreater(bench.counters.total('target_errors'), 2)
-        self.assertEqual(0, bench.stats.slot_breaches)
-        self.assertEqual(0, bench.stats.connection_breaches)
+        async with _System() as system:
+            await system.load()
+            statuses = system.peers.statuses()
+            self.assertGreater(system.stats.items, 40)
+            self.assertGreater(system.counters.total('target_errors'), 2)
+        self.assertEqual(0, system.stats.slot_breaches)
+        self.assertEqual(0, system.stats.connection_breaches)
         once = {name: 1 for name in map(str, range(_QUERIES))}
         counts = {name: len(rows) for name, rows in statuses.items()}
         self.assertEqual(once, counts)
 
-    def test_target_that_works_on_is_breached_without_the_hold(self) -> None:
+    def test_slots_are_exceeded_without_holding_lost_exchanges(self) -> None:
         """A slow target goes on working after the dispatcher gave up.
 
         If the slot were freed then, the target would exceed its slots.
@@ -130,8 +130,8 @@
     async def _check_hold(self) -> None:
         counts = []
         for naive in (False, True):
-            async with _Bench() as bench:
-                bench.faults.service_ms, bench.faults.sigma = 300.0, 0.0
+            async with _System() as system:
+                system.faults.service_ms, system.faults.sigma = 300.0, 0.0
                 ended = _scheduler.TargetScheduler.end_exchange
 
                 def free(scheduler, ticket, exchange_end, now_ms):
@@ -149,16 +149,16 @@
                     patched.start()
                 try:
                     for number in range(30):
-                        bench.peers.deliver(
+                        system.peers.deliver(
                             dispatching.batch(
                                 dispatching.item(f'{number}'), alone=True
                             )
                         )
                         await asyncio.sleep(0.01)
-                    await bench.dispatcher.drain()
+                    await system.dispatcher.drain()
                 finally:
                     if naive:
                         patched.stop()
-                counts.append(bench.stats.slot_breaches)
+                counts.append(system.stats.slot_breaches)
         self.assertEqual(0, counts[0])
         self.assertGreater(counts[1], 0)
--- a/tests/failure/test_membership.py
+++ b/tests/failure/test_membership.py
@@ -46,7 +46,7 @@
         self.assert_views(network, everyone)
         return everyone
 
-    def test_killed_is_lost_and_the_rest_stays(self) -> None:
+    def test_only_the_killed_daemon_is_lost(self) -> None:
         """With a tenth of all messages lost, only a killed daemon is lost.
 
         Indirect probes keep live members from being declared dead.
@@ -62,7 +62,7 @@
 
         simulate(body)
 
-    def test_cut_regions_go_on_and_meet_again(self) -> None:
+    def test_partitioned_regions_go_on_and_rejoin(self) -> None:
         """Both sides of a partition keep their members; then all rejoin.
 
         After it heals, reports of deaths from the other side must not
@@ -150,7 +150,7 @@
 
         simulate(body)
 
-    def test_silent_connection_is_made_anew(self) -> None:
+    def test_silent_connection_is_replaced(self) -> None:
         """A connection that drops everything is replaced.
 
         Others still reach both daemons, so neither is lost.
--- a/tests/failure/test_shares.py
+++ b/tests/failure/test_shares.py
@@ -88,7 +88,7 @@
             self.assertGreaterEqual(run.served[site], 290)
         self.assertGreaterEqual(run.served['a'], 1_300)
 
-    def test_lent_share_comes_back_at_once(self) -> None:
+    def test_unused_share_is_returned_at_once(self) -> None:
         """Site a uses the whole target while alone; then b and c send too.
 
         Within the next second each site is served at its share.
@@ -102,7 +102,7 @@
         for site, share in _SITES.items():
             self.assertAlmostEqual(share * 400, got[site], delta=16)
 
-    def test_one_line_for_all_sites_lets_the_others_starve(self) -> None:
+    def test_one_queue_for_all_sites_starves_the_others(self) -> None:
         """Without queues by site, the same flood sheds most of b and c.
 
         Together they need less than a third of the capacity.
--- a/tests/unit/test_gossip.py
+++ b/tests/unit/test_gossip.py
@@ -57,7 +57,7 @@
         """Return the names of the live members."""
         return set(self.gossip.table.names())
 
-    def test_who_never_answers_is_suspected_then_dead(self) -> None:
+    def test_silent_member_is_suspected_then_dead(self) -> None:
         """A member that does not answer is suspected before it is lost."""
         self.tick_to(0, 1_200)
         held = {r.name: r.state for r in self.gossip.table.rows()}
@@ -115,7 +115,7 @@
                 )
                 self.assertEqual(STATES.ALIVE, mine.state)
 
-    def test_who_is_held_dead_is_told_so(self) -> None:
+    def test_dead_member_gets_the_report_of_its_death(self) -> None:
         """The answer contains the report, so that the member can refute it."""
         dead = changed(row('b'), state=STATES.DEAD)
         probe = protocol.Probe(1, HELD, [dead])
@@ -153,7 +153,7 @@
         self.push(row('d', incarnation=2))
         self.assertIn('d', self.live())
 
-    def test_leaving_daemon_tells_whoever_probes_it(self) -> None:
+    def test_leaving_daemon_sends_its_row_to_each_prober(self) -> None:
         """A prober that missed the broadcast holds it live until then."""
         self.gossip.leave()
         for number in range(30):
@@ -166,7 +166,7 @@
             told = [each.state for each in answer.rows if each.name == 'a']
             self.assertEqual([STATES.LEFT], told)
 
-    def test_lost_member_is_told_who_probes_it(self) -> None:
+    def test_lost_member_gets_the_row_of_its_prober(self) -> None:
         """A restarted daemon without the store lacks the prober's address.
 
         Without it, the daemon could not answer and would never be ready.
--- a/tests/unit/test_neighbours.py
+++ b/tests/unit/test_neighbours.py
@@ -31,12 +31,12 @@
 class NeighboursTest(unittest.TestCase):
     """A large fleet, and one in which all probe each other."""
 
-    def test_few_are_all_probed(self) -> None:
+    def test_small_fleet_probes_every_member(self) -> None:
         """In a small fleet every daemon probes every other."""
         sizes = {len(names) for names in graph_of(33).values()}
         self.assertEqual({32}, sizes)
 
-    def test_many_are_each_probed_by_some_and_all_are_joined(self) -> None:
+    def test_large_fleet_probes_every_member_and_is_connected(self) -> None:
         """Every member is probed, and the graph is connected."""
         graph = graph_of(490)
         self.assertEqual(
--- a/tests/unit/test_observed_health.py
+++ b/tests/unit/test_observed_health.py
@@ -5,7 +5,7 @@
 from samphiredock.coordination.targets import _observed_health
 
 
-class TargetRecordTest(unittest.TestCase):
+class ObservedHealthTest(unittest.TestCase):
     """States, ramp-up, pauses and service time."""
 
     def setUp(self) -> None:
--- a/tests/unit/test_ownership.py
+++ b/tests/unit/test_ownership.py
@@ -153,7 +153,7 @@
             scheduler.health.on_answer(0, 0.0, 0.0)
         return scheduler.idle_slots(self.clock.now_ms())
 
-    def test_members_are_gone_through_only_when_they_change(self) -> None:
+    def test_members_are_iterated_only_when_they_change(self) -> None:
         """Iterating over many members at each check would be slow."""
         self.live = _CountedMembers([_member('d1')])
         self.table.refresh()
@@ -165,7 +165,9 @@
         self._set_live(self.other)
         self.assertEqual(self.other, self.table.owner('t1'))
 
-    async def test_dead_owners_work_takes_slots_until_seen_free(self) -> None:
+    async def test_dead_owners_exchanges_take_slots_until_seen_free(
+        self,
+    ) -> None:
         self._set_live('d1', self.other)
         self.link.running = 3
         self._set_live('d1')
@@ -189,7 +191,9 @@
         await dispatching.settle()
         self.assertEqual(1, len(self.link.batches))
 
-    async def test_dead_owners_work_takes_slots_for_a_deadline(self) -> None:
+    async def test_dead_owners_exchanges_take_slots_for_a_deadline(
+        self,
+    ) -> None:
         self.link.running = 4
         self._set_live('d1', self.other)
         self._set_live('d1')
@@ -232,7 +236,7 @@
         self.peers.deliver(protocol.Release('t1'), self.other)
         self.assertEqual(0, self.peers.of(protocol.Released)[1].busy)
 
-    async def test_own_orders_wait_in_no_socket_after_a_freeze(self) -> None:
+    async def test_own_orders_are_sent_after_a_noticed_freeze(self) -> None:
         """Only an order from a peer may have been sent before the freeze."""
         self._set_live('d1')
         self.dispatcher.scheduler('t1')
@@ -247,7 +251,7 @@
         self.peers.deliver(dispatching.order('3'), 'd1')
         self.assertEqual(['cancelled'], self.peers.statuses()['3'])
 
-    async def test_work_is_served_by_a_daemon_that_never_owned(self) -> None:
+    async def test_daemon_that_never_owned_serves_sub_queries(self) -> None:
         self._set_live(self.other)
         self.peers.deliver(dispatching.batch(dispatching.item('1')))
         await dispatching.settle()
@@ -255,7 +259,7 @@
         await dispatching.settle()
         self.assertEqual({'1': ['answered']}, self.peers.statuses())
 
-    def test_table_is_computed_only_when_its_basis_changes(self) -> None:
+    def test_table_is_computed_only_when_its_inputs_change(self) -> None:
         calls = collections.Counter()
         self.table.subscribe(lambda changes: calls.update(['change']))
         for _ in range(5):
--- a/tests/unit/test_replica_selector.py
+++ b/tests/unit/test_replica_selector.py
@@ -9,7 +9,7 @@
 SEED = int(os.environ.get('SAMPHIREDOCK_SEED', '20261202'))
 
 
-class ReplicasTest(unittest.TestCase):
+class ReplicaSelectorTest(unittest.TestCase):
     """Two near targets and one at another site, with a manual clock."""
 
     def setUp(self) -> None:
@@ -30,17 +30,17 @@
         chosen = [self.replicas.choose(candidates) for _ in range(1_000)]
         return chosen.count(target) / len(chosen)
 
-    def test_the_near_one_is_taken_while_it_is_well(self) -> None:
+    def test_near_target_is_selected_while_healthy(self) -> None:
         """Attempts at another site take longer."""
         self.assertGreater(self._share_of('near', 'near', 'far'), 0.95)
 
-    def test_what_hangs_is_avoided_before_it_ends(self) -> None:
+    def test_hanging_target_is_avoided(self) -> None:
         """A silent target gets no more attempts before the first times out."""
         self.replicas.record_sent('near')
         self.now_ms += 90.0
         self.assertLess(self._share_of('near', 'near', 'far'), 0.05)
 
-    def test_a_loser_that_runs_on_still_counts(self) -> None:
+    def test_abandoned_attempt_still_counts_as_in_flight(self) -> None:
         """A hedged attempt that was cancelled here may hang at its target."""
         self.replicas.record_sent('near')
         sent_ms = self.now_ms
@@ -51,7 +51,7 @@
         self.assertLess(self._share_of('near', 'near', 'far'), 0.05)
         self.replicas.record_ended('near', 120.0)
 
-    def test_a_slow_one_is_asked_again_after_some_seconds(self) -> None:
+    def test_slow_target_is_tried_again_after_some_seconds(self) -> None:
         """Without decay, a target without attempts would stay slow."""
         for _ in range(3):
             self.replicas.record_latency('near', 180.0)
@@ -59,7 +59,7 @@
         self.replicas.record_latency('far', 15.0)
         self.assertGreater(self._share_of('near', 'near', 'far'), 0.9)
 
-    def test_one_that_fails_a_part_of_its_work_is_avoided(self) -> None:
+    def test_target_that_fails_some_attempts_is_avoided(self) -> None:
         """The near target fails two of five attempts, as fast as it answers.
 
         By latency alone it would be selected, and each failure costs a retry.
@@ -73,7 +73,7 @@
                 self.replicas.record_ended('near', 15.0)
         self.assertLess(self._share_of('near', 'near', 'far'), 0.05)
 
-    def test_one_failure_alone_sends_nothing_to_another_site(self) -> None:
+    def test_single_failure_does_not_select_another_site(self) -> None:
         """Single failures are normal and must not cause cross-site traffic."""
         self.replicas.record_failure('near')
         self.assertGreater(self._share_of('near', 'near', 'far'), 0.95)
@@ -86,7 +86,7 @@
         self.replicas.record_latency('far', 15.0)
         self.assertGreater(self._share_of('near', 'near', 'far'), 0.9)
 
-    def test_a_near_one_is_always_among_the_two_drawn(self) -> None:
+    def test_near_target_is_always_one_of_the_two_drawn(self) -> None:
         """Two of three drawn at random would leave it out a third of times."""
         for name in ('far-2', 'far-3'):
             self.replicas.record_latency(name, 15.0)
--- a/tests/unit/test_scheduler.py
+++ b/tests/unit/test_scheduler.py
@@ -96,7 +96,7 @@
 class BatchTest(unittest.TestCase):
     """Which jobs share an exchange."""
 
-    def test_what_queued_while_busy_goes_together(self) -> None:
+    def test_jobs_queued_while_busy_share_an_exchange(self) -> None:
         scheduler = _scheduler_of(slots=1, batch_items=3)
         scheduler.submit(dispatching.job('0'), 0.0)
         (start,) = scheduler.pump(0.0)
@@ -105,7 +105,7 @@
         effects = scheduler.end_exchange(start.ticket, _ANSWERED, 1.0)
         self.assertEqual([['1', '2', '3']], dispatching.sent(effects))
 
-    def test_alone_goes_alone(self) -> None:
+    def test_job_that_must_be_alone_has_its_own_exchange(self) -> None:
         scheduler = _scheduler_of(slots=1)
         scheduler.submit(dispatching.job('0'), 0.0)
         (start,) = scheduler.pump(0.0)
@@ -186,7 +186,7 @@
         effects = scheduler.end_exchange(start.ticket, _ANSWERED, 1.0)
         self.assertEqual({'1': 'quarantined'}, dispatching.refused(effects))
 
-    def test_full_queue_sheds_what_is_past_use_first(self) -> None:
+    def test_full_queue_sheds_jobs_that_expire_first(self) -> None:
         scheduler = _scheduler_of(slots=1, queue_per_target=2)
         scheduler.submit(dispatching.job('0', 5_000.0), 0.0)
         scheduler.pump(0.0)
@@ -197,7 +197,7 @@
         self.assertGreater(effects[0].retry_after_ms, 0)
 
 
-class TakeOverTest(unittest.TestCase):
+class ForeignSlotsTest(unittest.TestCase):
     """Slots that exchanges of the previous owner take."""
 
     def test_foreign_slots_count_until_seen_free(self) -> None:
--- a/tests/unit/test_shares.py
+++ b/tests/unit/test_shares.py
@@ -41,7 +41,7 @@
         served = _served(queue, 40)
         self.assertAlmostEqual(10, served['b'], delta=1)
 
-    def test_full_queue_takes_from_the_site_beyond_its_places(self) -> None:
+    def test_full_queue_drops_from_the_site_beyond_its_share(self) -> None:
         queue = _shares.FairQueue(100, 2, _SHARES)
         _fill(queue, 'b', 100)
         for number in range(75):
--- a/tests/unit/test_target_signs.py
+++ b/tests/unit/test_target_signs.py
@@ -71,7 +71,9 @@
         self.assertEqual(1, self.counters.total('target_objects_unreadable'))
         self._assert_usable(True)
 
-    def test_list_that_lags_does_not_undo_the_targets_own_word(self) -> None:
+    def test_outdated_host_list_does_not_undo_the_targets_own_sign(
+        self,
+    ) -> None:
         self.signs.on_target_report('t1', True)
         self._hosts(False)
         self._assert_usable(False)
@@ -88,7 +90,7 @@
         self.signs.on_target_report('t1', False)
         self._assert_usable(True)
 
-    def test_new_sign_is_told_and_an_older_return_does_not_undo_it(
+    def test_new_sign_is_broadcast_and_an_older_return_ignored(
         self,
     ) -> None:
         self.signs.on_target_report('t1', True)
@@ -103,7 +105,7 @@
             self.peers.of(protocol.TargetSign)[1].at_ms, sign.at_ms + 1
         )
 
-    def test_word_asked_before_a_sign_came_is_no_return(self) -> None:
+    def test_answer_requested_before_the_sign_is_no_return(self) -> None:
         asked_at_ms = self.clock.wall_ms()
         self.clock.advance(5.0)
         self.signs.on_target_report('t1', True)
@@ -114,7 +116,7 @@
         self.signs.on_target_report('t1', False, asked_at_ms + 6)
         self._assert_usable(True)
 
-    def test_peer_that_asks_is_told_what_is_known(self) -> None:
+    def test_peer_that_asks_gets_the_known_signs(self) -> None:
         self.signs.on_target_report('t1', True)
         self.peers.sent.clear()
         self.peers.deliver(protocol.TargetSignsWanted(), 'd3')
@@ -163,7 +165,7 @@
                 signs.close()
                 self.assertEqual(reads, self.store.calls['hosts'])
 
-    async def test_what_a_watcher_reads_holds_at_the_others(self) -> None:
+    async def test_other_daemons_apply_what_a_watcher_reads(self) -> None:
         """Leaving and return, with the first broadcast of each lost."""
         for leaving in (True, False):
             self.clock.advance(1_000.0)
@@ -179,15 +181,17 @@
     def _exchange(self) -> int:
         """Let the other daemon ask; return how many signs it was sent."""
         self.other._ask_peer()
-        asked = self.other_peers.of(protocol.TargetSignsWanted)[-1]
+        settling_after_reads = self.other_peers.of(protocol.TargetSignsWanted)[
+            -1
+        ]
         self.peers.sent.clear()
-        self.peers.deliver(asked)
+        self.peers.deliver(settling_after_reads)
         told = self.peers.of(protocol.TargetSign)
         for sign in told:
             self.other_peers.deliver(sign)
         return len(told)
 
-    def test_peer_that_knows_all_is_told_nothing(self) -> None:
+    def test_peer_with_the_same_signs_gets_none(self) -> None:
         """Sending all signs each time would use much bandwidth."""
         names = [f't{number}' for number in range(50)]
         self.signs.on_hosts([transport.Host(name, True) for name in names])
