--- a/tests/failure/test_leaving_targets.py
+++ b/tests/failure/test_leaving_targets.py
@@ -73,13 +73,13 @@
         await dispatching.settle()
         return attempt_id
 
-    def _told(self, attempt_id: str) -> str:
+    def _status_of(self, attempt_id: str) -> str:
         return self.peers.statuses()[attempt_id][0]
 
     async def _assert_sends_nothing(self) -> None:
         before = len(self.link.batches)
         attempt_id = await self._ask()
-        self.assertEqual('draining', self._told(attempt_id))
+        self.assertEqual('draining', self._status_of(attempt_id))
         self.assertEqual(before, len(self.link.batches))
 
     async def test_targets_own_report_overrides_the_host_list(self) -> None:
@@ -91,8 +91,8 @@
         self.link.draining = True
         self.link.answer(draining=True)
         await dispatching.settle()
-        self.assertEqual('answered', self._told(sent))
-        self.assertEqual('draining', self._told(queued))
+        self.assertEqual('answered', self._status_of(sent))
+        self.assertEqual('draining', self._status_of(queued))
         self.signs.on_hosts([transport.Host('t1', False)])
         for _ in range(10):
             self.clock.advance(500.0)
--- a/tests/unit/test_dispatcher.py
+++ b/tests/unit/test_dispatcher.py
@@ -52,9 +52,9 @@
             self.peers.deliver(message)
         await dispatching.settle()
 
-    def _assert_told(self, **expected: str) -> None:
-        told = {name: [status] for name, status in expected.items()}
-        self.assertEqual(told, self.peers.statuses())
+    def _assert_answered(self, **expected: str) -> None:
+        answered = {name: [status] for name, status in expected.items()}
+        self.assertEqual(answered, self.peers.statuses())
         self.assertEqual(0, self.dispatcher.in_flight())
 
     async def test_one_turn_makes_one_exchange(self) -> None:
@@ -63,7 +63,7 @@
         self.assertEqual(1, len(self.link.batches))
         self.link.answer()
         await dispatching.settle()
-        self._assert_told(**dict.fromkeys('123', 'answered'))
+        self._assert_answered(**dict.fromkeys('123', 'answered'))
 
     async def test_broken_batch_tells_who_ran_alone(self) -> None:
         for names, healthy in (('1', True), ('2', False), ('34', False)):
@@ -76,7 +76,7 @@
                 memory_link.failure(_KIND.BROKEN)
             )
             await dispatching.settle()
-            self._assert_told(**dict.fromkeys(names, 'broken'))
+            self._assert_answered(**dict.fromkeys(names, 'broken'))
             for answer in self.peers.of(protocol.SubAnswerBatch)[0].answers:
                 self.assertEqual(len(names) == 1, answer.ran_alone)
                 self.assertEqual(not healthy, answer.target_lost)
@@ -96,9 +96,11 @@
             memory_link.failure(_KIND.UNREACHABLE)
         )
         await dispatching.settle()
-        (told,) = self.peers.of(protocol.SubAnswerBatch)
-        self.assertIs(protocol.SubStatus.UNREACHABLE, told.answers[0].status)
-        self.assertFalse(told.answers[0].target_lost)
+        (answered,) = self.peers.of(protocol.SubAnswerBatch)
+        self.assertIs(
+            protocol.SubStatus.UNREACHABLE, answered.answers[0].status
+        )
+        self.assertFalse(answered.answers[0].target_lost)
 
     async def test_queued_work_of_a_lost_target_goes_back(self) -> None:
         await self._deliver(dispatching.batch(dispatching.item('1')))
@@ -107,7 +109,7 @@
             memory_link.failure(_KIND.UNREACHABLE)
         )
         await dispatching.settle()
-        self._assert_told(**dict.fromkeys('12', 'unreachable'))
+        self._assert_answered(**dict.fromkeys('12', 'unreachable'))
 
     async def test_cancel_of_a_queued_run_is_proven(self) -> None:
         await self._deliver(dispatching.order('1'), dispatching.order('2'))
@@ -132,7 +134,7 @@
             )
         )
         await dispatching.settle()
-        self._assert_told(**{'1': 'cancelled'})
+        self._assert_answered(**{'1': 'cancelled'})
 
     async def test_run_read_after_a_freeze_is_refused(self) -> None:
         """The sender may have given up on it; with the gap noticed or not."""
@@ -141,7 +143,7 @@
         self.clock.unseen_gap_ms = 0.0
         self.clock.freeze(4_000.0)
         await self._deliver(dispatching.order('2'))
-        self._assert_told(**dict.fromkeys('12', 'cancelled'))
+        self._assert_answered(**dict.fromkeys('12', 'cancelled'))
         self.clock.advance(1_000.0)
         await self._deliver(dispatching.order('3'))
         self.assertEqual(1, len(self.link.runs))
@@ -149,7 +151,7 @@
     async def test_search_read_after_a_freeze_is_too_late(self) -> None:
         self.clock.freeze(4_000.0)
         await self._deliver(dispatching.batch(dispatching.item('1')))
-        self._assert_told(**{'1': 'expired'})
+        self._assert_answered(**{'1': 'expired'})
 
     async def test_work_queued_before_a_freeze_is_not_sent_after_it(
         self,
@@ -168,7 +170,7 @@
             self.clock.unseen_gap_ms = 0.0 if seen_by_timer else 4_000.0
             self.link.answer()
             await dispatching.settle()
-            self._assert_told(**{'1': 'answered', '2': 'expired'})
+            self._assert_answered(**{'1': 'answered', '2': 'expired'})
             self.assertEqual(1, len(self.link.batches))
 
     async def test_expired_work_is_answered_without_the_target(self) -> None:
@@ -195,7 +197,7 @@
 
     async def test_unknown_target_is_not_owned(self) -> None:
         await self._deliver(dispatching.batch(dispatching.item('1', 't9')))
-        self._assert_told(**{'1': 'not-owner'})
+        self._assert_answered(**{'1': 'not-owner'})
 
     async def test_order_after_the_drain_is_refused(self) -> None:
         """A peer may send an order to a daemon whose connections close.
@@ -206,7 +208,7 @@
         await self.dispatcher.drain()
         self.dispatcher.stop()
         await self._deliver(dispatching.order('r'))
-        self._assert_told(r='not-owner')
+        self._assert_answered(r='not-owner')
         self.assertEqual({}, self.links)
 
     async def test_quarantined_content_is_refused(self) -> None:
@@ -214,17 +216,17 @@
         await self._deliver(
             dispatching.batch(dispatching.item('1')), dispatching.order('2')
         )
-        self._assert_told(**dict.fromkeys('12', 'quarantined'))
+        self._assert_answered(**dict.fromkeys('12', 'quarantined'))
 
     async def test_drain_waits_for_what_was_sent(self) -> None:
         await self._deliver(dispatching.batch(dispatching.item('1')))
         self.assertEqual(1, self.dispatcher.in_flight())
         self.link.answer()
         await self.dispatcher.drain()
-        self._assert_told(**{'1': 'answered'})
+        self._assert_answered(**{'1': 'answered'})
 
     async def test_drain_waits_for_answers_that_leave_later(self) -> None:
         """They are sent in the next iteration of the event loop."""
         self.peers.deliver(dispatching.batch(dispatching.item('1', 't9')))
         await self.dispatcher.drain()
-        self._assert_told(**{'1': 'not-owner'})
+        self._assert_answered(**{'1': 'not-owner'})
--- a/tests/unit/test_gossip.py
+++ b/tests/unit/test_gossip.py
@@ -101,17 +101,18 @@
 
     def test_reports_of_itself_are_refuted(self) -> None:
         """This daemon publishes a row that wins against each report."""
-        for said in (
+        for report in (
             changed(row('a'), state=STATES.SUSPECT),
             changed(row('a'), state=STATES.DEAD, refutation=7),
             row('a', incarnation=50),
             changed(row('a', 60), state=STATES.LEFT),
         ):
-            with self.subTest(said=said):
-                self.push(said)
+            with self.subTest(report=report):
+                self.push(report)
                 mine = self.gossip.me
                 self.assertGreater(
-                    _member_table.order_of(mine), _member_table.order_of(said)
+                    _member_table.order_of(mine),
+                    _member_table.order_of(report),
                 )
                 self.assertEqual(STATES.ALIVE, mine.state)
 
@@ -163,8 +164,8 @@
                 for effect in self.gossip.on_message('b', probe, 0.0)
                 if isinstance(effect, _gossip_state.SendTo)
             ]
-            told = [each.state for each in answer.rows if each.name == 'a']
-            self.assertEqual([STATES.LEFT], told)
+            states = [each.state for each in answer.rows if each.name == 'a']
+            self.assertEqual([STATES.LEFT], states)
 
     def test_lost_member_gets_the_row_of_its_prober(self) -> None:
         """A restarted daemon without the store lacks the prober's address.
--- a/tests/unit/test_target_signs.py
+++ b/tests/unit/test_target_signs.py
@@ -111,8 +111,10 @@
         self.signs.on_target_report('t1', True)
         self.signs.on_target_report('t1', False, asked_at_ms)
         self._assert_usable(False)
-        told = [row.leaving for row in self.peers.of(protocol.TargetSign)]
-        self.assertEqual([True], told)
+        sent_signs = [
+            row.leaving for row in self.peers.of(protocol.TargetSign)
+        ]
+        self.assertEqual([True], sent_signs)
         self.signs.on_target_report('t1', False, asked_at_ms + 6)
         self._assert_usable(True)
 
@@ -186,10 +188,10 @@
         ]
         self.peers.sent.clear()
         self.peers.deliver(settling_after_reads)
-        told = self.peers.of(protocol.TargetSign)
-        for sign in told:
+        sent_signs = self.peers.of(protocol.TargetSign)
+        for sign in sent_signs:
             self.other_peers.deliver(sign)
-        return len(told)
+        return len(sent_signs)
 
     def test_peer_with_the_same_signs_gets_none(self) -> None:
         """Sending all signs each time would use much bandwidth."""
