--- a/samphiredock/coordination/fleet/_gossip.py
+++ b/samphiredock/coordination/fleet/_gossip.py
@@ -202,13 +202,17 @@
         return self._rng.sample(names, min(count, len(names)))
 
     def _probe(
-        self, name: str, due_ms: float, asked_by: str = '', asked: int = 0
+        self,
+        name: str,
+        due_ms: float,
+        asked_by: str = '',
+        asked_number: int = 0,
     ) -> _Effects:
         number = self._next_number()
         self._probes.add(
             number,
             _gossip_state.OpenProbe(
-                name, due_ms, asked_by=asked_by, asked_number=asked
+                name, due_ms, asked_by=asked_by, asked_number=asked_number
             ),
         )
         message = protocol.Probe(
@@ -299,9 +303,9 @@
         effects = self._reports.merge(message.rows, now_ms)
         effects.append(_gossip_state.PeerVersions(sender, message.versions))
         rows = self._reports.rows_for(sender)
-        doubted = any(row.name == self._name for row in message.rows)
+        is_reported = any(row.name == self._name for row in message.rows)
         leaving = self.me.state is protocol.MemberState.LEFT
-        if (doubted or leaving) and self.me not in rows:
+        if (is_reported or leaving) and self.me not in rows:
             # The refutation may not be piggybacked any more when an old
             # report comes; and the prober may not know that this daemon has
             # left.
@@ -372,15 +376,15 @@
         effects.append(_gossip_state.PeerVersions(sender, message.versions))
         effects.append(_gossip_state.PeerAnswered(sender, message.settled))
         self._view_freshness.on_answer(sender)
-        lacking = [
+        missing = [
             row
             for row in self.table.in_buckets(message.buckets)
             if row.name not in theirs
             or _member_table.order_of(row) > theirs[row.name]
         ]
-        if lacking:
+        if missing:
             effects.append(
-                _gossip_state.SendTo(sender, protocol.StatePush(lacking))
+                _gossip_state.SendTo(sender, protocol.StatePush(missing))
             )
         return effects
 
--- a/samphiredock/coordination/fleet/_reports.py
+++ b/samphiredock/coordination/fleet/_reports.py
@@ -79,13 +79,13 @@
     def rows_for(self, receiver: str) -> list[protocol.MemberRow]:
         """Return the rows to piggyback on a message to ``receiver``."""
         rows = [self.table.get(name) for name in self.piggyback.take()]
-        about = self.table.get(receiver)
-        if about is not None and about.state is not _ALIVE:
+        held = self.table.get(receiver)
+        if held is not None and held.state is not _ALIVE:
             # The receiver gets the report that it is suspect or dead, so
             # that it can refute it.  It also gets this daemon's row, since
             # it may have restarted without a member list and needs the
             # address to answer.
-            rows += [about, self.me]
+            rows += [held, self.me]
         return [row for row in rows if row is not None]
 
     def merge(
--- a/samphiredock/coordination/targets/_exchanges.py
+++ b/samphiredock/coordination/targets/_exchanges.py
@@ -73,9 +73,9 @@
     ) -> _scheduler_types.ExchangeEnd:
         """Run one exchange, answer its jobs and return how it ended."""
         if start.jobs[0].item is None:
-            exchange_end = await self._run(managed, start)
+            exchange_end = await self._send_run(managed, start)
         else:
-            exchange_end = await self._batch(managed, start)
+            exchange_end = await self._send_batch(managed, start)
         if exchange_end is _scheduler_types.ExchangeEnd.LOST:
             self._metrics.add('slots_held_after_loss')
         return exchange_end
@@ -99,7 +99,7 @@
                 managed.target.name, answer.draining, asked_at_ms
             )
 
-    async def _batch(
+    async def _send_batch(
         self, managed: ManagedTarget, start: _scheduler_types.StartExchange
     ) -> _scheduler_types.ExchangeEnd:
         started_ms = self._clock.now_ms()
@@ -112,7 +112,9 @@
             min(start.deadline_at_ms - started_ms, self._silent_after_ms()),
         )
         if isinstance(reply, result.Failure):
-            return await self._batch_failed(managed, jobs, reply.failure())
+            return await self._answer_failed_batch(
+                managed, jobs, reply.failure()
+            )
         answers = reply.unwrap().answers
         for job, answer in zip(jobs, answers):
             self._answer(
@@ -122,9 +124,9 @@
                 ),
             )
         self._sample(jobs[0], started_ms)
-        return self._learn(managed, reply.unwrap(), answers)
+        return self._update_target(managed, reply.unwrap(), answers)
 
-    def _learn(
+    def _update_target(
         self,
         managed: ManagedTarget,
         reply: protocol.TargetBatchAnswer,
@@ -145,7 +147,7 @@
             managed.scheduler.health.on_shed(self._clock.now_ms())
         return _scheduler_types.ExchangeEnd.FREE
 
-    async def _batch_failed(
+    async def _answer_failed_batch(
         self,
         managed: ManagedTarget,
         jobs: tuple[_scheduler_types.Job, ...],
@@ -163,7 +165,7 @@
             self._answer(job, answer)
         return _exchange_end_of(error)
 
-    async def _run(
+    async def _send_run(
         self, managed: ManagedTarget, start: _scheduler_types.StartExchange
     ) -> _scheduler_types.ExchangeEnd:
         job = start.jobs[0]
@@ -202,15 +204,15 @@
         site would quarantine every search tried at two of its targets.
         """
         self._metrics.add('target_errors', kind=error.kind.value)
-        lost_under = False
+        lost_during = False
         if error.kind is transport.LinkErrorKind.BROKEN and not error.ended:
             health = await managed.link.health(_PROBE_TIMEOUT_MS)
-            lost_under = isinstance(health, result.Failure)
+            lost_during = isinstance(health, result.Failure)
         unreachable = error.kind is transport.LinkErrorKind.UNREACHABLE
         managed.scheduler.health.on_failure(
-            unreachable or lost_under, self._clock.now_ms()
+            unreachable or lost_during, self._clock.now_ms()
         )
-        return lost_under
+        return lost_during
 
     def _sample(self, job: _scheduler_types.Job, started_ms: float) -> None:
         self._count += 1
--- a/samphiredock/coordination/targets/_observed_health.py
+++ b/samphiredock/coordination/targets/_observed_health.py
@@ -47,9 +47,9 @@
         self._failures = 0
         self._resume_at_ms = 0.0
         self._lost_at_ms = 0.0
-        self._item_ms: float | None = None
-        self._item_at_ms = 0.0
-        self._items_per_ms = 0.0
+        self._job_ms: float | None = None
+        self._job_ms_at = 0.0
+        self._jobs_per_ms = 0.0
         self._last_answer_at_ms: float | None = None
         self._machine: transitions.Machine | None = None
 
@@ -65,9 +65,9 @@
             )
         self.trigger(event)
 
-    def on_answer(self, items: int, busy_ms: float, now_ms: float) -> None:
-        """Record an exchange of ``items`` jobs that the target answered."""
-        self._measure(items, busy_ms, now_ms)
+    def on_answer(self, jobs: int, busy_ms: float, now_ms: float) -> None:
+        """Record that the target answered an exchange of some ``jobs``."""
+        self._measure(jobs, busy_ms, now_ms)
         if self.state == 'serving':
             return
         self._failures = 0
@@ -88,9 +88,9 @@
         self._resume_at_ms = now_ms + _SHED_PAUSE_MS
 
     def on_failure(self, lost: bool, now_ms: float) -> None:
-        """Record an exchange without an answer.
+        """Record a failed exchange.
 
-        ``lost``: a new connection to the target failed too.
+        ``lost`` says that a new connection to the target failed too.
         """
         self._good_answers = 0
         self._failures += 1
@@ -135,36 +135,36 @@
         """Whether the target is lost and its next trial is not due yet."""
         return self.state == 'lost' and now_ms < self._resume_at_ms
 
-    def expected_item_ms(self, now_ms: float) -> float:
+    def expected_job_ms(self, now_ms: float) -> float:
         """Return the median time of a job, 0.0 while it is not known.
 
         An old value is ignored: if it caused all jobs to be refused as too
         late, no answer would ever correct it.
         """
-        if self._item_ms is None or now_ms - self._item_at_ms > _STALE_MS:
+        if self._job_ms is None or now_ms - self._job_ms_at > _STALE_MS:
             return 0.0
-        return self._item_ms
+        return self._job_ms
 
-    def queue_wait_ms(self, items: int) -> float:
-        """Return the time in which the target works off ``items`` jobs."""
-        if not self._items_per_ms:
+    def queue_wait_ms(self, jobs: int) -> float:
+        """Return the time in which the target serves that many queued jobs."""
+        if not self._jobs_per_ms:
             return 100.0
-        return items / self._items_per_ms
+        return jobs / self._jobs_per_ms
 
-    def _measure(self, items: int, busy_ms: float, now_ms: float) -> None:
-        if not items:
+    def _measure(self, jobs: int, busy_ms: float, now_ms: float) -> None:
+        if not jobs:
             return
-        each_ms = busy_ms / items
-        if self._item_ms is None or now_ms - self._item_at_ms > _STALE_MS:
-            self._item_ms = each_ms
+        each_ms = busy_ms / jobs
+        if self._job_ms is None or now_ms - self._job_ms_at > _STALE_MS:
+            self._job_ms = each_ms
         # Fixed steps approximate the median: a mean would follow a single
         # straggler, and jobs would be refused that are not too late.
-        step_ms = max(self._item_ms * _MEDIAN_STEP, 0.01)
-        error_ms = each_ms - self._item_ms
-        self._item_ms += max(-step_ms, min(step_ms, error_ms))
-        self._item_at_ms = now_ms
+        step_ms = max(self._job_ms * _MEDIAN_STEP, 0.01)
+        error_ms = each_ms - self._job_ms
+        self._job_ms += max(-step_ms, min(step_ms, error_ms))
+        self._job_ms_at = now_ms
         if self._last_answer_at_ms is not None:
             since_ms = max(now_ms - self._last_answer_at_ms, 0.1)
-            rate = items / since_ms
-            self._items_per_ms += (rate - self._items_per_ms) * 0.1
+            rate = jobs / since_ms
+            self._jobs_per_ms += (rate - self._jobs_per_ms) * 0.1
         self._last_answer_at_ms = now_ms
--- a/samphiredock/coordination/targets/_replica_selector.py
+++ b/samphiredock/coordination/targets/_replica_selector.py
@@ -50,10 +50,10 @@
         An attempt that hangs gives no latency until it ends; without its
         age, more attempts would be sent after it.
         """
-        left = _decay(now_ms - self.measured_at_ms)
+        weight = _decay(now_ms - self.measured_at_ms)
         smoothed_ms = (
             _INITIAL_LATENCY_MS
-            + (self.latency_ms - _INITIAL_LATENCY_MS) * left
+            + (self.latency_ms - _INITIAL_LATENCY_MS) * weight
         )
         oldest_ms = now_ms - self.started_ms[0] if self.started_ms else 0.0
         return max(smoothed_ms, oldest_ms)
@@ -169,8 +169,8 @@
         load = self._load(target)
         now_ms = self._now_ms()
         latency_ms = load.expected_ms(now_ms) * load.factor
-        failures = 1.0 + _FAILURE_PENALTY * load.recent_failure_rate(now_ms)
-        return (len(load.started_ms) + 1) * latency_ms * failures
+        penalty = 1.0 + _FAILURE_PENALTY * load.recent_failure_rate(now_ms)
+        return (len(load.started_ms) + 1) * latency_ms * penalty
 
     def record_sent(self, target: str) -> None:
         """Record that an attempt was sent to a target."""
--- a/samphiredock/coordination/targets/_scheduler.py
+++ b/samphiredock/coordination/targets/_scheduler.py
@@ -17,7 +17,8 @@
 from samphiredock import state
 
 _DEADLINE_SLACK_MS = 25.0
-"""The target counts its deadline from when the request arrives there."""
+"""Added to the hold of a slot, since the target counts its deadline from when
+the request arrives there."""
 
 _MIN_RETRY_AFTER_MS = 10
 _MAX_RETRY_AFTER_MS = 5_000
@@ -37,7 +38,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Foreign:
+class _ForeignSlots:
     """Slots that exchanges of the previous owner may still take.
 
     Until ``until_ms``, ``own_limit`` bounds this daemon's exchanges; None
@@ -86,7 +87,7 @@
         self._tickets = itertools.count(1)
         self._busy: dict[int, _Exchange] = {}
         self._held_slots: dict[int, float] = {}
-        self._foreign = _Foreign()
+        self._foreign = _ForeignSlots()
         self._earliest_expiry_ms = math.inf
         self._window_ends_ms = 0.0
         self._leaving = False
@@ -170,10 +171,10 @@
             # The target may go on working until the deadline there.
             self._held_slots[ticket] = until_ms
         busy_ms = now_ms - exchange.started_ms
-        part_ms = busy_ms / max(1, len(exchange.jobs))
+        busy_per_job_ms = busy_ms / max(1, len(exchange.jobs))
         flows = collections.Counter([job.flow for job in exchange.jobs])
         for flow, count in flows.items():
-            self._queue.charge(flow, part_ms * count, now_ms)
+            self._queue.charge(flow, busy_per_job_ms * count, now_ms)
         if exchange_end is _scheduler_types.ExchangeEnd.ANSWERED:
             self.health.on_answer(len(exchange.jobs), busy_ms, now_ms)
         return self.pump(now_ms)
@@ -236,7 +237,7 @@
         own_limit
             The most exchanges of this daemon until then; None for no limit.
         """
-        self._foreign = _Foreign(slots, until_ms, own_limit)
+        self._foreign = _ForeignSlots(slots, until_ms, own_limit)
 
     def observe_running(self, running: int) -> None:
         """Lower the foreign slots to the number of exchanges at the target.
@@ -380,21 +381,21 @@
         through a batch in order and answers it as a whole, so a job that
         would make any job of the batch late is left for the next batch.
         """
-        most = min(self._limits.batch_items, -(-len(self._queue) // idle))
-        item_ms = self.health.expected_item_ms(now_ms)
+        max_jobs = min(self._limits.batch_items, -(-len(self._queue) // idle))
+        job_ms = self.health.expected_job_ms(now_ms)
         jobs: list[_scheduler_types.Job] = []
         min_left_ms = math.inf
-        while len(jobs) < most:
+        while len(jobs) < max_jobs:
             job = self._queue.head(now_ms)
             if job is None:
                 break
-            status = self._unfit_status(job, item_ms, now_ms)
+            status = self._unfit_status(job, job_ms, now_ms)
             if status is not None:
                 self._queue.take(job)
                 effects.append(self._refuse(job, status))
                 continue
             left_ms = min(min_left_ms, job.expires_at_ms - now_ms)
-            if jobs and (job.is_alone or (len(jobs) + 1) * item_ms > left_ms):
+            if jobs and (job.is_alone or (len(jobs) + 1) * job_ms > left_ms):
                 break
             self._queue.take(job)
             jobs.append(job)
@@ -404,9 +405,9 @@
         return tuple(jobs)
 
     def _unfit_status(
-        self, job: _scheduler_types.Job, item_ms: float, now_ms: float
+        self, job: _scheduler_types.Job, job_ms: float, now_ms: float
     ) -> protocol.SubStatus | None:
-        if job.expires_at_ms <= now_ms + item_ms:
+        if job.expires_at_ms <= now_ms + job_ms:
             return protocol.SubStatus.EXPIRED
         if self._is_quarantined(job.request.fingerprint):
             return protocol.SubStatus.QUARANTINED
--- a/samphiredock/coordination/targets/_shares.py
+++ b/samphiredock/coordination/targets/_shares.py
@@ -209,7 +209,7 @@
     def victim(
         self, newcomer: QueueItem, expires_before_ms: float
     ) -> typing.Any | None:
-        """Return the item to drop for ``newcomer``, None for ``newcomer``.
+        """Return the item to drop for ``newcomer``, None to refuse that.
 
         It is taken from the flow that is most beyond its guaranteed part of
         the limit, so that a flooding site displaces only its own items.
--- a/tests/unit/test_observed_health.py
+++ b/tests/unit/test_observed_health.py
@@ -66,10 +66,10 @@
     def test_one_straggler_does_not_move_the_median_much(self) -> None:
         self._answer(20)
         self.health.on_answer(1, 500.0, 0.0)
-        self.assertLess(self.health.expected_item_ms(0.0), 5.5)
+        self.assertLess(self.health.expected_job_ms(0.0), 5.5)
 
     def test_old_service_time_is_forgotten(self) -> None:
         """Otherwise one slow answer could cause all jobs to be refused."""
         self.health.on_answer(1, 900.0, 0.0)
-        self.assertEqual(900.0, self.health.expected_item_ms(1_000.0))
-        self.assertEqual(0.0, self.health.expected_item_ms(1_001.0))
+        self.assertEqual(900.0, self.health.expected_job_ms(1_000.0))
+        self.assertEqual(0.0, self.health.expected_job_ms(1_001.0))
