--- a/samphiredock/coordination/fleet/_membership.py
+++ b/samphiredock/coordination/fleet/_membership.py
@@ -99,7 +99,7 @@
         self._listed: list[protocol.MemberRow] = []
         self._revisions: dict[str, int] = {}
         self._reported_members: dict[str, state.Member] = {}
-        self._seen_version = -1
+        self._reported_version = -1
         self._change_callbacks: list[_ChangeCallback] = []
         self._versions_callbacks: list[_VersionsCallback] = []
         self._joined = False
@@ -268,11 +268,11 @@
     def _execute(self, effects: list[_gossip_state.GossipEffect]) -> None:
         for effect in effects:
             _EFFECTS[type(effect)](self, effect)
-        if self._gossip.table.version != self._seen_version:
+        if self._gossip.table.version != self._reported_version:
             self._report_change()
 
     def _report_change(self) -> None:
-        self._seen_version = self._gossip.table.version
+        self._reported_version = self._gossip.table.version
         now = {member.name: member for member in self.live()}
         before, self._reported_members = self._reported_members, now
         joined = tuple(
--- a/samphiredock/coordination/fleet/_relay.py
+++ b/samphiredock/coordination/fleet/_relay.py
@@ -131,7 +131,7 @@
         envelope = protocol.Envelope(
             message_id, self._me.name, _MAX_HOPS, kind, body
         )
-        self._remember(message_id)
+        self._record_if_new(message_id)
         sites = collections.defaultdict(list)
         for member in others:
             sites[member.site].append(member.name)
@@ -139,7 +139,7 @@
             for name in relay_order(names, message_id)[:1]:
                 self._peers.send(name, envelope)
 
-    def _remember(self, message_id: str) -> bool:
+    def _record_if_new(self, message_id: str) -> bool:
         if message_id in self._seen_ids:
             return False
         self._seen_ids[message_id] = None
@@ -148,7 +148,7 @@
         return True
 
     def _on_envelope(self, sender: str, envelope: protocol.Envelope) -> None:
-        if not self._remember(envelope.message_id):
+        if not self._record_if_new(envelope.message_id):
             self._metrics.add('relayed_repeats')
             return
         message = self._codec.decode(envelope.kind, envelope.body)
--- a/tests/failure/test_shares.py
+++ b/tests/failure/test_shares.py
@@ -14,7 +14,7 @@
 _SHARES = _shares.Shares(_SITES, {}, {'svc': 1.0}, {})
 
 
-class _Run:
+class _Simulation:
     """A target of two slots, 10 ms for a batch of two, on a manual clock.
 
     Its capacity is 400 items a second.
@@ -43,7 +43,7 @@
                 for job in jobs:
                     self.served[job.request.site] += 1
                 exchange_end = _scheduler_types.ExchangeEnd.ANSWERED
-                self._take(
+                self._execute(
                     self._scheduler.end_exchange(ticket, exchange_end, now_ms),
                     now_ms,
                 )
@@ -52,17 +52,17 @@
                 while owed[site] >= 1.0:
                     owed[site] -= 1.0
                     self._submit(site, now_ms)
-            self._take(self._scheduler.pump(now_ms), now_ms)
+            self._execute(self._scheduler.pump(now_ms), now_ms)
 
     def _submit(self, site: str, now_ms: int) -> None:
         self._numbers += 1
         job = dispatching.job(f'{self._numbers}', now_ms + 2_000.0, site=site)
         if not self._by_site:
-            one_line = _shares.Flow('svc', 'all')
-            job = dataclasses.replace(job, flow=one_line)
-        self._take(self._scheduler.submit(job, now_ms), now_ms)
+            one_flow = _shares.Flow('svc', 'all')
+            job = dataclasses.replace(job, flow=one_flow)
+        self._execute(self._scheduler.submit(job, now_ms), now_ms)
 
-    def _take(
+    def _execute(
         self, effects: list[_scheduler_types.Effect], now_ms: int
     ) -> None:
         for effect in effects:
@@ -81,24 +81,24 @@
 
         Nothing of b and c is shed, and a gets the rest of the capacity.
         """
-        run = _Run()
-        run.offer(0, 5_000, {'a': 4.0, 'b': 0.06, 'c': 0.06})
-        self.assertEqual(0, run.shed['b'] + run.shed['c'])
+        simulation = _Simulation()
+        simulation.offer(0, 5_000, {'a': 4.0, 'b': 0.06, 'c': 0.06})
+        self.assertEqual(0, simulation.shed['b'] + simulation.shed['c'])
         for site in 'bc':
-            self.assertGreaterEqual(run.served[site], 290)
-        self.assertGreaterEqual(run.served['a'], 1_300)
+            self.assertGreaterEqual(simulation.served[site], 290)
+        self.assertGreaterEqual(simulation.served['a'], 1_300)
 
     def test_unused_share_is_returned_at_once(self) -> None:
         """Site a uses the whole target while alone; then b and c send too.
 
         Within the next second each site is served at its share.
         """
-        run = _Run()
-        run.offer(0, 2_000, {'a': 4.0})
-        self.assertGreaterEqual(run.served['a'], 780)
-        before = dict(run.served)
-        run.offer(2_000, 3_000, {'a': 4.0, 'b': 4.0, 'c': 4.0})
-        got = {site: run.served[site] - before[site] for site in _SITES}
+        simulation = _Simulation()
+        simulation.offer(0, 2_000, {'a': 4.0})
+        self.assertGreaterEqual(simulation.served['a'], 780)
+        before = dict(simulation.served)
+        simulation.offer(2_000, 3_000, {'a': 4.0, 'b': 4.0, 'c': 4.0})
+        got = {site: simulation.served[site] - before[site] for site in _SITES}
         for site, share in _SITES.items():
             self.assertAlmostEqual(share * 400, got[site], delta=16)
 
@@ -107,6 +107,6 @@
 
         Together they need less than a third of the capacity.
         """
-        run = _Run(by_site=False)
-        run.offer(0, 5_000, {'a': 4.0, 'b': 0.06, 'c': 0.06})
-        self.assertGreater(run.shed['b'] + run.shed['c'], 300)
+        simulation = _Simulation(by_site=False)
+        simulation.offer(0, 5_000, {'a': 4.0, 'b': 0.06, 'c': 0.06})
+        self.assertGreater(simulation.shed['b'] + simulation.shed['c'], 300)
--- a/tests/unit/test_ownership.py
+++ b/tests/unit/test_ownership.py
@@ -22,10 +22,10 @@
 class _CountedMembers(tuple):
     """Live members that count how often they are iterated over."""
 
-    walks = 0
+    iterations = 0
 
     def __iter__(self) -> typing.Iterator[state.Member]:
-        self.walks += 1
+        self.iterations += 1
         return super().__iter__()
 
 
@@ -69,15 +69,15 @@
         """Most targets of the other daemons keep their owner."""
         members = [_member(f'd{number}') for number in range(8)]
         before = self._owners(*members)
-        for gone in members:
-            rest = [row for row in members if row is not gone]
+        for leaver in members:
+            rest = [row for row in members if row is not leaver]
             after = self._owners(*reversed(rest))
             moved = {name for name in before if before[name] != after[name]}
-            own = {name for name in before if before[name] == gone.name}
+            own = {name for name in before if before[name] == leaver.name}
             self.assertLessEqual(own, moved)
             self.assertLessEqual(len(moved - own), 8)
 
-    def test_no_daemon_owns_more_than_its_even_part(self) -> None:
+    def test_no_daemon_owns_more_than_its_even_share(self) -> None:
         """Groups are spread evenly, in all and by index.
 
         With hashing alone one daemon may get several times the mean load.
@@ -157,11 +157,11 @@
         """Iterating over many members at each check would be slow."""
         self.live = _CountedMembers([_member('d1')])
         self.table.refresh()
-        walks = self.live.walks
+        iterations = self.live.iterations
         for _ in range(50):
             self.clock.advance(20.0)
             self.assertEqual('d1', self.table.owner('t1'))
-        self.assertEqual(walks, self.live.walks)
+        self.assertEqual(iterations, self.live.iterations)
         self._set_live(self.other)
         self.assertEqual(self.other, self.table.owner('t1'))
 
--- a/tests/unit/test_replica_selector.py
+++ b/tests/unit/test_replica_selector.py
@@ -87,7 +87,7 @@
         self.assertGreater(self._share_of('near', 'near', 'far'), 0.9)
 
     def test_near_target_is_always_one_of_the_two_drawn(self) -> None:
-        """Two of three drawn at random would leave it out a third of times."""
+        """A third of the pairs drawn from three would not include it."""
         for name in ('far-2', 'far-3'):
             self.replicas.record_latency(name, 15.0)
         replicas = coordination.ReplicaSelector(
