--- a/samphiredock/coordination/config/_accept.py
+++ b/samphiredock/coordination/config/_accept.py
@@ -22,46 +22,46 @@
 
 RECENT_CHANGES = 200
 _ATTEMPTS = 5
-_PAUSE_MS = 100.0
+_RETRY_DELAY_MS = 100.0
 _RETRY_AFTER_MS = 1_000
 
 _SOURCE = msgspec.json.Decoder(state.ConfigurationSource)
 _log = logs.logger('accept')
 
 
-class Standing(enum.Enum):
+class ChangeStatus(enum.Enum):
     """Where a change stands against the stored object."""
 
-    OPEN = 'open'
+    APPLICABLE = 'applicable'
     ACCEPTED = 'accepted'
-    BEATEN = 'beaten'
-    FORGOTTEN = 'forgotten'
-    BEHIND = 'behind'
+    CONFLICT = 'conflict'
+    NOT_LISTED = 'not-listed'
+    STALE_READ = 'stale-read'
 
 
-def standing_of(
+def status_of(
     change: protocol.ConfigurationChange,
     revision: int,
     recent: list[protocol.ChangeSummary],
-) -> Standing:
+) -> ChangeStatus:
     """Tell where ``change`` stands when ``revision`` is the newest known.
 
-    ``BEHIND`` means that what was read is older than the change's base:
-    a stale read, which proves nothing.  ``FORGOTTEN`` means that the row
+    ``STALE_READ`` means that what was read is older than the change's base:
+    a stale read, which proves nothing.  ``NOT_LISTED`` means that the row
     that would tell is no longer listed.
     """
     if change.base_revision > revision:
-        return Standing.BEHIND
+        return ChangeStatus.STALE_READ
     if change.base_revision == revision:
-        return Standing.OPEN
+        return ChangeStatus.APPLICABLE
     for row in recent:
         if row.revision == change.base_revision + 1:
-            mine = row.change_id == change.change_id
-            return Standing.ACCEPTED if mine else Standing.BEATEN
-    return Standing.FORGOTTEN
+            is_own = row.change_id == change.change_id
+            return ChangeStatus.ACCEPTED if is_own else ChangeStatus.CONFLICT
+    return ChangeStatus.NOT_LISTED
 
 
-def _recent_of(
+def _recent_changes(
     source: state.ConfigurationSource,
 ) -> list[protocol.ChangeSummary]:
     rows = list(source.recent)
@@ -103,7 +103,7 @@
         self._metrics = counters
         # Changes whose write may have taken effect: a later call for the
         # same change must not be told that nothing was changed.
-        self._unsure: set[str] = set()
+        self._possibly_written: set[str] = set()
 
     async def apply(
         self, change: protocol.ConfigurationChange
@@ -114,7 +114,7 @@
         if isinstance(compiled, result.Failure):
             problems = [str(row) for row in compiled.failure()]
             return protocol.ChangeInvalid(problems)
-        outcome = await self._try(change)
+        outcome = await self._apply_with_retries(change)
         self._metrics.add(
             'configuration_changes', outcome=type(outcome).__name__
         )
@@ -128,31 +128,31 @@
     async def history(self) -> list[protocol.ChangeSummary]:
         """Return the last changes, newest first, from store or memory."""
         found = await self._read()
-        held = self._current_state.source
-        rows = [source for source in (found.value_or(None), held) if source]
+        local = self._current_state.source
+        rows = [source for source in (found.value_or(None), local) if source]
         if not rows:
             return []
         newest = max(rows, key=lambda source: source.revision)
-        return list(reversed(_recent_of(newest)))
+        return list(reversed(_recent_changes(newest)))
 
-    async def _try(
+    async def _apply_with_retries(
         self, change: protocol.ConfigurationChange
     ) -> protocol.ChangeOutcome:
         detail = ''
         for attempt in range(_ATTEMPTS):
             if attempt:
-                await _pause.pause(self._clock, _PAUSE_MS)
-            step = await self._attempt(change)
-            if not isinstance(step, str):
-                return step
-            detail = step
+                await _pause.pause(self._clock, _RETRY_DELAY_MS)
+            outcome = await self._attempt(change)
+            if not isinstance(outcome, str):
+                return outcome
+            detail = outcome
         return self.abandoned_outcome(change, detail)
 
     def abandoned_outcome(
         self, change: protocol.ConfigurationChange, detail: str
     ) -> protocol.ChangeOutcome:
         """Return what is true of a change that is not tried any more."""
-        if change.repeated or change.change_id in self._unsure:
+        if change.repeated or change.change_id in self._possibly_written:
             return protocol.ChangeUnknown(detail, _RETRY_AFTER_MS)
         return protocol.ChangeUnavailable(detail, _RETRY_AFTER_MS)
 
@@ -174,11 +174,11 @@
             return f'read: {found.failure().detail}'
         newest = self._newest(stored)
         revision = newest.revision if newest else 0
-        recent = _recent_of(newest) if newest else []
-        standing = standing_of(change, revision, recent)
-        if standing is Standing.OPEN:
+        recent = _recent_changes(newest) if newest else []
+        status = status_of(change, revision, recent)
+        if status is ChangeStatus.APPLICABLE:
             return await self._write(change, version, recent)
-        return self._judge(change, standing, newest)
+        return self._outcome_of(change, status, newest)
 
     def _newest(
         self, stored: state.ConfigurationSource | None
@@ -186,26 +186,26 @@
         # A store restored from a backup shows an older revision than is in
         # force.  Numbering on from it would give two changes one number,
         # and daemons would ignore the second for ever.
-        held = self._current_state.source
-        rows = [source for source in (stored, held) if source]
+        local = self._current_state.source
+        rows = [source for source in (stored, local) if source]
         return max(rows, key=lambda row: row.revision, default=None)
 
-    def _judge(
+    def _outcome_of(
         self,
         change: protocol.ConfigurationChange,
-        standing: Standing,
+        status: ChangeStatus,
         newest: state.ConfigurationSource | None,
     ) -> protocol.ChangeOutcome | str:
-        if standing is Standing.ACCEPTED:
+        if status is ChangeStatus.ACCEPTED:
             self._current_state.offer_source(newest)
             return protocol.ChangeAccepted(change.base_revision + 1)
-        if standing is Standing.BEATEN:
+        if status is ChangeStatus.CONFLICT:
             return protocol.ChangeConflict(newest.revision, newest.author)
-        if standing is Standing.FORGOTTEN:
+        if status is ChangeStatus.NOT_LISTED:
             return protocol.ChangeUnknown(
                 f'revision {change.base_revision + 1} is no longer listed', 0
             )
-        self._unsure.add(change.change_id)
+        self._possibly_written.add(change.change_id)
         revision = newest.revision if newest else 0
         return (
             f'the store shows revision {revision}, expected at least '
@@ -221,18 +221,21 @@
         source = self._draft(change, recent)
         value = msgspec.json.encode(source)
         # A daemon that stops may give the call up while the write is out.
-        was_unsure = change.change_id in self._unsure
-        self._unsure.add(change.change_id)
+        was_possibly_written = change.change_id in self._possibly_written
+        self._possibly_written.add(change.change_id)
         put = await self._platform.put(
             _current_state.CONFIGURATION_KEY, value, version
         )
         if isinstance(put, result.Success):
-            self._unsure.discard(change.change_id)
+            self._possibly_written.discard(change.change_id)
             self._current_state.offer_source(source, value)
             return protocol.ChangeAccepted(source.revision)
         error = put.failure()
-        if error.kind is not transport.StoreErrorKind.LOST and not was_unsure:
-            self._unsure.discard(change.change_id)
+        if (
+            error.kind is not transport.StoreErrorKind.LOST
+            and not was_possibly_written
+        ):
+            self._possibly_written.discard(change.change_id)
         if error.kind is transport.StoreErrorKind.REFUSED:
             return protocol.ChangeInvalid([error.detail])
         # After a lost answer, writing again under the same expected version
@@ -253,7 +256,7 @@
             change.overlays,
             recent,
         )
-        return msgspec.structs.replace(source, recent=_recent_of(source))
+        return msgspec.structs.replace(source, recent=_recent_changes(source))
 
     async def _read(
         self,
--- a/samphiredock/coordination/config/_current_state.py
+++ b/samphiredock/coordination/config/_current_state.py
@@ -34,11 +34,11 @@
         self.source: state.ConfigurationSource | None = None
         self.snapshot: state.Snapshot | None = None
         self._values: dict[str, bytes] = {}
-        self._oldest_seen = 0
+        self._lowest_reported = 0
         self._subscribers: list[
             typing.Callable[[state.Configuration], None]
         ] = []
-        self._adopted: list[typing.Callable[[str, int], None]] = []
+        self._adopted_callbacks: list[typing.Callable[[str, int], None]] = []
 
     @property
     def revision(self) -> int:
@@ -73,7 +73,7 @@
 
     def on_adopted(self, callback: typing.Callable[[str, int], None]) -> None:
         """Call back with key and version when a newer object is taken."""
-        self._adopted.append(callback)
+        self._adopted_callbacks.append(callback)
 
     def offer(self, key: str, value: bytes) -> bool:
         """Take an object's bytes if it is newer and sound."""
@@ -92,7 +92,7 @@
     ) -> bool:
         """Apply a configuration if it is newer and sound."""
         if source.revision <= self.revision:
-            self._note_older(source.revision)
+            self._report_older(source.revision)
             return False
         compiled = state.compile_source(source)
         if isinstance(compiled, result.Failure):
@@ -105,9 +105,9 @@
             return False
         self.configuration = compiled.unwrap()
         self.source = source
-        self._oldest_seen = source.revision
+        self._lowest_reported = source.revision
         _log.notice('configuration in force', revision=source.revision)
-        self._keep(CONFIGURATION_KEY, source.revision, source, value)
+        self._store_value(CONFIGURATION_KEY, source.revision, source, value)
         for callback in self._subscribers:
             callback(self.configuration)
         return True
@@ -120,10 +120,10 @@
             return False
         self.snapshot = snapshot
         _log.notice('snapshot published', snapshot_id=snapshot.snapshot_id)
-        self._keep(SNAPSHOT_KEY, snapshot.snapshot_id, snapshot, value)
+        self._store_value(SNAPSHOT_KEY, snapshot.snapshot_id, snapshot, value)
         return True
 
-    def _keep(
+    def _store_value(
         self,
         key: str,
         version: int,
@@ -133,17 +133,17 @@
         if value is None:
             value = msgspec.json.encode(decoded)
         self._values[key] = value
-        for callback in self._adopted:
+        for callback in self._adopted_callbacks:
             callback(key, version)
 
-    def _note_older(self, revision: int) -> None:
+    def _report_older(self, revision: int) -> None:
         if revision == self.revision:
             return
         self._metrics.add('configuration_older_seen')
-        if revision < self._oldest_seen:
+        if revision < self._lowest_reported:
             # A store restored from a backup shows it again at each poll:
             # one line for each lower revision is enough.
-            self._oldest_seen = revision
+            self._lowest_reported = revision
             _log.warn(
                 'older configuration seen and not applied',
                 revision=revision,
--- a/samphiredock/coordination/config/_distribution.py
+++ b/samphiredock/coordination/config/_distribution.py
@@ -61,9 +61,11 @@
         self.exchange = _exchange.ObjectExchange(
             name, current_state, peers, membership.broadcast, clock, counters
         )
-        membership.on_peer_versions(self.exchange.on_peer_holds)
+        membership.on_peer_versions(self.exchange.on_peer_versions)
         watcher.watch_only_while(
-            self.is_watcher, lambda: len(membership.live()), self._share
+            self.is_watcher,
+            lambda: len(membership.live()),
+            self._relay_to_site,
         )
         watcher.on_first_read(membership.on_store_read)
         peers.subscribe(protocol.ObjectChanged, self._on_object)
@@ -74,12 +76,12 @@
 
     def is_watcher(self) -> bool:
         """Whether this daemon reads the platform for its site."""
-        chosen = _membership.watchers_of(
+        watchers = _membership.watchers_of(
             self._membership.live(), self._site, WATCHERS_PER_SITE
         )
-        return self._name in chosen or not chosen
+        return self._name in watchers or not watchers
 
-    def _share(self, stored: transport.StoredObject) -> None:
+    def _relay_to_site(self, stored: transport.StoredObject) -> None:
         if stored.key in (
             _current_state.CONFIGURATION_KEY,
             _current_state.SNAPSHOT_KEY,
@@ -104,4 +106,4 @@
         stored = transport.StoredObject(
             changed.key, changed.version, changed.value
         )
-        self._watcher.take(stored)
+        self._watcher.deliver(stored)
--- a/samphiredock/coordination/config/_exchange.py
+++ b/samphiredock/coordination/config/_exchange.py
@@ -2,7 +2,7 @@
 
 A notice of a version goes to all; whoever lacks it asks the sender of the
 notice, so that a large object crosses to each daemon once.  A peer that is
-asked before it has the object answers when it gets it.  Versions told with
+requested before it has the object answers when it gets it.  Versions told with
 the probes make the same notice: a daemon that missed one asks the next
 peer it speaks with, also while the store is down.
 """
@@ -15,8 +15,8 @@
 from samphiredock import protocol
 from samphiredock import timers
 
-_ASK_AGAIN_MS = 600.0
-_WAITING_LIMIT = 1_000
+_REQUEST_RETRY_MS = 600.0
+_WAITING_PEERS_LIMIT = 1_000
 
 
 class ObjectExchange:
@@ -51,9 +51,9 @@
         self._broadcast = broadcast
         self._clock = clock
         self._metrics = counters
-        self._asked: dict[str, tuple[int, float]] = {}
-        self._waiting: dict[str, dict[str, int]] = {}
-        self._refused: dict[str, int] = {}
+        self._requested: dict[str, tuple[int, float]] = {}
+        self._waiting_peers: dict[str, dict[str, int]] = {}
+        self._unreadable: dict[str, int] = {}
         self._origins: dict[tuple[str, int], str] = {}
         current_state.on_adopted(self._on_adopted)
         peers.subscribe(protocol.ObjectVersion, self._on_notice)
@@ -67,42 +67,42 @@
             notice = protocol.ObjectVersion(key, version, self._name)
             self._broadcast(notice, site)
 
-    def on_peer_holds(
+    def on_peer_versions(
         self, member: str, versions: protocol.HeldVersions
     ) -> None:
         """Ask a peer that holds something newer."""
         keys = _current_state.CONFIGURATION_KEY, _current_state.SNAPSHOT_KEY
         held = versions.revision, versions.snapshot_id
         for key, version in zip(keys, held):
-            self._ask(member, key, version)
+            self._request(member, key, version)
 
-    def _ask(self, member: str, key: str, version: int) -> None:
+    def _request(self, member: str, key: str, version: int) -> None:
         known = self._current_state.version(key)
-        if version <= max(known, self._refused.get(key, 0)):
+        if version <= max(known, self._unreadable.get(key, 0)):
             return
-        asked, at_ms = self._asked.get(key, (0, 0.0))
+        requested, at_ms = self._requested.get(key, (0, 0.0))
         now_ms = self._clock.now_ms()
-        if asked >= version and now_ms - at_ms < _ASK_AGAIN_MS:
+        if requested >= version and now_ms - at_ms < _REQUEST_RETRY_MS:
             return
-        self._asked[key] = version, now_ms
+        self._requested[key] = version, now_ms
         self._peers.send(member, protocol.ObjectAsk(key, version))
 
     def _on_notice(self, sender: str, notice: protocol.ObjectVersion) -> None:
         if notice.version <= self._current_state.version(notice.key):
-            self._confirm(notice.key, notice.version, notice.origin)
+            self._confirm_revision(notice.key, notice.version, notice.origin)
             return
         self._origins[notice.key, notice.version] = notice.origin
-        self._ask(sender, notice.key, notice.version)
+        self._request(sender, notice.key, notice.version)
 
     def _on_ask(self, sender: str, ask: protocol.ObjectAsk) -> None:
         if self._current_state.version(ask.key) >= ask.version:
-            self._give(sender, ask.key)
+            self._send_object(sender, ask.key)
             return
-        waiting = self._waiting.setdefault(ask.key, {})
-        if len(waiting) < _WAITING_LIMIT:
+        waiting = self._waiting_peers.setdefault(ask.key, {})
+        if len(waiting) < _WAITING_PEERS_LIMIT:
             waiting[sender] = ask.version
 
-    def _give(self, member: str, key: str) -> None:
+    def _send_object(self, member: str, key: str) -> None:
         value = self._current_state.value(key)
         version = self._current_state.version(key)
         self._metrics.add('objects_given', key=key)
@@ -117,20 +117,20 @@
             self._current_state.offer(changed.key, changed.value)
             if self._current_state.version(changed.key) < changed.version:
                 # It can't be read here; asking again would not help.
-                self._refused[changed.key] = changed.version
+                self._unreadable[changed.key] = changed.version
 
     def _on_adopted(self, key: str, version: int) -> None:
-        waiting = self._waiting.pop(key, {})
+        waiting = self._waiting_peers.pop(key, {})
         for member, wanted in waiting.items():
             if wanted <= version:
-                self._give(member, key)
+                self._send_object(member, key)
             else:
-                self._waiting.setdefault(key, {})[member] = wanted
+                self._waiting_peers.setdefault(key, {})[member] = wanted
         for known, told in list(self._origins):
             if known == key and told <= version:
                 origin = self._origins.pop((known, told))
-                self._confirm(key, told, origin)
+                self._confirm_revision(key, told, origin)
 
-    def _confirm(self, key: str, version: int, origin: str) -> None:
+    def _confirm_revision(self, key: str, version: int, origin: str) -> None:
         if key == _current_state.CONFIGURATION_KEY and origin != self._name:
             self._peers.send(origin, protocol.RevisionHeld(version))
--- a/samphiredock/coordination/config/_snapshot_validator.py
+++ b/samphiredock/coordination/config/_snapshot_validator.py
@@ -17,31 +17,38 @@
 
     def __init__(self, counters: metrics.Metrics) -> None:
         self._metrics = counters
-        self._held: state.Snapshot | None = None
-        self._looked_at: tuple[
+        self._valid: state.Snapshot | None = None
+        self._last_checked: tuple[
             state.Snapshot | None, state.Configuration | None
         ] = (None, None)
 
     def current(
         self,
-        offered: state.Snapshot | None,
+        published: state.Snapshot | None,
         configuration: state.Configuration | None,
     ) -> state.Snapshot | None:
         """Return the newest sound snapshot, given the newest published."""
-        seen, under = self._looked_at
-        if offered is seen and configuration is under:
-            return self._held
-        self._looked_at = (offered, configuration)
-        if offered is None or configuration is None or offered is self._held:
-            return self._held
-        problems = state.check_snapshot(offered, configuration.targets)
+        checked_snapshot, checked_configuration = self._last_checked
+        if (
+            published is checked_snapshot
+            and configuration is checked_configuration
+        ):
+            return self._valid
+        self._last_checked = (published, configuration)
+        if (
+            published is None
+            or configuration is None
+            or published is self._valid
+        ):
+            return self._valid
+        problems = state.check_snapshot(published, configuration.targets)
         if not problems:
-            self._held = offered
-            return self._held
+            self._valid = published
+            return self._valid
         self._metrics.add('snapshots_refused')
         _log.error(
             'snapshot refused',
-            snapshot_id=offered.snapshot_id,
+            snapshot_id=published.snapshot_id,
             problems=problems[:5],
         )
-        return self._held
+        return self._valid
--- a/samphiredock/coordination/config/_watcher.py
+++ b/samphiredock/coordination/config/_watcher.py
@@ -17,8 +17,8 @@
 from samphiredock import transport
 
 _WATCH_MS = 30_000
-_PAUSE_MS = 200.0
-_LONGEST_PAUSE_MS = 400.0
+_RETRY_DELAY_MS = 200.0
+_RETRY_DELAY_LIMIT_MS = 400.0
 """Between calls while the store does not answer: the first pause, then twice
 that.  60 daemons that start without the store made 1,100 calls in 6 s at the
 first pause alone (one played day).  A longer one would save more, and keep the
@@ -26,7 +26,7 @@
 
 _POLL_MS = 20_000.0
 _CHECK_MS = 500.0
-_SIZE_OF_POLL = 8
+_POLL_BASE_DAEMONS = 8
 
 ObjectHandler = typing.Callable[[transport.StoredObject], None]
 PageHandler = typing.Callable[[transport.WatchPage], None]
@@ -63,9 +63,9 @@
         self._page_handlers: dict[str, PageHandler] = {}
         self._on_outage: list[typing.Callable[[], None]] = []
         self._failing: set[str] = set()
-        self._followed_ms: dict[str, float] = {}
-        self._heard_ms: dict[str, float] = {}
-        self._polled_ms: dict[str, float] = {}
+        self._last_watch_sent_ms: dict[str, float] = {}
+        self._last_answer_ms: dict[str, float] = {}
+        self._last_stale_poll_ms: dict[str, float] = {}
         self._stale_period_ms: typing.Callable[[str], float | None] | None = (
             None
         )
@@ -74,11 +74,11 @@
         self._metrics = counters
         self._handlers: dict[str, ObjectHandler] = {}
         self._tasks: list[asyncio.Task] = []
-        self._unread: set[str] = set()
+        self._unread_prefixes: set[str] = set()
         self._on_first_read: list[typing.Callable[[], None]] = []
         self._is_watcher: typing.Callable[[], bool] = lambda: True
-        self._size: typing.Callable[[], int] = lambda: 1
-        self._share: ObjectHandler = lambda stored: None
+        self._daemon_count: typing.Callable[[], int] = lambda: 1
+        self._relay: ObjectHandler = lambda stored: None
 
     def follow(self, prefix: str, handler: ObjectHandler) -> None:
         """Call ``handler`` with each object below ``prefix`` that changes.
@@ -100,7 +100,7 @@
     def poll_stale(
         self, period_ms: typing.Callable[[str], float | None]
     ) -> None:
-        """Read by polls that may be stale while not watching.
+        """Read by polls that may be stale while not is_watching.
 
         ``period_ms`` gives the time between polls of a prefix, None for
         none.  For parts that need to know roughly only.
@@ -109,17 +109,19 @@
 
     async def _poll_stale(self, prefix: str) -> None:
         period_ms = self._stale_period_ms(prefix)
-        waited_ms = self._clock.now_ms() - self._polled_ms.get(prefix, -1e12)
+        waited_ms = self._clock.now_ms() - self._last_stale_poll_ms.get(
+            prefix, -1e12
+        )
         if period_ms is None or waited_ms < period_ms:
             await _pause.pause(self._clock, _CHECK_MS)
             return
-        self._polled_ms[prefix] = self._clock.now_ms()
+        self._last_stale_poll_ms[prefix] = self._clock.now_ms()
         reply = await self._platform.scan(prefix, may_be_stale=True)
-        self._note_read(prefix)
+        self._on_read(prefix)
         if isinstance(reply, result.Failure):
-            self._note_failure(prefix, reply.failure())
+            self._on_failure(prefix, reply.failure())
             return
-        self._note_success(prefix, None)
+        self._on_success(prefix, None)
         page = transport.WatchPage(reply.unwrap(), (), 0, whole=True)
         self._page_handlers[prefix](page)
 
@@ -130,7 +132,7 @@
         """
         prefixes = [*self._handlers, *self._page_handlers]
         return all(
-            self._followed_ms.get(prefix, -1.0) >= since_ms
+            self._last_watch_sent_ms.get(prefix, -1.0) >= since_ms
             for prefix in prefixes
         )
 
@@ -139,7 +141,8 @@
         since_ms = self._clock.now_ms() - span_ms
         prefixes = [*self._handlers, *self._page_handlers]
         return all(
-            self._heard_ms.get(prefix, -1.0) >= since_ms for prefix in prefixes
+            self._last_answer_ms.get(prefix, -1.0) >= since_ms
+            for prefix in prefixes
         )
 
     def on_outage(self, callback: typing.Callable[[], None]) -> None:
@@ -149,19 +152,19 @@
     def watch_only_while(
         self,
         is_watcher: typing.Callable[[], bool],
-        size: typing.Callable[[], int],
-        share: ObjectHandler,
+        daemon_count: typing.Callable[[], int],
+        relay: ObjectHandler,
     ) -> None:
-        """Watch only while ``is_watcher()``; ``share`` what is found."""
+        """Watch only while ``is_watcher()``; ``relay`` what is found."""
         self._is_watcher = is_watcher
-        self._size = size
-        self._share = share
+        self._daemon_count = daemon_count
+        self._relay = relay
 
     def on_first_read(self, callback: typing.Callable[[], None]) -> None:
         """Call back when every prefix has been asked for once."""
         self._on_first_read.append(callback)
 
-    def take(self, stored: transport.StoredObject) -> None:
+    def deliver(self, stored: transport.StoredObject) -> None:
         """Show an object, from the store or from a peer, to its handlers."""
         for prefix, handler in self._handlers.items():
             if stored.key.startswith(prefix):
@@ -170,57 +173,61 @@
     def start(self) -> None:
         """Watch in the background."""
         prefixes = [*self._handlers, *self._page_handlers]
-        self._unread = set(prefixes)
+        self._unread_prefixes = set(prefixes)
         for prefix in prefixes:
-            task = background.start(self._follow(prefix), f'watch {prefix}')
+            task = background.start(
+                self._watch_loop(prefix), f'watch {prefix}'
+            )
             self._tasks.append(task)
 
     def close(self) -> None:
-        """Stop watching."""
+        """Stop is_watching."""
         for task in self._tasks:
             task.cancel()
 
-    async def _follow(self, prefix: str) -> None:
+    async def _watch_loop(self, prefix: str) -> None:
         position = 0
-        pause_ms = _PAUSE_MS
+        retry_delay_ms = _RETRY_DELAY_MS
         polled_ms = self._clock.now_ms()
         while True:
-            watching = self._is_watcher()
-            if not watching and self._stale_period_ms is not None:
+            is_watching = self._is_watcher()
+            if not is_watching and self._stale_period_ms is not None:
                 position = 0
                 await self._poll_stale(prefix)
                 continue
-            if position and not watching:
+            if position and not is_watching:
                 waited_ms = self._clock.now_ms() - polled_ms
                 if waited_ms < self._poll_ms():
                     await _pause.pause(self._clock, _CHECK_MS)
                     continue
             polled_ms = self._clock.now_ms()
-            timeout_ms = self._watch_ms if watching else 0
+            timeout_ms = self._watch_ms if is_watching else 0
             reply = await self._platform.watch(prefix, position, timeout_ms)
-            self._note_read(prefix)
+            self._on_read(prefix)
             if isinstance(reply, result.Failure):
-                if self._note_failure(prefix, reply.failure()):
+                if self._on_failure(prefix, reply.failure()):
                     position = 0
-                await _pause.pause(self._clock, pause_ms)
-                pause_ms = min(pause_ms * 2.0, _LONGEST_PAUSE_MS)
+                await _pause.pause(self._clock, retry_delay_ms)
+                retry_delay_ms = min(
+                    retry_delay_ms * 2.0, _RETRY_DELAY_LIMIT_MS
+                )
                 continue
-            pause_ms = _PAUSE_MS
-            self._note_success(prefix, polled_ms if watching else None)
+            retry_delay_ms = _RETRY_DELAY_MS
+            self._on_success(prefix, polled_ms if is_watching else None)
             page = reply.unwrap()
             if prefix in self._page_handlers:
                 self._page_handlers[prefix](page)
             for stored in page.changed:
-                self.take(stored)
-                if position and watching:
-                    self._share(stored)
+                self.deliver(stored)
+                if position and is_watching:
+                    self._relay(stored)
             if not page.changed and position == 0:
-                await _pause.pause(self._clock, _PAUSE_MS)
+                await _pause.pause(self._clock, _RETRY_DELAY_MS)
             position = page.position
             if prefix in self._collect_ms and (page.changed or page.gone):
                 await _pause.pause(self._clock, self._collect_ms[prefix]())
 
-    def _note_failure(self, prefix: str, error: transport.StoreError) -> bool:
+    def _on_failure(self, prefix: str, error: transport.StoreError) -> bool:
         """Tell of a failed call; True if all must be read anew."""
         self._metrics.add('store_watch_failures', kind=error.kind.value)
         if prefix not in self._failing:
@@ -237,21 +244,21 @@
             callback()
         return False
 
-    def _note_success(self, prefix: str, asked_ms: float | None) -> None:
+    def _on_success(self, prefix: str, asked_ms: float | None) -> None:
         if asked_ms is not None:
-            self._followed_ms[prefix] = asked_ms
-            self._heard_ms[prefix] = self._clock.now_ms()
+            self._last_watch_sent_ms[prefix] = asked_ms
+            self._last_answer_ms[prefix] = self._clock.now_ms()
         if prefix in self._failing:
             self._failing.discard(prefix)
             _log.notice('store regained', prefix=prefix)
 
     def _poll_ms(self) -> float:
-        return _POLL_MS * max(1.0, self._size() / _SIZE_OF_POLL)
+        return _POLL_MS * max(1.0, self._daemon_count() / _POLL_BASE_DAEMONS)
 
-    def _note_read(self, prefix: str) -> None:
-        if prefix not in self._unread:
+    def _on_read(self, prefix: str) -> None:
+        if prefix not in self._unread_prefixes:
             return
-        self._unread.discard(prefix)
-        if not self._unread:
+        self._unread_prefixes.discard(prefix)
+        if not self._unread_prefixes:
             for callback in self._on_first_read:
                 callback()
--- a/samphiredock/coordination/once/_claim_acquirer.py
+++ b/samphiredock/coordination/once/_claim_acquirer.py
@@ -61,7 +61,7 @@
                     run, 'the holder of the claim is silent'
                 )
             found = opened.claim
-            run.step('meet')
+            run.step('ask')
             answer = await self._statuses.ask(
                 found.token, run.admitted.deadline_at_ms
             )
@@ -71,7 +71,7 @@
             if answer is not None and answer.status is _Status.NEVER_SENT:
                 self._metrics.add('claims_passed_on')
                 replaces, found = found.token, None
-                run.step('retake')
+                run.step('reclaim')
 
     def _outcome_in_bucket(
         self, run: _run_request.Run, opened: state.Opened
--- a/samphiredock/coordination/once/_claim_registry.py
+++ b/samphiredock/coordination/once/_claim_registry.py
@@ -140,9 +140,11 @@
         return writer
 
     def _on_idle(self, path: str) -> None:
-        self._clock.after(_claim_bucket.CACHE_MS, lambda: self._forget(path))
+        self._clock.after(
+            _claim_bucket.CACHE_MS, lambda: self._drop_if_idle(path)
+        )
 
-    def _forget(self, path: str) -> None:
+    def _drop_if_idle(self, path: str) -> None:
         # A writer keeps the object's last value: it goes when it is idle,
         # so that memory does not grow with the slices of a day.
         writer = self._writers.get(path)
--- a/samphiredock/coordination/once/_run_request.py
+++ b/samphiredock/coordination/once/_run_request.py
@@ -142,7 +142,7 @@
     def answer_unknown(self, run: Run, detail: str) -> protocol.Unknown:
         """Answer that the end is not known."""
         before = run.progress.state
-        run.step('lose')
+        run.step('lose_track')
         self._metrics.add('runs_unknown')
         if before in (
             _run_states.RunState.SENT,
--- a/samphiredock/coordination/once/_run_sending.py
+++ b/samphiredock/coordination/once/_run_sending.py
@@ -142,7 +142,7 @@
         owner = self._view.owner(target)
         run.step('send')
         if owner is None or not self._orders.send(run.token, owner, order):
-            run.step('disprove')
+            run.step('not_begun')
             return protocol.RunReport(
                 order.attempt_id,
                 target,
@@ -171,7 +171,7 @@
             return outcome
         self._orders.forget(order.attempt_id)
         if _run_orders.proves_not_begun(report):
-            run.step('disprove')
+            run.step('not_begun')
             self._metrics.add('run_proved_not_begun')
             return report
         run.step('complete')
--- a/samphiredock/coordination/once/_run_states.py
+++ b/samphiredock/coordination/once/_run_states.py
@@ -36,16 +36,16 @@
 _TRANSITIONS = (
     # trigger, from, to
     ('claim', RunState.RECEIVED, RunState.CLAIMING),
-    ('meet', RunState.CLAIMING, RunState.ASKING),
-    ('meet', RunState.ASKING, RunState.ASKING),
-    ('retake', RunState.ASKING, RunState.CLAIMING),
+    ('ask', RunState.CLAIMING, RunState.ASKING),
+    ('ask', RunState.ASKING, RunState.ASKING),
+    ('reclaim', RunState.ASKING, RunState.CLAIMING),
     ('grant', RunState.CLAIMING, RunState.CLAIMED),
     ('grant', RunState.ASKING, RunState.CLAIMED),
     ('send', RunState.CLAIMED, RunState.SENT),
     ('cancel', RunState.SENT, RunState.CANCELLING),
     # The order never left, or a report proves that it was not begun.
-    ('disprove', RunState.SENT, RunState.CLAIMED),
-    ('disprove', RunState.CANCELLING, RunState.CLAIMED),
+    ('not_begun', RunState.SENT, RunState.CLAIMED),
+    ('not_begun', RunState.CANCELLING, RunState.CLAIMED),
     ('refuse', RunState.RECEIVED, RunState.NOT_RUN),
     ('refuse', RunState.CLAIMING, RunState.NOT_RUN),
     ('refuse', RunState.CLAIMED, RunState.NOT_RUN),
@@ -53,10 +53,10 @@
     ('complete', RunState.ASKING, RunState.COMPLETED),
     ('complete', RunState.SENT, RunState.COMPLETED),
     ('complete', RunState.CANCELLING, RunState.COMPLETED),
-    ('lose', RunState.CLAIMING, RunState.UNKNOWN),
-    ('lose', RunState.ASKING, RunState.UNKNOWN),
-    ('lose', RunState.SENT, RunState.UNKNOWN),
-    ('lose', RunState.CANCELLING, RunState.UNKNOWN),
+    ('lose_track', RunState.CLAIMING, RunState.UNKNOWN),
+    ('lose_track', RunState.ASKING, RunState.UNKNOWN),
+    ('lose_track', RunState.SENT, RunState.UNKNOWN),
+    ('lose_track', RunState.CANCELLING, RunState.UNKNOWN),
 )
 
 
--- a/tests/unit/test_accept.py
+++ b/tests/unit/test_accept.py
@@ -22,44 +22,50 @@
     ]
 
 
-class StandingTest(unittest.TestCase):
+class ChangeStatusTest(unittest.TestCase):
     """One row for each situation."""
 
-    def test_standing(self) -> None:
+    def test_status_of(self) -> None:
         """A change is judged by the one row that can be its own."""
         cases = (
-            ('nothing stored', 0, 0, [], _accept.Standing.OPEN),
-            ('at its base', 4, 4, rows('a', last=4), _accept.Standing.OPEN),
+            ('nothing stored', 0, 0, [], _accept.ChangeStatus.APPLICABLE),
+            (
+                'at its base',
+                4,
+                4,
+                rows('a', last=4),
+                _accept.ChangeStatus.APPLICABLE,
+            ),
             (
                 'lost answer, then two other changes',
                 4,
                 7,
                 rows('mine', 'b', 'c', last=7),
-                _accept.Standing.ACCEPTED,
+                _accept.ChangeStatus.ACCEPTED,
             ),
             (
                 'beaten, and another since',
                 4,
                 6,
                 rows('b', 'c', last=6),
-                _accept.Standing.BEATEN,
+                _accept.ChangeStatus.CONFLICT,
             ),
             (
                 'stale read below its base',
                 4,
                 3,
                 rows('a', last=3),
-                _accept.Standing.BEHIND,
+                _accept.ChangeStatus.STALE_READ,
             ),
             (
                 'its row is no longer listed',
                 4,
                 9,
                 rows('d', 'e', last=9),
-                _accept.Standing.FORGOTTEN,
+                _accept.ChangeStatus.NOT_LISTED,
             ),
         )
         for name, base, revision, recent, expected in cases:
             with self.subTest(name):
-                got = _accept.standing_of(change(base), revision, recent)
+                got = _accept.status_of(change(base), revision, recent)
                 self.assertEqual(expected, got)
--- a/tests/unit/test_run_states.py
+++ b/tests/unit/test_run_states.py
@@ -13,17 +13,17 @@
 _PATHS = {
     State.RECEIVED: (),
     State.CLAIMING: ('claim',),
-    State.ASKING: ('claim', 'meet'),
+    State.ASKING: ('claim', 'ask'),
     State.CLAIMED: ('claim', 'grant'),
     State.SENT: ('claim', 'grant', 'send'),
     State.CANCELLING: ('claim', 'grant', 'send', 'cancel'),
     State.NOT_RUN: ('refuse',),
     State.COMPLETED: ('claim', 'complete'),
-    State.UNKNOWN: ('claim', 'lose'),
+    State.UNKNOWN: ('claim', 'lose_track'),
 }
 
 
-class _Recorder:
+class _FakeClaims:
     """Stands for the book and the holders; notes what they are told."""
 
     def __init__(self) -> None:
@@ -48,19 +48,19 @@
             for trigger in path:
                 run.step(trigger)
             self.assertIs(state, run.progress.state)
-            recorder = _Recorder()
-            recorder_under_test = _run_request.OutcomeRecorder(
-                recorder, recorder, None, None
+            fake_claims = _FakeClaims()
+            recorder = _run_request.OutcomeRecorder(
+                fake_claims, fake_claims, None, None
             )
             try:
-                recorder_under_test.refuse(run, refusal)
+                recorder.refuse(run, refusal)
             except AssertionError:
-                self.assertEqual([], recorder.told)
+                self.assertEqual([], fake_claims.told)
                 continue
             allowed.add(state)
             self.assertIs(State.NOT_RUN, run.progress.state)
             self.assertEqual(
-                [protocol.ClaimStatus.NEVER_SENT, 'forget'], recorder.told
+                [protocol.ClaimStatus.NEVER_SENT, 'forget'], fake_claims.told
             )
         self.assertEqual(set(State), set(_PATHS))
         self.assertEqual(
