--- a/samphiredock/coordination/once/__init__.py
+++ b/samphiredock/coordination/once/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that may not be repeated: claim, send, tell what became of it."""
+"""Runs requests that may not be repeated at most once, by stored claims."""
 
 from samphiredock import lazy
 
--- a/samphiredock/coordination/once/_claim_acquirer.py
+++ b/samphiredock/coordination/once/_claim_acquirer.py
@@ -1,4 +1,4 @@
-"""Claim a request's key, or learn what became of the claim in the way."""
+"""Claims a request's key, or finds the outcome of an existing claim."""
 
 from samphiredock.coordination.once import _claim_bucket
 from samphiredock.coordination.once import _claim_registry
@@ -14,7 +14,7 @@
 
 
 class ClaimAcquirer:
-    """Obtains claims from the store and from other holders."""
+    """Acquires claims; asks the holder of one that already exists."""
 
     def __init__(
         self,
@@ -33,7 +33,11 @@
     async def acquire(
         self, run: _run_request.Run
     ) -> protocol.RunOutcome | None:
-        """Claim the key; an outcome if it cannot be claimed."""
+        """Claim the request's key.
+
+        Returns None once the claim is granted, else the outcome of the
+        request: a recorded one, a refusal, or "unknown".
+        """
         run.step('claim')
         found: state.Claim | None = None
         replaces: str | None = None
@@ -58,7 +62,7 @@
             assert opened.claim is not None
             if found is not None and found.token == opened.claim.token:
                 return self._recorder.answer_unknown(
-                    run, 'the holder of the claim is silent'
+                    run, 'another daemon holds the claim and does not answer'
                 )
             found = opened.claim
             run.step('ask')
@@ -76,13 +80,13 @@
     def _outcome_in_bucket(
         self, run: _run_request.Run, opened: state.Opened
     ) -> protocol.RunOutcome | None:
-        """Return the outcome that the bucket gives, None if it is open."""
+        """Return the outcome that the bucket gives, None for an open claim."""
         if opened.verdict is state.Verdict.FULL:
             return self._recorder.answer_not_run(
                 run,
                 protocol.NotRunReason.OVERLOADED,
-                'the bucket of this key is full of open claims; this '
-                'attempt was not run',
+                'the bucket object of this key has no room for another '
+                'claim; this attempt was not run',
                 _run_request.RETRY_AFTER_MS,
             )
         if opened.verdict is state.Verdict.KEY_REUSED:
@@ -97,7 +101,7 @@
     ) -> protocol.RunOutcome:
         if run.progress.state is _run_states.RunState.ASKING:
             return self._recorder.answer_unknown(
-                run, 'claimed by another, its end not known'
+                run, 'another daemon holds the claim; its outcome is unknown'
             )
         if failure is None and self._cutoff.has_passed():
             return self._recorder.refuse(run, _run_request.shutting_down())
@@ -105,13 +109,13 @@
             return self._recorder.answer_not_run(
                 run,
                 protocol.NotRunReason.OVERLOADED,
-                'the claim was not written within the deadline',
+                'deadline passed before the claim was written',
                 _run_request.RETRY_AFTER_MS,
             )
         return self._recorder.answer_not_run(
             run,
             protocol.NotRunReason.PLATFORM_UNAVAILABLE,
-            f'this attempt was not run; what became of earlier ones with '
+            f'this attempt was not run; the outcome of earlier ones with '
             f'its key cannot be read: {failure.detail}',
             _run_request.RETRY_AFTER_MS,
         )
@@ -119,7 +123,7 @@
     def _refuse_reused_key(self, run: _run_request.Run) -> protocol.RunOutcome:
         if run.progress.state is _run_states.RunState.ASKING:
             return self._recorder.answer_unknown(
-                run, 'the claim changed while it was awaited'
+                run, 'another request replaced the claim while it was awaited'
             )
         return self._recorder.refuse(run, _run_request.key_reused())
 
@@ -128,7 +132,7 @@
     ) -> protocol.RunOutcome:
         if claim.result_dropped:
             return self._recorder.answer_unknown(
-                run, 'the request ran; its result was too large to be kept'
+                run, 'the request ran; its result was too large to store'
             )
         return self._recorder.replay(
             run, protocol.Completed(claim.result, claim.accepted, True)
--- a/samphiredock/coordination/once/_claim_bucket.py
+++ b/samphiredock/coordination/once/_claim_bucket.py
@@ -1,4 +1,4 @@
-"""Group commit of claims into one bucket object of the platform's store."""
+"""Commits claims in batches to one bucket object of the platform's store."""
 
 import asyncio
 import dataclasses
@@ -14,7 +14,7 @@
 from samphiredock import transport
 
 CACHE_MS = 200.0
-"""How long the version of an own put is taken for the newest one."""
+"""How long the version of a successful put is used without a new read."""
 
 READ_BACK_LIMIT = 5
 _BACKOFF_MS = 4.0
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The store could not be used; ``detail`` says how."""
+    """The store could not be used; ``detail`` gives the error."""
 
     detail: str
 
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class CloseChange:
-    """The end of an own claim, tried until it is recorded."""
+    """The end of a claim of this daemon, retried until it is recorded."""
 
     digest: str
     final: state.Claim
@@ -65,7 +65,10 @@
 async def wait_until(
     clock: timers.Timers, future: asyncio.Future, at_ms: float
 ) -> bool:
-    """Wait for a future until a time; return whether it is done."""
+    """Wait for a future until ``at_ms``; return whether it is done.
+
+    Neither the time limit nor a cancelled wait cancels the future.
+    """
     if future.done():
         return True
     waker = asyncio.get_running_loop().create_future()
@@ -96,17 +99,21 @@
 
 
 class BucketWriter:
-    """Commits all waiting changes of one bucket in one conditional put.
+    """Commits all queued changes of one bucket in one conditional put.
 
-    One put is out at a time.  A change that is already in the object needs
-    no put: that is how a put whose answer was lost is recognised.
+    At most one put is in flight.  After a put whose answer was lost, the
+    object is read again; changes that it already contains need no put.
 
     Parameters
     ----------
     path
         Key of the bucket object.
+    randomness
+        Spreads the delays between retries.
+    health
+        Told of each call to the store and whether it was answered.
     on_idle
-        Called when nothing is left to write.
+        Called when no change is queued any more.
     """
 
     def __init__(
@@ -135,24 +142,24 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether changes wait."""
+        """Whether changes are being committed."""
         return self._task is not None
 
     def submit(self, change: Change) -> None:
-        """Add a change; its ``answer`` is resolved when it is committed."""
+        """Queue a change; its ``answer`` is resolved when it is committed."""
         self._queue.append(change)
         if self._task is None:
             self._task = asyncio.create_task(self._commit_queue())
         elif self._retry_waker is not None and isinstance(change, OpenChange):
-            # A caller waits: it learns at once whether the store is back.
+            # A caller is waiting for this change: retry without delay.
             _wake(self._retry_waker)
 
     def drop_cache(self) -> None:
-        """Read the object again before the next change."""
+        """Make the next commit read the object from the store."""
         self._cached = None
 
     def close(self) -> None:
-        """Stop, leaving what is not reply."""
+        """Stop; changes that are not written yet are dropped."""
         if self._task is not None:
             self._task.cancel()
 
@@ -168,8 +175,8 @@
                 if delay_ms and self._queue:
                     await self._wait_for_retry(delay_ms)
         finally:
-            # If a broken invariant ends this task, the next change starts
-            # another: the keys of the bucket must not hang for good.
+            # Even if an exception ends this task, the next change starts a
+            # new one, so that the bucket's keys are not blocked for good.
             self._task = None
             self._retry_waker = None
         self._on_idle()
@@ -182,7 +189,7 @@
         self._retry_waker = None
 
     async def _commit(self) -> float:
-        """Try one commit; return how long to wait before the next in ms."""
+        """Try one commit; return the delay before the next one in ms."""
         read = await self._read()
         if isinstance(read, transport.StoreError):
             return self._on_store_error(read)
@@ -227,7 +234,7 @@
             self._metrics.add('claim_buckets_unreadable')
             return transport.StoreError(
                 transport.StoreErrorKind.REFUSED,
-                f'{self._path}: cannot be read',
+                f'bucket {self._path}: got a value that cannot be decoded',
             )
         return version, bucket
 
@@ -277,9 +284,10 @@
         return self._on_store_error(error)
 
     def _on_store_error(self, error: transport.StoreError) -> float:
-        """Refuse the claims that are certain not to be in the store.
+        """Refuse the claims that are not in the store; return the delay.
 
-        A claim that may be there is read back a few times first.
+        A claim whose put got no answer may be there, so it is refused only
+        after ``READ_BACK_LIMIT`` failed commits.
         """
         self._metrics.add('claim_store_errors', kind=error.kind.value)
         self._cached = None
--- a/samphiredock/coordination/once/_claim_registry.py
+++ b/samphiredock/coordination/once/_claim_registry.py
@@ -1,4 +1,4 @@
-"""The claims of one daemon in the platform's store."""
+"""Opens and closes this daemon's claims in the platform's object store."""
 
 import asyncio
 import dataclasses
@@ -15,10 +15,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenResult:
-    """How an attempt to open a claim ended.
+    """The result of an attempt to open a claim.
 
-    ``opened`` is None if the deadline came first.  ``may_be_stored`` says
-    that the claim may be in the store, now or when a put arrives late.
+    ``opened`` is None if the deadline passed first.  ``may_be_stored`` is
+    set if the claim is or may be in the store, or may still get there when
+    a delayed put arrives.
     """
 
     opened: state.Opened | _claim_bucket.Unavailable | None
@@ -26,7 +27,7 @@
 
 
 class ClaimRegistry:
-    """Opens and closes claims; one writer a bucket that is in use."""
+    """Opens and closes claims, with one writer for each bucket in use."""
 
     def __init__(
         self,
@@ -46,7 +47,7 @@
         self._unrecorded: set[asyncio.Future] = set()
 
     def unrecorded_count(self) -> int:
-        """Return how many ends of claims are not in the store yet."""
+        """Return how many closed claims are not recorded in the store yet."""
         return len(self._unrecorded)
 
     async def open(
@@ -57,18 +58,32 @@
         replaces: str | None = None,
         force_read: bool = False,
     ) -> OpenResult:
-        """Open a claim before a deadline.
-
-        With ``force_read`` the object is read from the store in any case.
-        Only ``GRANTED`` allows to send: the put succeeded, or a read shows
-        the own token.
+        """Try to open a claim until a deadline.
+
+        The request may be sent only if the verdict is ``GRANTED``: the put
+        succeeded, or a read shows this claim's token.
+
+        Parameters
+        ----------
+        place
+            Bucket object and digest of the claim.
+        wanted
+            The claim to write.
+        deadline_at_ms
+            When to stop waiting, by the clock's ``now_ms()``.
+        replaces
+            Token of another claim whose holder never sent its request; the
+            new claim may take its place.
+        force_read
+            Read the object from the store even if a recent version is
+            cached.
         """
         if self._clock.now_ms() >= self._cutoff.bound(deadline_at_ms):
             return OpenResult(None, False)
         if not self._health.allows_call():
             self._metrics.add('claims_refused_unseen')
             return OpenResult(
-                _claim_bucket.Unavailable('the store does not answer'), False
+                _claim_bucket.Unavailable('store unreachable'), False
             )
         answer = asyncio.get_running_loop().create_future()
         change = _claim_bucket.OpenChange(
@@ -90,9 +105,10 @@
     def close(
         self, place: state.Place, final: state.Claim
     ) -> asyncio.Future[bool]:
-        """Record the end of a claim, trying until it is recorded.
+        """Record how a claim ended, retrying until it is recorded.
 
-        Returns a future of whether the claim was still the token's own.
+        The returned future resolves to False if the stored claim did not
+        carry this token any more.
         """
         answer = asyncio.get_running_loop().create_future()
         self._unrecorded.add(answer)
@@ -102,7 +118,7 @@
         return answer
 
     async def wait_recorded(self, until_ms: float) -> bool:
-        """Wait until every end is recorded, at most until a time."""
+        """Wait for closed claims to be recorded; return whether all are."""
         while self._unrecorded:
             first = next(iter(self._unrecorded))
             if not await _claim_bucket.wait_until(
@@ -112,7 +128,7 @@
         return True
 
     def stop(self) -> None:
-        """Stop writing."""
+        """Stop all writers; changes that are not written yet are dropped."""
         for writer in self._writers.values():
             writer.close()
 
@@ -145,8 +161,8 @@
         )
 
     def _drop_if_idle(self, path: str) -> None:
-        # A writer keeps the object's last value: it goes when it is idle,
-        # so that memory does not grow with the slices of a day.
+        # A writer caches the object's value and buckets change over the
+        # day, so idle writers are dropped to bound memory.
         writer = self._writers.get(path)
         if writer is not None and not writer.is_busy:
             del self._writers[path]
--- a/samphiredock/coordination/once/_claim_statuses.py
+++ b/samphiredock/coordination/once/_claim_statuses.py
@@ -1,7 +1,7 @@
-"""The holder's word on its claims, and asking other holders for theirs.
+"""Tells other daemons the status of own claims and asks them for theirs.
 
-Claims do not lapse, so a second daemon that finds one can learn its fate
-only from the store or from the holder itself.
+Claims do not expire, so a daemon that finds another daemon's open claim can
+learn how it ended only from the store or from that claim's holder.
 """
 
 import asyncio
@@ -16,9 +16,10 @@
 
 ASK_PERIOD_MS = 250.0
 SILENT_MS = 1_000.0
-"""A holder that answers nothing for so long counts as silent."""
+"""A holder that has not answered for this long counts as silent."""
 
 UNSETTLED_LIMIT = 10_000
+"""How many claims with an unknown end are kept; the oldest are dropped."""
 
 _ALLOWED_CHANGES = {
     None: {protocol.ClaimStatus.RUNNING},
@@ -34,7 +35,10 @@
     protocol.ClaimStatus.DONE: set(),
     protocol.ClaimStatus.NEVER_SENT: set(),
 }
-"""Which word may follow which; ``NEVER_SENT`` is never taken back."""
+"""Allowed changes of status.
+
+``DONE`` and ``NEVER_SENT`` are final: other daemons act on them.
+"""
 
 
 @dataclasses.dataclass(slots=True)
@@ -45,7 +49,7 @@
 
 
 class ClaimStatuses:
-    """Answer for the own claims and ask for those of others."""
+    """Keeps the status of own claims and asks other holders for theirs."""
 
     def __init__(
         self,
@@ -66,12 +70,12 @@
         peers.subscribe(protocol.ClaimAnswer, self._on_answer)
 
     def track(self, token: str) -> None:
-        """Answer for a new claim from now on."""
-        assert token not in self._tracked, f'{token}: begun twice'
+        """Start to answer for a new claim, with status ``RUNNING``."""
+        assert token not in self._tracked, f'{token}: already tracked'
         self._tracked[token] = _TrackedClaim(protocol.ClaimStatus.RUNNING)
 
     def status(self, token: str) -> protocol.ClaimStatus:
-        """Return what a peer that asked now would be told."""
+        """Return the status that a peer would get now."""
         tracked = self._tracked.get(token)
         return tracked.status if tracked else protocol.ClaimStatus.UNTRACKED
 
@@ -81,10 +85,10 @@
         status: protocol.ClaimStatus,
         outcome: protocol.Completed | None = None,
     ) -> None:
-        """Change the word on an own claim and tell who asked.
+        """Change the status of an own claim and tell the waiting peers.
 
-        Raises ``AssertionError`` for a change that would take back a word
-        already given.
+        Raises ``AssertionError`` if ``_ALLOWED_CHANGES`` does not list the
+        change.
         """
         tracked = self._tracked.get(token)
         before = tracked.status if tracked else None
@@ -99,13 +103,17 @@
             self._drop_oldest_unsettled()
 
     def forget(self, token: str) -> None:
-        """Stop answering for a claim whose end is in the store."""
+        """Stop answering for a claim, as its end is in the store."""
         self._tracked.pop(token, None)
 
     async def ask(
         self, token: str, until_ms: float
     ) -> protocol.ClaimAnswer | None:
-        """Return a holder's final word; None from a silent holder."""
+        """Ask a claim's holder for its final status.
+
+        The holder is asked repeatedly while the claim runs.  Returns None
+        if the holder is unreachable or silent, or the time is up.
+        """
         parts = protocol.parse_token(token)
         if parts is None:
             return None
--- a/samphiredock/coordination/once/_cutoff.py
+++ b/samphiredock/coordination/once/_cutoff.py
@@ -1,4 +1,4 @@
-"""The moment after which a daemon that stops awaits nothing more."""
+"""Ends the waits of a daemon that is being stopped."""
 
 import asyncio
 import math
@@ -8,12 +8,13 @@
 
 
 class Cutoff:
-    """Waits that end early when the daemon's time is up.
+    """A time limit on the waits of all requests, set when the daemon stops.
 
     A request waits for the store, other holders and dispatchers, each until
-    its deadline.  A daemon that was stopped may not live so long: its
-    requests then take the ways that they take at the deadline, which tell
-    "not run" only where nothing was sent and send nothing afterwards.
+    its deadline.  A daemon that is being stopped may not live that long, so
+    the cutoff ends these waits early.  Its requests then end as at their
+    deadline: "not run" is answered only if nothing was sent, and nothing is
+    sent afterwards.
     """
 
     def __init__(self, clock: timers.Timers) -> None:
@@ -22,22 +23,25 @@
         self._waiting: set[asyncio.Future] = set()
 
     def trigger(self) -> None:
-        """End every wait, those to come too."""
+        """End every wait, including those that start later."""
         self._at_ms = min(self._at_ms, self._clock.now_ms())
         for waker in list(self._waiting):
             if not waker.done():
                 waker.set_result(None)
 
     def has_passed(self) -> bool:
-        """Whether the daemon's time is up."""
+        """Return whether the cutoff was triggered."""
         return self._at_ms < math.inf
 
     def bound(self, until_ms: float) -> float:
-        """Return until when to wait for something."""
+        """Return the earlier of a time and the cutoff."""
         return min(until_ms, self._at_ms)
 
     async def wait_until(self, future: asyncio.Future, at_ms: float) -> bool:
-        """Wait for a future until a time; return whether it is done."""
+        """Wait for a future until ``at_ms`` or the cutoff.
+
+        Returns whether the future is done.
+        """
         if future.done() or self.has_passed():
             return future.done()
         waker = asyncio.get_running_loop().create_future()
--- a/samphiredock/coordination/once/_run_admission.py
+++ b/samphiredock/coordination/once/_run_admission.py
@@ -1,4 +1,4 @@
-"""Checks of an unrepeatable request before anything is claimed."""
+"""Validates a non-repeatable request before its key is claimed."""
 
 import dataclasses
 
@@ -7,14 +7,19 @@
 from samphiredock import state
 
 FUTURE_SKEW_MS = 300_000
-"""How far a caller's clock may be ahead of ours."""
+"""How far a caller's clock may be ahead of this daemon's."""
 
 KEY_LIMIT_CHARS = 256
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdmittedRequest:
-    """A request that may be claimed."""
+    """A valid request with what is needed to claim and run it.
+
+    ``content_digest`` identifies operation and body; a key may be used again
+    only with the same digest.  ``fingerprint`` identifies the content for
+    the quarantine.  ``since_ms`` is the claim's wall-clock time.
+    """
 
     request: protocol.RunRequest
     key: str
@@ -34,7 +39,10 @@
     now_ms: float,
     wall_ms: int,
 ) -> AdmittedRequest | protocol.NotRun:
-    """Check a request against the configuration and the clock."""
+    """Validate a request against the configuration and the clock.
+
+    ``now_ms`` is monotonic time, ``wall_ms`` is Unix time.
+    """
     if configuration is None:
         return _not_run(
             protocol.NotRunReason.NOT_READY, 'no configuration yet', 500
@@ -92,15 +100,18 @@
 def refuse_stale_key(
     request: protocol.RunRequest, retention_ms: int, wall_ms: int
 ) -> protocol.NotRun | None:
-    """Return the refusal of a key whose claim may have been deleted."""
+    """Return a refusal if the key's claim may have been deleted already.
+
+    Returns None for a key within the retention time.
+    """
     age_ms = wall_ms - request.issued_at_ms
     if -FUTURE_SKEW_MS <= age_ms <= retention_ms:
         return None
     return _not_run(
         protocol.NotRunReason.STALE_KEY,
         f'issued_at_ms: got a key {age_ms} ms old, '
-        f'expected {-FUTURE_SKEW_MS} to {retention_ms}; this attempt was '
-        'not run, whether an earlier one was is not known any more',
+        f'expected {-FUTURE_SKEW_MS} to {retention_ms} ms; this attempt was '
+        'not run, earlier ones with this key may have run',
     )
 
 
@@ -114,7 +125,7 @@
             f'expected 1 to {KEY_LIMIT_CHARS}',
         )
     if not (key.isascii() and key.isprintable()):
-        # A header may hold bytes that no message can carry on.
+        # An HTTP header may hold bytes that cannot be encoded in a message.
         return _not_run(
             protocol.NotRunReason.BAD_REQUEST,
             f'idempotency key: got {ascii(key)}, '
--- a/samphiredock/coordination/once/_run_once.py
+++ b/samphiredock/coordination/once/_run_once.py
@@ -1,8 +1,8 @@
-"""Run an unrepeatable request at most once, and say truly what became of it.
+"""Runs a non-repeatable request at most once and returns its outcome.
 
-The order of steps is the safeguard: a claim is in the platform's store
-before anything is sent, only its holder ends it, and what the holder says
-to a caller or a peer about it is never taken back.
+A request is sent only after its claim is in the platform's store.  Only the
+claim's holder closes it, and a final status that the holder told a caller or
+a peer never changes.
 """
 
 import asyncio
@@ -26,22 +26,26 @@
 from samphiredock import transport
 
 DRAIN_LIMIT_MS = 10_000.0
+"""How long to wait for requests and their records before stopping."""
 
 _Status = protocol.ClaimStatus
 _log = logs.logger('run-once')
 
 
 class Runner:
-    """Claim a key in the platform's store, run it, record the outcome.
+    """Claims a request's key in the store, runs it, records the outcome.
 
     Parameters
     ----------
     name, site, incarnation
-        Of this daemon; name and incarnation are part of every claim.
+        Of this daemon; name and incarnation are part of every claim token.
+    view
+        Gives the configuration, and which targets and dispatchers to use.
     randomness
-        Seeded; spreads retries and the choice of targets.
+        Spreads retries and chooses targets; seeded with the incarnation by
+        default.
     quarantine
-        Refuses requests that crashed their targets.
+        Refuses requests that crashed their targets; none by default.
     """
 
     def __init__(
@@ -64,9 +68,9 @@
         self._metrics = counters
         randomness = randomness or random.Random(incarnation)
         self._quarantine = quarantine or _run_request.NoQuarantine()
-        # Two lives that began in one millisecond of a clock set back, or
-        # two daemons with one name, must not take each other's claims for
-        # their own.
+        # Two processes may have the same name and incarnation: two daemons
+        # with one name, or a restart after the clock was set back.  A random
+        # first number keeps their tokens apart.
         self._claim_numbers = itertools.count(randomness.getrandbits(48))
         self._runs: dict[str, _run_request.Run] = {}
         self._draining = False
@@ -107,17 +111,20 @@
         )
 
     def in_flight(self) -> int:
-        """Return how many requests are not answered yet."""
+        """Return how many requests have no outcome yet."""
         return len(self._runs)
 
     def unrecorded_count(self) -> int:
-        """Return how many ends of claims are not in the store yet."""
+        """Return how many closed claims are not recorded in the store yet."""
         return self._claims.unrecorded_count()
 
     async def run(
         self, request: protocol.RunRequest, idempotency_key: str
     ) -> protocol.RunOutcome:
-        """Run one unrepeatable request to its outcome."""
+        """Run one non-repeatable request and return its outcome.
+
+        A second call with the same key joins the pending request.
+        """
         admitted = _run_admission.admit(
             request,
             idempotency_key,
@@ -133,23 +140,23 @@
         if self._draining:
             return self._count_not_run(_run_request.shutting_down())
         run = self._start(admitted)
-        # The request goes on when its caller is gone: a caller that the
-        # balancer cut off must find the recorded outcome when it retries.
+        # The request goes on when its caller disconnects: a caller whose
+        # connection the balancer closed finds the outcome when it retries.
         return self._count_not_run(await asyncio.shield(run.task))
 
     def finish_all(self) -> None:
-        """Take no new request and end those there are, each truthfully.
+        """Accept no new request and finish the pending ones early.
 
-        Each is answered as at its deadline, at the latest
-        ``CANCEL_WAIT_MS`` from now, and nothing is sent any more.
+        Each ends as at its deadline, within ``CANCEL_WAIT_MS``; nothing is
+        sent any more.
         """
         self._draining = True
         self._cutoff.trigger()
 
     async def drain(self, limit_ms: float = DRAIN_LIMIT_MS) -> int:
-        """Take no new request; finish and record those there are.
+        """Accept no new request; wait until the pending ones are recorded.
 
-        Returns how many outcomes could not be recorded in time.
+        Returns how many outcomes were not recorded within ``limit_ms``.
         """
         self._draining = True
         until_ms = self._clock.now_ms() + limit_ms
@@ -162,7 +169,7 @@
         return left
 
     def close(self) -> None:
-        """Stop everything at once."""
+        """Cancel all requests and stop writing."""
         for run in self._runs.values():
             run.task.cancel()
         self._claims.stop()
@@ -184,7 +191,7 @@
     async def _join(
         self, run: _run_request.Run, admitted: _run_admission.AdmittedRequest
     ) -> protocol.RunOutcome:
-        """Give a second request the outcome of the one that is running."""
+        """Return the outcome of a pending request to a second caller."""
         self._metrics.add('run_joined')
         if run.admitted.content_digest != admitted.content_digest:
             return _run_request.key_reused()
@@ -193,7 +200,8 @@
             self._clock, run.task, admitted.deadline_at_ms
         ):
             return protocol.Unknown(
-                'the same request is running', _run_request.RETRY_AFTER_MS
+                'a request with this key is still running',
+                _run_request.RETRY_AFTER_MS,
             )
         if run.task.cancelled():
             return protocol.Unknown(
@@ -218,7 +226,8 @@
             return outcome
         finally:
             if self._statuses.status(run.token) is _Status.RUNNING:
-                # Stopped from outside: the claim stays, nobody reruns it.
+                # Cancelled by close(): the claim stays open, so that no
+                # other daemon runs the request again.
                 self._statuses.update(run.token, _Status.UNSETTLED)
             _run_states.release(run.progress)
             del self._runs[run.admitted.place.digest]
--- a/samphiredock/coordination/once/_run_orders.py
+++ b/samphiredock/coordination/once/_run_orders.py
@@ -1,4 +1,4 @@
-"""Orders to dispatchers, and what their reports prove."""
+"""Sends orders to dispatchers and matches their reports."""
 
 import asyncio
 import collections
@@ -13,9 +13,10 @@
 from samphiredock import transport
 
 CANCEL_WAIT_MS = 300.0
-"""How long a dispatcher gets to prove that an order was not begun."""
+"""How long to wait for a dispatcher to confirm a cancelled order."""
 
 OUTSTANDING_LIMIT = 10_000
+"""How many orders without a final report are kept."""
 
 LateReport = typing.Callable[[str, protocol.RunReport], None]
 
@@ -31,12 +32,12 @@
 
 
 def proves_not_begun(report: protocol.RunReport) -> bool:
-    """Whether a report proves that no target began the order."""
+    """Return whether a report proves that no target began the order."""
     return report.status in protocol.NEVER_STARTED
 
 
 def is_final(report: protocol.RunReport) -> bool:
-    """Whether a report settles the order either way."""
+    """Return whether a report tells if the order ran or never began."""
     ran = report.status is protocol.SubStatus.ANSWERED
     return ran or proves_not_begun(report)
 
@@ -47,8 +48,8 @@
     Parameters
     ----------
     on_late
-        Called with the token and the report that settles an order after
-        its caller was told that the outcome is unknown.
+        Called with the token and the final report of an abandoned order,
+        whose caller was answered "unknown".
     """
 
     def __init__(
@@ -70,7 +71,7 @@
         peers.subscribe(protocol.RunReport, self._on_report)
 
     def send(self, token: str, owner: str, order: protocol.RunOrder) -> bool:
-        """Send an order; False proves that it never left."""
+        """Send an order; False means that it was certainly not sent."""
         self._outstanding[order.attempt_id] = _Outstanding(
             token, owner, order.target
         )
@@ -84,10 +85,10 @@
     async def wait_report(
         self, attempt_id: str, until_ms: float
     ) -> protocol.RunReport | None:
-        """Wait for the next report on an order, None if none came.
+        """Wait for the next report on an order; None if none came.
 
-        The wait ends when the daemon's time is up: the order is cancelled
-        then, as at its deadline.
+        The cutoff ends the wait early; the caller then cancels the order,
+        as at its deadline.
         """
         return await self._next_report(
             attempt_id,
@@ -113,11 +114,11 @@
     async def cancel(
         self, attempt_id: str, until_ms: float
     ) -> protocol.RunReport | None:
-        """Ask the dispatcher to stop; return a report that settles it.
+        """Ask the dispatcher to cancel; return a final report if one comes.
 
-        Only a report counts: that the message was sent proves nothing.
-        The wait is short, and so is taken also when the daemon's time is
-        up: most orders that were not begun are proved so within it.
+        Returns None without a final report: the order may have run.  The
+        wait is at most ``CANCEL_WAIT_MS``, and the cutoff does not shorten
+        it, since most orders that were not begun are confirmed within it.
         """
         owner = self._outstanding[attempt_id].owner
         until_ms = min(until_ms, self._clock.now_ms() + CANCEL_WAIT_MS)
@@ -138,11 +139,11 @@
         return None
 
     def forget(self, attempt_id: str) -> None:
-        """Forget an order whose end is known."""
+        """Forget an order that has its final report."""
         self._outstanding.pop(attempt_id, None)
 
     def abandon(self, attempt_id: str) -> None:
-        """Wait no more: a report that settles the order is a late one."""
+        """Stop waiting for an order; a final report goes to ``on_late``."""
         outstanding = self._outstanding[attempt_id]
         outstanding.is_abandoned = True
         if outstanding.unread is not None:
@@ -164,8 +165,7 @@
         if outstanding.is_abandoned:
             self._handle_late_report(report.attempt_id, outstanding, report)
             return
-        # A report that settles the order is not lost to a later one that
-        # arrives before the first has been read.
+        # A later report does not replace a final one that is unread yet.
         if outstanding.unread is None or is_final(report):
             outstanding.unread = report
         waker = outstanding.waker
--- a/samphiredock/coordination/once/_run_request.py
+++ b/samphiredock/coordination/once/_run_request.py
@@ -1,7 +1,7 @@
-"""One unrepeatable request, and the ways in which it ends here.
+"""One non-repeatable request and the recording of its outcome.
 
-What is said to a caller, told to a peer and written to the store about a
-request is decided in this one place, so that the three cannot differ.
+The answer to the caller, the status for peers and the stored claim are set
+in this module only, so that the three agree.
 """
 
 import asyncio
@@ -23,37 +23,38 @@
 
 
 class RunQuarantine(typing.Protocol):
-    """Knows the requests that crashed the targets that ran them."""
+    """Refuses requests that crashed the targets that ran them."""
 
     def refusal(self, fingerprint: str) -> protocol.NotRun | None:
-        """Return the refusal of a quarantined request."""
+        """Return the refusal of a quarantined request, None for others."""
 
     def note_lost(self, fingerprint: str, target: str) -> None:
-        """A target was lost while it ran the request."""
+        """Count a target that was lost while it ran the request."""
 
     def note_succeeded(self, fingerprint: str) -> None:
-        """A target answered the request."""
+        """Record that a target answered the request."""
 
 
 class NoQuarantine:
-    """Refuses nothing."""
+    """A quarantine that refuses no request."""
 
     def refusal(self, fingerprint: str) -> protocol.NotRun | None:
-        """Return no refusal."""
+        """Return None."""
         return None
 
     def note_lost(self, fingerprint: str, target: str) -> None:
-        """Ignore it."""
+        """Do nothing."""
 
     def note_succeeded(self, fingerprint: str) -> None:
-        """Ignore it."""
+        """Do nothing."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Run:
     """One request that this daemon tries to claim and run.
 
-    ``may_be_stored`` says that its claim may be in the store.
+    ``attempts`` counts its orders.  ``may_be_stored`` is set if its claim
+    may be in the store, so that it has to be closed there.
     """
 
     admitted: _run_admission.AdmittedRequest
@@ -65,16 +66,16 @@
 
     @property
     def claim(self) -> state.Claim:
-        """The open claim that this request writes."""
+        """The open claim of this request, as it is stored."""
         return open_claim(self.token, self.admitted)
 
     def step(self, trigger: str) -> None:
-        """Take one step of the state table."""
+        """Change the state by a trigger of ``_run_states``."""
         _run_states.step(self.progress, trigger)
 
 
 class OutcomeRecorder:
-    """Ends requests: towards the caller, the peers and the store."""
+    """Records how requests end: for the caller, the peers and the store."""
 
     def __init__(
         self,
@@ -92,7 +93,7 @@
     def replay(
         self, run: Run, outcome: protocol.Completed
     ) -> protocol.RunOutcome:
-        """Answer with the outcome of another claim."""
+        """Answer with the recorded outcome of another claim."""
         run.step('complete')
         self._metrics.add('run_replayed')
         self._abandon_claim(run)
@@ -103,7 +104,7 @@
         admitted: _run_admission.AdmittedRequest,
         report: protocol.RunReport | None,
     ) -> None:
-        """Tell the quarantine if a target was lost under the request."""
+        """Tell the quarantine if a target was lost while it ran the request."""
         if report is not None and report.target_lost:
             self._quarantine.note_lost(admitted.fingerprint, report.target)
 
@@ -113,7 +114,11 @@
         admitted: _run_admission.AdmittedRequest,
         report: protocol.RunReport,
     ) -> protocol.Completed:
-        """A target ran it: tell who asked, and record it in background."""
+        """Answer that a target ran the request.
+
+        Waiting peers are told at once; the store is written in the
+        background.
+        """
         self._quarantine.note_succeeded(admitted.fingerprint)
         outcome = protocol.Completed(report.result, report.accepted, False)
         self._statuses.update(token, _Status.DONE, outcome)
@@ -127,7 +132,7 @@
         return outcome
 
     def on_late_report(self, token: str, report: protocol.RunReport) -> None:
-        """Record the true end of a request that was called unknown."""
+        """Record the real outcome of a request that was answered "unknown"."""
         admitted = self._unsettled.pop(token, None)
         if admitted is None or (
             self._statuses.status(token) is not _Status.UNSETTLED
@@ -140,7 +145,11 @@
         self.complete(token, admitted, report)
 
     def answer_unknown(self, run: Run, detail: str) -> protocol.Unknown:
-        """Answer that the end is not known."""
+        """Answer that the outcome is unknown.
+
+        If an order was sent, the claim stays open until a late report
+        settles it; otherwise the claim is abandoned.
+        """
         before = run.progress.state
         run.step('lose_track')
         self._metrics.add('runs_unknown')
@@ -163,22 +172,26 @@
         detail: str,
         retry_after_ms: int,
     ) -> protocol.NotRun:
-        """Answer that the request was not run, for a reason."""
+        """Answer that the request was not run, with a reason."""
         return self.refuse(
             run, protocol.NotRun(reason, detail, retry_after_ms)
         )
 
     def refuse(self, run: Run, refusal: protocol.NotRun) -> protocol.NotRun:
-        """Answer that the request was not run, and see that it never is."""
+        """Answer that the request was not run and abandon its claim.
+
+        Raises ``AssertionError`` in a state in which a target may have
+        begun the request.
+        """
         assert run.progress.state in _run_states.MAY_ANSWER_NOT_RUN, (
-            f'{run.token}: not run cannot be said in {run.progress.state}'
+            f'{run.token}: cannot answer "not run" in {run.progress.state}'
         )
         run.step('refuse')
         self._abandon_claim(run)
         return refusal
 
     def _abandon_claim(self, run: Run) -> None:
-        """Promise never to send, then free the key if it may be claimed."""
+        """Tell peers that nothing is ever sent; then close a stored claim."""
         self._statuses.update(run.token, _Status.NEVER_SENT)
         if run.may_be_stored:
             self._metrics.add('claims_given_up')
@@ -214,24 +227,24 @@
 
 
 def replayed(outcome: protocol.Completed) -> protocol.Completed:
-    """Return the outcome marked as a recorded one."""
+    """Return the outcome, marked as replayed."""
     return protocol.Completed(outcome.result, outcome.accepted, True)
 
 
 def shutting_down() -> protocol.NotRun:
-    """Return the refusal of a daemon that takes nothing more."""
+    """Return the refusal of a daemon that accepts no new request."""
     return protocol.NotRun(
         protocol.NotRunReason.SHUTTING_DOWN,
-        'this daemon is leaving; this attempt was not run',
+        'this daemon is shutting down; this attempt was not run',
         RETRY_AFTER_MS,
     )
 
 
 def key_reused() -> protocol.NotRun:
-    """Return the refusal of a key that belongs to another request."""
+    """Return the refusal of a key that another request has used."""
     return protocol.NotRun(
         protocol.NotRunReason.KEY_REUSED,
-        'this request was not run: its idempotency key belongs to a request '
+        'this request was not run: its idempotency key was used by a request '
         'with another operation or body, which may have run',
         0,
     )
--- a/samphiredock/coordination/once/_run_sending.py
+++ b/samphiredock/coordination/once/_run_sending.py
@@ -1,4 +1,4 @@
-"""Send a claimed request to a target, through its dispatcher."""
+"""Sends a claimed request to a target through the target's dispatcher."""
 
 import random
 import typing
@@ -14,11 +14,14 @@
 from samphiredock import timers
 
 TARGET_LIMIT = 3
-"""How many targets are tried, one after another, each proved not begun."""
+"""How many targets are tried.
+
+The next one only after proof that the one before did not begin the request.
+"""
 
 CANCEL_SHARE = 0.2
 CANCEL_MARGIN_LIMIT_MS = _run_orders.CANCEL_WAIT_MS
-"""The end of the budget is kept for asking the dispatcher to stop."""
+"""Time kept for a cancel: a share of what is left, and at most this."""
 
 _STATUS_REASON = {
     protocol.SubStatus.SHED: protocol.NotRunReason.OVERLOADED,
@@ -32,21 +35,25 @@
 
 
 class RoutingView(typing.Protocol):
-    """What the runner reads of the daemon's knowledge."""
+    """The configuration, dispatchers and usable targets, as known here."""
 
     @property
     def configuration(self) -> state.Configuration | None:
-        """The revision in force here."""
+        """The configuration in force, None before the first one."""
 
     def owner(self, target: str) -> str | None:
-        """The daemon that dispatches for a target."""
+        """Return the daemon that dispatches for a target, None if unknown."""
 
     def is_usable(self, target: str) -> bool:
-        """Whether a target may get new work."""
+        """Return whether a target may get new work."""
 
 
 class RunSender:
-    """Tries targets one after another, each proved not to have begun."""
+    """Sends a request to one target after another until one may have begun.
+
+    The next target is tried only after proof that the one before did not
+    begin the request.
+    """
 
     def __init__(
         self,
@@ -71,10 +78,10 @@
         self._metrics = counters
 
     async def execute(self, run: _run_request.Run) -> protocol.RunOutcome:
-        """Send the claimed request, to another target if proved unbegun."""
+        """Send the claimed request and return its outcome."""
         tried: set[str] = set()
         reason = protocol.NotRunReason.NO_TARGET
-        detail = 'no target of the operation may get work'
+        detail = 'no target of the operation is usable'
         retry_after_ms = _run_request.RETRY_AFTER_MS
         for _ in range(TARGET_LIMIT):
             refusal = self._check_before_send(run)
@@ -101,11 +108,11 @@
     def _check_before_send(
         self, run: _run_request.Run
     ) -> protocol.NotRun | None:
-        """Check at the last moment whether the request may be sent.
+        """Return a refusal if the request may not be sent any more.
 
-        A process that was frozen since the claim wakes here.  Its claim is
-        still its own, for nobody takes one from a silent holder; but its
-        deadline may have passed, and its caller be gone.
+        The process may have been frozen since the claim was granted.  It
+        still holds the claim, as no other daemon takes a silent holder's
+        claim, but the deadline may have passed.
         """
         assert self._statuses.status(run.token) is _Status.RUNNING
         admitted = run.admitted
@@ -115,10 +122,11 @@
             self._metrics.add('run_too_late_to_send')
             return protocol.NotRun(
                 protocol.NotRunReason.OVERLOADED,
-                'the deadline passed before the request was sent',
+                'deadline passed before the request was sent',
                 _run_request.RETRY_AFTER_MS,
             )
-        # The monotonic clock stops when a machine is suspended.
+        # The monotonic clock stops while the host is suspended, so the
+        # age of the key is checked by the wall clock.
         return _run_admission.refuse_stale_key(
             admitted.request, admitted.retention_ms, self._clock.wall_ms()
         )
@@ -136,7 +144,11 @@
     async def _try_target(
         self, run: _run_request.Run, target: str
     ) -> protocol.RunOutcome | protocol.RunReport:
-        """Send to one target; a report if it proves that none began."""
+        """Send the request to one target.
+
+        Returns a report if it proves that the target did not begin the
+        request, else the outcome.
+        """
         run.attempts += 1
         order = self._build_order(run, target)
         owner = self._view.owner(target)
@@ -153,10 +165,10 @@
             order.attempt_id, self._cancel_at_ms(run)
         )
         self._recorder.record_target_loss(run.admitted, report)
-        reason_unknown = 'no answer in time'
+        reason_unknown = 'no report in time'
         if report is not None:
             reason_unknown = (
-                f'{report.status.value} {report.detail}, end not known'
+                f'{report.status.value} {report.detail}, outcome unknown'
             )
         if report is None or not _run_orders.is_final(report):
             run.step('cancel')
--- a/samphiredock/coordination/once/_run_states.py
+++ b/samphiredock/coordination/once/_run_states.py
@@ -1,4 +1,4 @@
-"""The states of one unrepeatable request."""
+"""The state machine of one non-repeatable request."""
 
 import enum
 
@@ -6,11 +6,11 @@
 
 
 class RunState(enum.Enum):
-    """How far a request has come.
+    """The state of a request at this daemon.
 
-    ``ASKING`` has found another's claim whose fate is not known;
-    ``CLAIMED`` holds the claim and has no order out; ``SENT`` and
-    ``CANCELLING`` have one out.
+    ``ASKING``: another daemon has an open claim on the key and is asked how
+    it ended.  ``CLAIMED``: this daemon holds the claim and no order is
+    outstanding.  ``SENT``, ``CANCELLING``: an order is outstanding.
     """
 
     RECEIVED = 'received'
@@ -29,8 +29,8 @@
 )
 """The states in which no target can have begun the request.
 
-``ASKING`` is not among them: this daemon sent nothing, but the holder of
-the claim that is in the way may have run the same request.
+Not in ``ASKING``: this daemon sent nothing, but the holder of the other
+claim may have run the same request.
 """
 
 _TRANSITIONS = (
@@ -43,7 +43,7 @@
     ('grant', RunState.ASKING, RunState.CLAIMED),
     ('send', RunState.CLAIMED, RunState.SENT),
     ('cancel', RunState.SENT, RunState.CANCELLING),
-    # The order never left, or a report proves that it was not begun.
+    # The order was not sent, or a report proves that no target began it.
     ('not_begun', RunState.SENT, RunState.CLAIMED),
     ('not_begun', RunState.CANCELLING, RunState.CLAIMED),
     ('refuse', RunState.RECEIVED, RunState.NOT_RUN),
@@ -61,7 +61,7 @@
 
 
 class RunProgress:
-    """The state of one request; a step that is not in the table raises."""
+    """The state of one request; the machine adds ``trigger`` to it."""
 
     state: RunState
 
@@ -73,26 +73,25 @@
     transitions=[list(row) for row in _TRANSITIONS],
     auto_transitions=False,
 )
-# One machine serves all requests: making one costs five times as much as
-# adding a model to it.
+# One machine for all requests: adding a model is cheaper than a new machine.
 
 
 def new_progress() -> RunProgress:
-    """Return the progress of a request just received."""
+    """Return the progress of a new request, in state ``RECEIVED``."""
     progress = RunProgress()
     _MACHINE.add_model(progress)
     return progress
 
 
 def release(progress: RunProgress) -> None:
-    """Let the machine forget a request that has ended."""
+    """Remove a finished request from the machine."""
     _MACHINE.remove_model(progress)
 
 
 def step(progress: RunProgress, trigger: str) -> None:
-    """Take one step.
+    """Change the state by a trigger.
 
-    Raises ``transitions.MachineError`` for a step that is not in the
-    table, which is a broken invariant.
+    Raises ``transitions.MachineError`` if the table has no transition for
+    the trigger in the current state.
     """
     progress.trigger(trigger)
--- a/samphiredock/coordination/once/_store_health.py
+++ b/samphiredock/coordination/once/_store_health.py
@@ -1,19 +1,22 @@
-"""Whether the platform's store answers the calls for claims."""
+"""Detects that the platform's store leaves calls for claims unanswered."""
 
 import itertools
 
 from samphiredock import timers
 
 SILENT_MS = 1_000.0
+"""Without an answer for this long, the store counts as silent."""
+
 PROBE_MS = 250.0
+"""How often one call is let through to a silent store."""
 
 
 class StoreHealth:
-    """Notices a store that takes calls and answers none.
+    """A circuit breaker for a store that accepts calls and never answers.
 
-    A store that refuses calls is noticed by each request itself, at once.
-    A silent one would hold every request until its deadline, so that
-    callers could not try again elsewhere in time.
+    A store that refuses calls fails each request at once.  A silent one
+    would hold every request until its deadline, too late for the caller to
+    retry at another daemon.
     """
 
     def __init__(self, clock: timers.Timers) -> None:
@@ -24,21 +27,21 @@
         self._probed_ms = clock.now_ms()
 
     def call_started(self) -> int:
-        """A call was sent; return its number."""
+        """Record that a call was sent; return its number."""
         number = next(self._numbers)
         self._begun_ms[number] = self._clock.now_ms()
         return number
 
     def call_ended(self, number: int, is_answered: bool) -> None:
-        """A call ended, with or without an answer of the store."""
+        """Record that a call ended, with or without an answer."""
         self._begun_ms.pop(number, None)
         if is_answered:
             self._answered_ms = self._clock.now_ms()
 
     def allows_call(self) -> bool:
-        """Whether to try a claim; a silent store is tried now and then."""
+        """Return whether to call the store; a silent one gets probes only."""
         now_ms = self._clock.now_ms()
-        # Calls keep their order in the dict: the first is the oldest.
+        # The dict keeps insertion order, so the first call is the oldest.
         oldest_ms = next(iter(self._begun_ms.values()), now_ms)
         silent_since_ms = max(oldest_ms, self._answered_ms)
         if now_ms - silent_since_ms < SILENT_MS:
