--- a/samphiredock/coordination/config/__init__.py
+++ b/samphiredock/coordination/config/__init__.py
@@ -1,4 +1,4 @@
-"""What is in force: accepted, watched, told on, kept."""
+"""Accepts, watches, distributes and holds the configuration in force."""
 
 from samphiredock import lazy
 
--- a/samphiredock/coordination/config/_accept.py
+++ b/samphiredock/coordination/config/_accept.py
@@ -1,9 +1,9 @@
-"""Acceptance of a configuration change by one conditional update.
+"""Accepts configuration changes by conditional updates of one object.
 
-A change made from revision *b* can only ever be stored as revision *b* + 1,
-and the object lists its last changes.  So whoever reads the object later
-can tell whether the change was accepted by looking at that one row, also
-when the answer to the write was lost and others have changed it since.
+A change based on revision *b* can only be stored as revision *b* + 1, and
+the stored object lists its last changes.  Any later read therefore tells
+from that one row whether the change was accepted, even if the answer to the
+write was lost and other changes have followed.
 """
 
 import enum
@@ -21,6 +21,8 @@
 from samphiredock import transport
 
 RECENT_CHANGES = 200
+"""How many changes the stored object lists."""
+
 _ATTEMPTS = 5
 _RETRY_DELAY_MS = 100.0
 _RETRY_AFTER_MS = 1_000
@@ -30,7 +32,7 @@
 
 
 class ChangeStatus(enum.Enum):
-    """Where a change stands against the stored object."""
+    """How a change relates to the stored object."""
 
     APPLICABLE = 'applicable'
     ACCEPTED = 'accepted'
@@ -44,11 +46,13 @@
     revision: int,
     recent: list[protocol.ChangeSummary],
 ) -> ChangeStatus:
-    """Tell where ``change`` stands when ``revision`` is the newest known.
+    """Return the status of ``change``, given the newest known revision.
 
-    ``STALE_READ`` means that what was read is older than the change's base:
-    a stale read, which proves nothing.  ``NOT_LISTED`` means that the row
-    that would tell is no longer listed.
+    ``APPLICABLE``: the change can be written.  ``ACCEPTED``: it is stored.
+    ``CONFLICT``: another change was stored as the revision after its base.
+    ``STALE_READ``: the object that was read is older than the change's base,
+    which proves nothing.  ``NOT_LISTED``: the row that would tell has
+    dropped out of the list.
     """
     if change.base_revision > revision:
         return ChangeStatus.STALE_READ
@@ -78,16 +82,17 @@
 
 
 class Acceptor:
-    """Bring operators' changes into the store, and tell them truly.
+    """Writes operators' changes to the store and returns their outcomes.
 
     Parameters
     ----------
     platform
-        The object service.
+        The object store.
     current_state
-        What is in force here; an accepted change is offered to it at once.
+        The configuration in force here; an accepted change is offered to it
+        at once.
     clock, counters
-        The timer service and the metrics of this daemon.
+        The timers and the metrics of this daemon.
     """
 
     def __init__(
@@ -101,14 +106,14 @@
         self._current_state = current_state
         self._clock = clock
         self._metrics = counters
-        # Changes whose write may have taken effect: a later call for the
-        # same change must not be told that nothing was changed.
+        # Ids of changes whose write may have taken effect: a later call for
+        # the same change must not answer "unavailable".
         self._possibly_written: set[str] = set()
 
     async def apply(
         self, change: protocol.ConfigurationChange
     ) -> protocol.ChangeOutcome:
-        """Accept a change, or say why not."""
+        """Validate and store a change; return its outcome."""
         draft = self._draft(change, [])
         compiled = state.compile_source(draft)
         if isinstance(compiled, result.Failure):
@@ -126,7 +131,10 @@
         return outcome
 
     async def history(self) -> list[protocol.ChangeSummary]:
-        """Return the last changes, newest first, from store or memory."""
+        """Return the last changes, newest first.
+
+        From the stored object or the one in force here, whichever is newer.
+        """
         found = await self._read()
         local = self._current_state.source
         rows = [source for source in (found.value_or(None), local) if source]
@@ -151,7 +159,11 @@
     def abandoned_outcome(
         self, change: protocol.ConfigurationChange, detail: str
     ) -> protocol.ChangeOutcome:
-        """Return what is true of a change that is not tried any more."""
+        """Return the outcome of a change that is not retried any more.
+
+        "Unknown" if an earlier write may have taken effect, else
+        "unavailable".
+        """
         if change.repeated or change.change_id in self._possibly_written:
             return protocol.ChangeUnknown(detail, _RETRY_AFTER_MS)
         return protocol.ChangeUnavailable(detail, _RETRY_AFTER_MS)
@@ -159,7 +171,11 @@
     async def _attempt(
         self, change: protocol.ConfigurationChange
     ) -> protocol.ChangeOutcome | str:
-        """Read, judge and write once; a text means: try again."""
+        """Read the object and write the change if it is applicable.
+
+        Returns the outcome, or the reason as a text if the change should be
+        tried again.
+        """
         found = await self._platform.get(_current_state.CONFIGURATION_KEY)
         stored, version = None, transport.CREATE_ONLY
         if isinstance(found, result.Success):
@@ -183,9 +199,9 @@
     def _newest(
         self, stored: state.ConfigurationSource | None
     ) -> state.ConfigurationSource | None:
-        # A store restored from a backup shows an older revision than is in
-        # force.  Numbering on from it would give two changes one number,
-        # and daemons would ignore the second for ever.
+        # A store restored from a backup has an older revision than the one
+        # in force.  Counting on from it would give two changes the same
+        # number, and daemons would never apply the second.
         local = self._current_state.source
         rows = [source for source in (stored, local) if source]
         return max(rows, key=lambda row: row.revision, default=None)
@@ -208,7 +224,7 @@
         self._possibly_written.add(change.change_id)
         revision = newest.revision if newest else 0
         return (
-            f'the store shows revision {revision}, expected at least '
+            f'stale read: got revision {revision}, expected at least '
             f'{change.base_revision}'
         )
 
@@ -220,7 +236,8 @@
     ) -> protocol.ChangeOutcome | str:
         source = self._draft(change, recent)
         value = msgspec.json.encode(source)
-        # A daemon that stops may give the call up while the write is out.
+        # A stopping daemon may abandon this call while the put is in flight,
+        # so the change counts as possibly written from here on.
         was_possibly_written = change.change_id in self._possibly_written
         self._possibly_written.add(change.change_id)
         put = await self._platform.put(
@@ -238,8 +255,8 @@
             self._possibly_written.discard(change.change_id)
         if error.kind is transport.StoreErrorKind.REFUSED:
             return protocol.ChangeInvalid([error.detail])
-        # After a lost answer, writing again under the same expected version
-        # is safe: of the two writes at most one can take effect.
+        # Retrying with the same expected version after a lost answer is
+        # safe: at most one of the two puts can succeed.
         return f'write: {error.kind.value}: {error.detail}'
 
     def _draft(
@@ -269,4 +286,6 @@
     try:
         return result.Success(_SOURCE.decode(value))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return result.Failure(f'the stored object is unreadable: {error}')
+        return result.Failure(
+            f'the stored configuration cannot be decoded: {error}'
+        )
--- a/samphiredock/coordination/config/_current_state.py
+++ b/samphiredock/coordination/config/_current_state.py
@@ -1,8 +1,8 @@
-"""The configuration and snapshot in force at this daemon.
+"""The configuration and snapshot held by this daemon.
 
-The daemon applies only a higher revision than the one in force, so that a
-stale read, a frozen peer or a store restored from a backup can never bring
-an older one back.
+Only a higher revision than the one in force is applied, so that a stale
+read, a peer that was frozen or a store restored from a backup cannot bring
+back an older one.
 """
 
 import typing
@@ -26,7 +26,7 @@
 
 
 class CurrentState:
-    """The configuration and snapshot in force at this daemon."""
+    """The configuration in force and the newest snapshot of this daemon."""
 
     def __init__(self, counters: metrics.Metrics) -> None:
         self._metrics = counters
@@ -42,7 +42,7 @@
 
     @property
     def revision(self) -> int:
-        """The configuration's revision in force, 0 before the first."""
+        """The revision in force, 0 before the first."""
         return self.configuration.revision if self.configuration else 0
 
     @property
@@ -51,32 +51,35 @@
         return self.snapshot.snapshot_id if self.snapshot else 0
 
     def versions(self) -> protocol.HeldVersions:
-        """Return what probes tell the peers."""
+        """Return the held versions, which probes carry to peers."""
         return protocol.HeldVersions(self.revision, self.snapshot_id)
 
     def version(self, key: str) -> int:
-        """Return the revision or snapshot id held under a store key."""
+        """Return the revision or snapshot id held for a store key."""
         return {
             CONFIGURATION_KEY: self.revision,
             SNAPSHOT_KEY: self.snapshot_id,
         }.get(key, 0)
 
     def value(self, key: str) -> bytes | None:
-        """Return the object's bytes, for a peer that asks."""
+        """Return the object's bytes as stored, None before the first."""
         return self._values.get(key)
 
     def subscribe(
         self, callback: typing.Callable[[state.Configuration], None]
     ) -> None:
-        """Call back with each configuration that comes into force."""
+        """Call ``callback`` with each configuration that comes into force."""
         self._subscribers.append(callback)
 
     def on_adopted(self, callback: typing.Callable[[str, int], None]) -> None:
-        """Call back with key and version when a newer object is taken."""
+        """Call ``callback`` with key and version of each newer object."""
         self._adopted_callbacks.append(callback)
 
     def offer(self, key: str, value: bytes) -> bool:
-        """Take an object's bytes if it is newer and sound."""
+        """Decode and take an object if it is newer and valid.
+
+        Returns whether it was taken.
+        """
         try:
             if key == CONFIGURATION_KEY:
                 return self.offer_source(_SOURCE.decode(value), value)
@@ -90,7 +93,10 @@
     def offer_source(
         self, source: state.ConfigurationSource, value: bytes | None = None
     ) -> bool:
-        """Apply a configuration if it is newer and sound."""
+        """Apply a configuration if it is newer and valid.
+
+        Returns whether it was applied.
+        """
         if source.revision <= self.revision:
             self._report_older(source.revision)
             return False
@@ -115,7 +121,7 @@
     def offer_snapshot(
         self, snapshot: state.Snapshot, value: bytes | None = None
     ) -> bool:
-        """Take a snapshot if it is newer."""
+        """Take a snapshot if it is newer; return whether it was taken."""
         if snapshot.snapshot_id <= self.snapshot_id:
             return False
         self.snapshot = snapshot
@@ -141,11 +147,11 @@
             return
         self._metrics.add('configuration_older_seen')
         if revision < self._lowest_reported:
-            # A store restored from a backup shows it again at each poll:
-            # one line for each lower revision is enough.
+            # A store restored from a backup returns it at each poll, so only
+            # a revision lower than those logged before is logged.
             self._lowest_reported = revision
             _log.warn(
-                'older configuration seen and not applied',
+                'older configuration ignored',
                 revision=revision,
                 in_force=self.revision,
             )
--- a/samphiredock/coordination/config/_distribution.py
+++ b/samphiredock/coordination/config/_distribution.py
@@ -1,8 +1,8 @@
-"""What few daemons find in the store, told to the others of their site.
+"""Distributes stored objects to all daemons of a site.
 
-Two daemons of each site wait at the store.  Everybody reads once at the
-start, and asks seldom for what has changed since, which finds what a relay
-lost.
+A few daemons of each site watch the store and relay changed objects to the
+others.  Every daemon reads all objects at start, and polls at long intervals
+to find changes whose relay was lost.
 """
 
 from samphiredock.coordination.config import _current_state
@@ -22,7 +22,7 @@
 def follow_configuration(
     watcher: _watcher.Watcher, current_state: _current_state.CurrentState
 ) -> None:
-    """Feed the configuration and the snapshots to ``current_state``."""
+    """Offer configurations and snapshots from the store to the state."""
 
     def take(stored: transport.StoredObject) -> None:
         current_state.offer(stored.key, stored.value)
@@ -32,14 +32,14 @@
 
 
 class ObjectDistribution:
-    """Wires watcher, exchange and membership of one daemon together.
+    """Connects watcher, exchange and membership of one daemon.
 
     Parameters
     ----------
     name, site
-        This daemon.
+        Of this daemon.
     current_state, watcher, membership, peers, clock, counters
-        The parts.
+        The parts of this daemon that are connected.
     """
 
     def __init__(
@@ -71,11 +71,11 @@
         peers.subscribe(protocol.ObjectChanged, self._on_object)
 
     def announce_configuration(self) -> None:
-        """Push a revision that was accepted here to all daemons."""
+        """Announce the revision in force here to all daemons."""
         self.exchange.announce(_current_state.CONFIGURATION_KEY)
 
     def is_watcher(self) -> bool:
-        """Whether this daemon reads the platform for its site."""
+        """Return whether this daemon watches the store for its site."""
         watchers = _membership.watchers_of(
             self._membership.live(), self._site, WATCHERS_PER_SITE
         )
@@ -89,7 +89,7 @@
             self.exchange.announce(stored.key, self._site)
             return
         if len(stored.value) > _RELAY_LIMIT_BYTES:
-            # The others find it at their next poll.
+            # The other daemons read it at their next poll.
             self._metrics.add('objects_too_large_to_relay')
             return
         self._membership.broadcast(
--- a/samphiredock/coordination/config/_exchange.py
+++ b/samphiredock/coordination/config/_exchange.py
@@ -1,10 +1,11 @@
-"""Configuration and snapshots from peer to peer.
-
-A notice of a version goes to all; whoever lacks it asks the sender of the
-notice, so that a large object crosses to each daemon once.  A peer that is
-requested before it has the object answers when it gets it.  Versions told with
-the probes make the same notice: a daemon that missed one asks the next
-peer it speaks with, also while the store is down.
+"""Exchanges configuration and snapshots between daemons.
+
+A daemon with a new version sends a notice to all.  Each daemon that lacks
+the version requests the object from the sender of the notice, so that a
+large object is transferred to each daemon once.  A daemon that is asked
+before it has the object answers once it gets it.  Probes carry the versions
+too: a daemon that missed a notice requests the object from the next peer it
+exchanges probes with, even while the store is down.
 """
 
 import typing
@@ -16,24 +17,24 @@
 from samphiredock import timers
 
 _REQUEST_RETRY_MS = 600.0
-_WAITING_PEERS_LIMIT = 1_000
+_WAITING_PEERS_LIMIT = 1_000  # per object
 
 
 class ObjectExchange:
-    """Tells, asks for and hands out the objects of one daemon.
+    """Announces, requests and sends objects for one daemon.
 
     Parameters
     ----------
     name
         This daemon's name.
     current_state
-        What is held here.
+        The configuration and snapshot held here.
     peers
         The peer sockets.
     broadcast
         Sends to all members, or to those of one site.
     clock, counters
-        The timer service and metrics of this daemon.
+        The timers and metrics of this daemon.
     """
 
     def __init__(
@@ -61,7 +62,7 @@
         peers.subscribe(protocol.ObjectChanged, self._on_object)
 
     def announce(self, key: str, site: str | None = None) -> None:
-        """Tell all members, or a site's, which version is held here."""
+        """Send all members, or those of a site, the version held here."""
         version = self._current_state.version(key)
         if version:
             notice = protocol.ObjectVersion(key, version, self._name)
@@ -70,7 +71,7 @@
     def on_peer_versions(
         self, member: str, versions: protocol.HeldVersions
     ) -> None:
-        """Ask a peer that holds something newer."""
+        """Request what a peer holds in a newer version."""
         keys = _current_state.CONFIGURATION_KEY, _current_state.SNAPSHOT_KEY
         held = versions.revision, versions.snapshot_id
         for key, version in zip(keys, held):
@@ -116,7 +117,8 @@
             self._metrics.add('objects_received', key=changed.key)
             self._current_state.offer(changed.key, changed.value)
             if self._current_state.version(changed.key) < changed.version:
-                # It can't be read here; asking again would not help.
+                # This daemon cannot decode or apply it; do not request this
+                # version again.
                 self._unreadable[changed.key] = changed.version
 
     def _on_adopted(self, key: str, version: int) -> None:
--- a/samphiredock/coordination/config/_snapshot_validator.py
+++ b/samphiredock/coordination/config/_snapshot_validator.py
@@ -1,4 +1,4 @@
-"""Which published snapshot is in force here: only a sound one."""
+"""Validates published snapshots before they come into force."""
 
 from samphiredock import logs
 from samphiredock import metrics
@@ -8,11 +8,11 @@
 
 
 class SnapshotValidator:
-    """Keep the older snapshot when a published one is malformed.
+    """Keeps the last valid snapshot when a published one is invalid.
 
-    A gap in the shard ranges would make every answer partial, an overlap
-    would count keys twice.  A refused snapshot is looked at again when the
-    configuration changes, since that may name the targets it needs.
+    A gap in the shard ranges would make every answer partial, and an overlap
+    would count keys twice.  A refused snapshot is validated again when the
+    configuration changes, as the new one may have the targets it names.
     """
 
     def __init__(self, counters: metrics.Metrics) -> None:
@@ -27,7 +27,7 @@
         published: state.Snapshot | None,
         configuration: state.Configuration | None,
     ) -> state.Snapshot | None:
-        """Return the newest sound snapshot, given the newest published."""
+        """Return the newest valid snapshot, given the newest published one."""
         checked_snapshot, checked_configuration = self._last_checked
         if (
             published is checked_snapshot
--- a/samphiredock/coordination/config/_watcher.py
+++ b/samphiredock/coordination/config/_watcher.py
@@ -1,7 +1,7 @@
-"""Follow objects of the platform's store.
+"""Follows objects of the platform's store.
 
-A daemon that watches waits at the store for changes; one that does not asks
-seldom for what has changed, which costs the store a short call.
+A watching daemon holds long polls for changes.  Other daemons ask for the
+changes at long intervals, each a short call for the store.
 """
 
 import asyncio
@@ -19,10 +19,10 @@
 _WATCH_MS = 30_000
 _RETRY_DELAY_MS = 200.0
 _RETRY_DELAY_LIMIT_MS = 400.0
-"""Between calls while the store does not answer: the first pause, then twice
-that.  60 daemons that start without the store made 1,100 calls in 6 s at the
-first pause alone (one played day).  A longer one would save more, and keep the
-callers of a small system waiting once the store is back."""
+"""Delays between calls to a store that fails: the first one and the limit.
+
+A higher limit spares the store, but delays the recovery once it is back.
+"""
 
 _POLL_MS = 20_000.0
 _CHECK_MS = 500.0
@@ -35,19 +35,20 @@
 
 
 class Watcher:
-    """Follow objects of the platform's store for the parts of a daemon.
+    """Follows objects of the platform's store for one daemon.
 
     Parameters
     ----------
     platform
-        The object service.
+        The object store.
     clock, counters
         The timers and metrics of this daemon.
     watch_ms
-        How long one watch waits for a change.
+        How long one long poll waits for a change.
     collect_ms
-        By prefix, how long to let changes gather after one: when many
-        targets start at once, each would end a watch of every daemon.
+        By prefix, how long to wait after a change before the next watch, so
+        that the changes of many targets that start together are read at once
+        instead of ending a long poll each.
     """
 
     def __init__(
@@ -83,16 +84,16 @@
     def follow(self, prefix: str, handler: ObjectHandler) -> None:
         """Call ``handler`` with each object below ``prefix`` that changes.
 
-        To be called before :meth:`start`.  An object may be shown more
-        than once, and an older version after a newer one: handlers keep
-        the newest by their own rule.
+        To be called before :meth:`start`.  An object may be delivered more
+        than once, and an older version after a newer one: handlers decide
+        which one is newer.
         """
         self._handlers[prefix] = handler
 
     def follow_pages(self, prefix: str, handler: PageHandler) -> None:
         """Call ``handler`` with each page of changes below ``prefix``.
 
-        For parts to which it matters that an object is gone.  To be called
+        For callers that need to know of deleted objects.  To be called
         before :meth:`start`.
         """
         self._page_handlers[prefix] = handler
@@ -100,10 +101,10 @@
     def poll_stale(
         self, period_ms: typing.Callable[[str], float | None]
     ) -> None:
-        """Read by polls that may be stale while not is_watching.
+        """While not watching, poll with reads that may be stale.
 
-        ``period_ms`` gives the time between polls of a prefix, None for
-        none.  For parts that need to know roughly only.
+        ``period_ms`` returns the interval between polls of a prefix, None
+        for no polls.  For callers that can use slightly outdated objects.
         """
         self._stale_period_ms = period_ms
 
@@ -126,9 +127,10 @@
         self._page_handlers[prefix](page)
 
     def has_followed_since(self, since_ms: float) -> bool:
-        """Whether a watch of every prefix that began later has answered.
+        """Return whether the store answered watches sent since a time.
 
-        What is known is then as new as the store had it at that time.
+        True if for every prefix such a watch was answered: what is known
+        here is then at least as new as the store was at that time.
         """
         prefixes = [*self._handlers, *self._page_handlers]
         return all(
@@ -137,7 +139,7 @@
         )
 
     def has_heard_within(self, span_ms: float) -> bool:
-        """Whether a watch of every prefix has answered not long ago."""
+        """Return whether a watch of every prefix was answered recently."""
         since_ms = self._clock.now_ms() - span_ms
         prefixes = [*self._handlers, *self._page_handlers]
         return all(
@@ -146,7 +148,7 @@
         )
 
     def on_outage(self, callback: typing.Callable[[], None]) -> None:
-        """Call back at each call that the store did not answer."""
+        """Call ``callback`` at each call that the store failed."""
         self._on_outage.append(callback)
 
     def watch_only_while(
@@ -155,23 +157,27 @@
         daemon_count: typing.Callable[[], int],
         relay: ObjectHandler,
     ) -> None:
-        """Watch only while ``is_watcher()``; ``relay`` what is found."""
+        """Watch only while ``is_watcher()``; otherwise poll.
+
+        ``relay`` is called with each changed object that a watch finds.
+        The poll interval grows with ``daemon_count()``.
+        """
         self._is_watcher = is_watcher
         self._daemon_count = daemon_count
         self._relay = relay
 
     def on_first_read(self, callback: typing.Callable[[], None]) -> None:
-        """Call back when every prefix has been asked for once."""
+        """Call ``callback`` once a first read of every prefix has ended."""
         self._on_first_read.append(callback)
 
     def deliver(self, stored: transport.StoredObject) -> None:
-        """Show an object, from the store or from a peer, to its handlers."""
+        """Pass an object, from the store or from a peer, to its handlers."""
         for prefix, handler in self._handlers.items():
             if stored.key.startswith(prefix):
                 handler(stored)
 
     def start(self) -> None:
-        """Watch in the background."""
+        """Start to follow all prefixes in the background."""
         prefixes = [*self._handlers, *self._page_handlers]
         self._unread_prefixes = set(prefixes)
         for prefix in prefixes:
@@ -181,7 +187,7 @@
             self._tasks.append(task)
 
     def close(self) -> None:
-        """Stop is_watching."""
+        """Stop following."""
         for task in self._tasks:
             task.cancel()
 
@@ -228,7 +234,7 @@
                 await _pause.pause(self._clock, self._collect_ms[prefix]())
 
     def _on_failure(self, prefix: str, error: transport.StoreError) -> bool:
-        """Tell of a failed call; True if all must be read anew."""
+        """Report a failed call; return whether to read all objects again."""
         self._metrics.add('store_watch_failures', kind=error.kind.value)
         if prefix not in self._failing:
             self._failing.add(prefix)
--- a/samphiredock/coordination/once/__init__.py
+++ b/samphiredock/coordination/once/__init__.py
@@ -1,4 +1,4 @@
-"""Runs requests that may not be repeated at most once, by stored claims."""
+"""Runs non-repeatable requests at most once, by claims in the store."""
 
 from samphiredock import lazy
 
--- a/samphiredock/coordination/once/_claim_bucket.py
+++ b/samphiredock/coordination/once/_claim_bucket.py
@@ -17,6 +17,8 @@
 """How long the version of a successful put is used without a new read."""
 
 READ_BACK_LIMIT = 5
+"""How often to try to read back a claim whose put got no answer."""
+
 _BACKOFF_MS = 4.0
 _BACKOFF_LIMIT_MS = 2_000.0
 
@@ -284,10 +286,10 @@
         return self._on_store_error(error)
 
     def _on_store_error(self, error: transport.StoreError) -> float:
-        """Refuse the claims that are not in the store; return the delay.
+        """Refuse the waiting claims; return the delay before a retry in ms.
 
-        A claim whose put got no answer may be there, so it is refused only
-        after ``READ_BACK_LIMIT`` failed commits.
+        A claim whose put got no answer may be granted, so it is refused only
+        after ``READ_BACK_LIMIT`` failed attempts to read it back.
         """
         self._metrics.add('claim_store_errors', kind=error.kind.value)
         self._cached = None
--- a/samphiredock/coordination/once/_run_request.py
+++ b/samphiredock/coordination/once/_run_request.py
@@ -104,7 +104,7 @@
         admitted: _run_admission.AdmittedRequest,
         report: protocol.RunReport | None,
     ) -> None:
-        """Tell the quarantine if a target was lost while it ran the request."""
+        """Tell the quarantine if the report says that a target was lost."""
         if report is not None and report.target_lost:
             self._quarantine.note_lost(admitted.fingerprint, report.target)
 
