--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -39,7 +39,7 @@
         number: int, registry: _claim_registry.ClaimRegistry
     ) -> None:
         token = f'entry-{number % daemons}/1700000000000/{number}'
-        place = state.place_of('payout', f'key-{number}')
+        place = state.locate_claim('payout', f'key-{number}')
         content = state.content_digest('release', {'n': str(number)})
         started_ms = clock.now_ms()
         wanted = state.Claim(
@@ -48,8 +48,8 @@
         opened = await registry.open(place, wanted, started_ms + 2_000)
         waits_ms.append(clock.now_ms() - started_ms)
         granted.append(
-            isinstance(opened.opened, state.Opened)
-            and opened.opened.verdict is state.Verdict.GRANTED
+            isinstance(opened.opened, state.OpenDecision)
+            and opened.opened.status is state.OpenStatus.GRANTED
         )
         await _pause.pause(clock, randomness.uniform(5, 50))
         await registry.close(place, state.done_claim(wanted, True, _RECEIPT))
@@ -95,7 +95,7 @@
     """Print medians over the seeds, one line for each setting."""
     for rate in rates:
         for count in buckets:
-            _claims.BUCKETS = count
+            _claims.BUCKET_COUNT = count
             rows = [
                 asyncio.run(_measure(daemons, rate, seconds, seed))
                 for seed in range(seeds)
--- a/samphiredock/coordination/once/_claim_acquirer.py
+++ b/samphiredock/coordination/once/_claim_acquirer.py
@@ -51,9 +51,9 @@
             )
             run.may_be_stored |= ended.may_be_stored
             opened = ended.opened
-            if not isinstance(opened, state.Opened):
+            if not isinstance(opened, state.OpenDecision):
                 return self._not_acquired(run, opened)
-            if opened.verdict is state.Verdict.GRANTED:
+            if opened.status is state.OpenStatus.GRANTED:
                 run.step('grant')
                 return None
             ended_here = self._outcome_in_bucket(run, opened)
@@ -78,10 +78,10 @@
                 run.step('reclaim')
 
     def _outcome_in_bucket(
-        self, run: _run_request.Run, opened: state.Opened
+        self, run: _run_request.Run, opened: state.OpenDecision
     ) -> protocol.RunOutcome | None:
         """Return the outcome that the bucket gives, None for an open claim."""
-        if opened.verdict is state.Verdict.FULL:
+        if opened.status is state.OpenStatus.FULL:
             return self._recorder.answer_not_run(
                 run,
                 protocol.NotRunReason.OVERLOADED,
@@ -89,7 +89,7 @@
                 'claim; this attempt was not run',
                 _run_request.RETRY_AFTER_MS,
             )
-        if opened.verdict is state.Verdict.KEY_REUSED:
+        if opened.status is state.OpenStatus.KEY_REUSED:
             return self._refuse_reused_key(run)
         assert opened.claim is not None
         if opened.claim.state is state.ClaimState.DONE:
--- a/samphiredock/coordination/once/_claim_registry.py
+++ b/samphiredock/coordination/once/_claim_registry.py
@@ -22,7 +22,7 @@
     a delayed put arrives.
     """
 
-    opened: state.Opened | _claim_bucket.Unavailable | None
+    opened: state.OpenDecision | _claim_bucket.Unavailable | None
     may_be_stored: bool
 
 
@@ -52,7 +52,7 @@
 
     async def open(
         self,
-        place: state.Place,
+        place: state.ClaimLocation,
         wanted: state.Claim,
         deadline_at_ms: float,
         replaces: str | None = None,
@@ -103,7 +103,7 @@
         return OpenResult(opened, granted or change.put_sent)
 
     def close(
-        self, place: state.Place, final: state.Claim
+        self, place: state.ClaimLocation, final: state.Claim
     ) -> asyncio.Future[bool]:
         """Record how a claim ended, retrying until it is recorded.
 
@@ -169,9 +169,9 @@
 
 
 def _is_granted(
-    opened: state.Opened | _claim_bucket.Unavailable | None,
+    opened: state.OpenDecision | _claim_bucket.Unavailable | None,
 ) -> bool:
     return (
-        isinstance(opened, state.Opened)
-        and opened.verdict is state.Verdict.GRANTED
+        isinstance(opened, state.OpenDecision)
+        and opened.status is state.OpenStatus.GRANTED
     )
--- a/tests/unit/test_target_signs.py
+++ b/tests/unit/test_target_signs.py
@@ -1,4 +1,4 @@
-"""Signs of leaving and of return."""
+"""Signs that targets are leaving or back."""
 
 import random
 import unittest
@@ -16,7 +16,7 @@
 
 
 class SignsCase(unittest.IsolatedAsyncioTestCase):
-    """One daemon over a fake store."""
+    """One daemon with a store in memory."""
 
     def setUp(self) -> None:
         self.clock = timers.ManualTimers()
@@ -56,7 +56,7 @@
 
 
 class TargetSignsTest(SignsCase):
-    """One daemon's knowledge of the signs."""
+    """Which sign of which source decides."""
 
     def test_newest_object_wins_in_any_order(self) -> None:
         self._object(True, 20)
@@ -71,7 +71,9 @@
         self.assertEqual(1, self.counters.total('target_objects_unreadable'))
         self._assert_usable(True)
 
-    def test_list_that_lags_does_not_undo_the_targets_own_word(self) -> None:
+    def test_outdated_host_list_does_not_undo_the_targets_own_sign(
+        self,
+    ) -> None:
         self.signs.on_target_report('t1', True)
         self._hosts(False)
         self._assert_usable(False)
@@ -88,7 +90,7 @@
         self.signs.on_target_report('t1', False)
         self._assert_usable(True)
 
-    def test_new_sign_is_told_and_an_older_return_does_not_undo_it(
+    def test_new_sign_is_broadcast_and_an_older_return_ignored(
         self,
     ) -> None:
         self.signs.on_target_report('t1', True)
@@ -103,18 +105,20 @@
             self.peers.of(protocol.TargetSign)[1].at_ms, sign.at_ms + 1
         )
 
-    def test_word_asked_before_a_sign_came_is_no_return(self) -> None:
+    def test_answer_requested_before_the_sign_is_no_return(self) -> None:
         asked_at_ms = self.clock.wall_ms()
         self.clock.advance(5.0)
         self.signs.on_target_report('t1', True)
         self.signs.on_target_report('t1', False, asked_at_ms)
         self._assert_usable(False)
-        told = [row.leaving for row in self.peers.of(protocol.TargetSign)]
-        self.assertEqual([True], told)
+        sent_signs = [
+            row.leaving for row in self.peers.of(protocol.TargetSign)
+        ]
+        self.assertEqual([True], sent_signs)
         self.signs.on_target_report('t1', False, asked_at_ms + 6)
         self._assert_usable(True)
 
-    def test_peer_that_asks_is_told_what_is_known(self) -> None:
+    def test_peer_that_asks_gets_the_known_signs(self) -> None:
         self.signs.on_target_report('t1', True)
         self.peers.sent.clear()
         self.peers.deliver(protocol.TargetSignsWanted(), 'd3')
@@ -138,7 +142,7 @@
 
 
 class HostListTest(SignsCase):
-    """Few daemons read the platform's list for all."""
+    """A few daemons read the platform's host list for all."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -152,7 +156,7 @@
         await dispatching.settle()
 
     async def test_only_watchers_read_it_again(self) -> None:
-        """490 daemons that each read it would take 490 reads a second."""
+        """Reads of the list must not grow with the number of daemons."""
         for is_watcher, reads in ((False, 1), (True, 11)):
             with self.subTest(is_watcher=is_watcher):
                 self.is_watcher = is_watcher
@@ -163,8 +167,8 @@
                 signs.close()
                 self.assertEqual(reads, self.store.calls['hosts'])
 
-    async def test_what_a_watcher_reads_holds_at_the_others(self) -> None:
-        """Leaving and return, with the first notice of each lost."""
+    async def test_other_daemons_apply_what_a_watcher_reads(self) -> None:
+        """Leaving and return, with the first broadcast of each lost."""
         for leaving in (True, False):
             self.clock.advance(1_000.0)
             self._hosts(leaving)
@@ -177,18 +181,20 @@
         return signs.leaving(), signs.targets_to_probe()
 
     def _exchange(self) -> int:
-        """Let the other ask; return how many signs it was told."""
+        """Let the other daemon ask; return how many signs it was sent."""
         self.other._ask_peer()
-        asked = self.other_peers.of(protocol.TargetSignsWanted)[-1]
+        settling_after_reads = self.other_peers.of(protocol.TargetSignsWanted)[
+            -1
+        ]
         self.peers.sent.clear()
-        self.peers.deliver(asked)
-        told = self.peers.of(protocol.TargetSign)
-        for sign in told:
+        self.peers.deliver(settling_after_reads)
+        sent_signs = self.peers.of(protocol.TargetSign)
+        for sign in sent_signs:
             self.other_peers.deliver(sign)
-        return len(told)
+        return len(sent_signs)
 
-    def test_peer_that_knows_all_is_told_nothing(self) -> None:
-        """2,300 signs each 2 s would be 70 KB/s at every daemon."""
+    def test_peer_with_the_same_signs_gets_none(self) -> None:
+        """Sending all signs each time would use much bandwidth."""
         names = [f't{number}' for number in range(50)]
         self.signs.on_hosts([transport.Host(name, True) for name in names])
         self.assertEqual([50, 0], [self._exchange(), self._exchange()])
