--- a/samphiredock/coordination/once/_claim_registry.py
+++ b/samphiredock/coordination/once/_claim_registry.py
@@ -161,8 +161,8 @@
         )
 
     def _drop_if_idle(self, path: str) -> None:
-        # A writer caches the object's value and buckets change over the
-        # day, so idle writers are dropped to bound memory.
+        # A writer caches the object's value.  Idle writers are dropped, so
+        # that memory does not grow with the number of buckets used.
         writer = self._writers.get(path)
         if writer is not None and not writer.is_busy:
             del self._writers[path]
--- a/samphiredock/coordination/once/_run_admission.py
+++ b/samphiredock/coordination/once/_run_admission.py
@@ -18,8 +18,8 @@
 
     ``content_digest`` identifies operation and body; a key may be used again
     only with the same digest.  ``fingerprint`` identifies the content for
-    the quarantine.  ``since_ms`` is the Unix time from
-    which the claim's retention counts.
+    the quarantine.  ``since_ms`` is the Unix time from which the claim's
+    retention counts.
     """
 
     request: protocol.RunRequest
