--- a/samphiredock/coordination/config/_snapshot_validator.py
+++ b/samphiredock/coordination/config/_snapshot_validator.py
@@ -1,4 +1,4 @@
-"""Which published snapshot is in force here: only a sound one."""
+"""Validates published snapshots before they come into force."""
 
 from samphiredock import logs
 from samphiredock import metrics
@@ -8,40 +8,47 @@
 
 
 class SnapshotValidator:
-    """Keep the older snapshot when a published one is malformed.
+    """Keeps the last valid snapshot when a published one is invalid.
 
-    A gap in the shard ranges would make every answer partial, an overlap
-    would count keys twice.  A refused snapshot is looked at again when the
-    configuration changes, since that may name the targets it needs.
+    A gap in the shard ranges would make every answer partial, and an overlap
+    would count keys twice.  A refused snapshot is validated again when the
+    configuration changes, as the new one may have the targets it names.
     """
 
     def __init__(self, counters: metrics.Metrics) -> None:
         self._metrics = counters
-        self._held: state.Snapshot | None = None
-        self._looked_at: tuple[
+        self._valid: state.Snapshot | None = None
+        self._last_checked: tuple[
             state.Snapshot | None, state.Configuration | None
         ] = (None, None)
 
     def current(
         self,
-        offered: state.Snapshot | None,
+        published: state.Snapshot | None,
         configuration: state.Configuration | None,
     ) -> state.Snapshot | None:
-        """Return the newest sound snapshot, given the newest published."""
-        seen, under = self._looked_at
-        if offered is seen and configuration is under:
-            return self._held
-        self._looked_at = (offered, configuration)
-        if offered is None or configuration is None or offered is self._held:
-            return self._held
-        problems = state.check_snapshot(offered, configuration.targets)
+        """Return the newest valid snapshot, given the newest published one."""
+        checked_snapshot, checked_configuration = self._last_checked
+        if (
+            published is checked_snapshot
+            and configuration is checked_configuration
+        ):
+            return self._valid
+        self._last_checked = (published, configuration)
+        if (
+            published is None
+            or configuration is None
+            or published is self._valid
+        ):
+            return self._valid
+        problems = state.check_snapshot(published, configuration.targets)
         if not problems:
-            self._held = offered
-            return self._held
+            self._valid = published
+            return self._valid
         self._metrics.add('snapshots_refused')
         _log.error(
             'snapshot refused',
-            snapshot_id=offered.snapshot_id,
+            snapshot_id=published.snapshot_id,
             problems=problems[:5],
         )
-        return self._held
+        return self._valid
