--- a/samphiredock/coordination/forwarding/_caller_time.py
+++ b/samphiredock/coordination/forwarding/_caller_time.py
@@ -3,29 +3,29 @@
 Callers of a route give the same time in all, and state what is left of it:
 less on a new connection, whose packets went back and forth before, less if
 another daemon had the request, and less for a second try.  What one states
-below the most that was stated lately has been spent.
+below the most that was samples lately has been spent.
 """
 
 import collections
 
-REMEMBERED = 64
-"""Requests of a route whose stated times are compared."""
+MAX_SAMPLES = 64
+"""Requests of a route whose samples times are compared."""
 
-BELIEVED_SHARE = 0.5
+MAX_SPENT_SHARE = 0.5
 """Part of a route's aim up to which a difference is taken for time spent.
 Connecting takes 6 to 12 ms of an aim of 57 to 120 ms; a caller that has
 spent half of the aim is late anyhow, or has other times than the rest."""
 
 
-ROUTES_REMEMBERED = 256
+MAX_ROUTES = 256
 """Routes are renamed for good; 256 of them take 0.2 MB."""
 
 
-class CallerTimes:
-    """The times that callers have stated lately, by route."""
+class CallerTimeEstimator:
+    """The times that callers have samples lately, by route."""
 
     def __init__(self) -> None:
-        self._stated: dict[str, collections.deque[float]] = {}
+        self._samples: dict[str, collections.deque[float]] = {}
 
     def spent_ms(
         self, route: str, left_ms: float | None, aim_ms: float
@@ -43,17 +43,17 @@
         """
         if left_ms is None:
             return 0.0
-        stated = self._stated_on(route)
-        stated.append(left_ms)
-        spent = max(stated) - left_ms
-        return spent if spent <= aim_ms * BELIEVED_SHARE else 0.0
-
-    def _stated_on(self, route: str) -> collections.deque[float]:
-        """Return what was stated on a route, which is the newest now."""
-        stated = self._stated.pop(route, None)
-        if stated is None:
-            stated = collections.deque(maxlen=REMEMBERED)
-        self._stated[route] = stated
-        if len(self._stated) > ROUTES_REMEMBERED:
-            del self._stated[next(iter(self._stated))]
-        return stated
+        samples = self._route_samples(route)
+        samples.append(left_ms)
+        spent = max(samples) - left_ms
+        return spent if spent <= aim_ms * MAX_SPENT_SHARE else 0.0
+
+    def _route_samples(self, route: str) -> collections.deque[float]:
+        """Return what was samples on a route, which is the newest now."""
+        samples = self._samples.pop(route, None)
+        if samples is None:
+            samples = collections.deque(maxlen=MAX_SAMPLES)
+        self._samples[route] = samples
+        if len(self._samples) > MAX_ROUTES:
+            del self._samples[next(iter(self._samples))]
+        return samples
--- a/samphiredock/coordination/forwarding/_collected_parts.py
+++ b/samphiredock/coordination/forwarding/_collected_parts.py
@@ -24,7 +24,7 @@
         self._top = top
         self._receipts: dict[str, str] = {}
         self._records = b''
-        self._may_give_way: dict[str, tuple[str, bytes]] = {}
+        self._replaceable: dict[str, tuple[str, bytes]] = {}
         self._expected: set[str] = set()
 
     def expect_merged(self, shards: typing.Iterable[str]) -> None:
@@ -35,27 +35,27 @@
         """No merged part will come any more that holds these shards."""
         for shard in shards:
             self._expected.discard(shard)
-            part = self._may_give_way.pop(shard, None)
+            part = self._replaceable.pop(shard, None)
             if part is not None:
-                self._take({shard: part[0]}, part[1])
+                self._merge({shard: part[0]}, part[1])
 
     def add_merged(
         self, receipts: typing.Mapping[str, str], records: bytes
     ) -> None:
         """Take a merged part in; others of its shards give way."""
         for shard in receipts:
-            self._may_give_way.pop(shard, None)
+            self._replaceable.pop(shard, None)
         self._expected.difference_update(receipts)
-        self._take(receipts, records)
+        self._merge(receipts, records)
 
     def add(self, shard: str, receipt: str, body: bytes) -> None:
         """Take the part of one shard in, unless the shard has one."""
-        if shard in self._receipts or shard in self._may_give_way:
+        if shard in self._receipts or shard in self._replaceable:
             return
         if shard in self._expected:
-            self._may_give_way[shard] = (receipt, body)
+            self._replaceable[shard] = (receipt, body)
         else:
-            self._take({shard: receipt}, body)
+            self._merge({shard: receipt}, body)
 
     def floor(self) -> bytes:
         """Return a record that no smaller one can displace in the answer.
@@ -70,15 +70,15 @@
 
     def receipts(self) -> tuple[str, ...]:
         """Return the receipts of all shards that are in."""
-        apart = [receipt for receipt, _ in self._may_give_way.values()]
+        apart = [receipt for receipt, _ in self._replaceable.values()]
         return (*self._receipts.values(), *apart)
 
     def body(self) -> bytes:
         """Return the greatest records of all parts, greatest first."""
-        apart = [body for _, body in self._may_give_way.values()]
+        apart = [body for _, body in self._replaceable.values()]
         return _route_plans.merge_parts([self._records, *apart], self._top)
 
-    def _take(
+    def _merge(
         self, receipts: typing.Mapping[str, str], records: bytes
     ) -> None:
         self._receipts.update(receipts)
--- a/samphiredock/coordination/forwarding/_forward_types.py
+++ b/samphiredock/coordination/forwarding/_forward_types.py
@@ -33,7 +33,7 @@
         """Whether an answer belongs to this request and to no other."""
 
 
-class Table(typing.Protocol):
+class RouteTable(typing.Protocol):
     """One version of the routes."""
 
     @property
@@ -48,7 +48,7 @@
     """What is known of the routes."""
 
     @property
-    def table(self) -> Table | None:
+    def table(self) -> RouteTable | None:
         """The table in force, None before the first."""
 
 
--- a/samphiredock/coordination/forwarding/_forwarder.py
+++ b/samphiredock/coordination/forwarding/_forwarder.py
@@ -87,22 +87,22 @@
         self._clock = clock
         self._metrics = counters
         self._splitter = _splitter.Splitter()
-        self._notes = _outcome_log.OutcomeLog(clock, counters)
-        self._times = _caller_time.CallerTimes()
-        self._numbers = itertools.count(1)
-        self._under_way: dict[str, _pending_requests.PendingRequest] = {}
-        self._has_given_up = False
+        self._outcome_log = _outcome_log.OutcomeLog(clock, counters)
+        self._caller_times = _caller_time.CallerTimeEstimator()
+        self._query_numbers = itertools.count(1)
+        self._pending: dict[str, _pending_requests.PendingRequest] = {}
+        self._is_stopping = False
 
     def close(self) -> None:
         """Write the lines that wait."""
-        self._notes.close()
+        self._outcome_log.close()
 
     def pending_requests(self) -> list[_pending_requests.PendingSummary]:
         """Return the requests that have no outcome yet."""
         now_ms = self._clock.now_ms()
         return [
             _pending_requests.summarize(pending, now_ms)
-            for pending in self._under_way.values()
+            for pending in self._pending.values()
         ]
 
     def finish_all(self) -> None:
@@ -113,9 +113,9 @@
         that it may have run nor that it has not.  So each gets the outcome
         that is true now, in the same turn.
         """
-        self._has_given_up = True
+        self._is_stopping = True
         now_ms = self._clock.now_ms()
-        for pending in list(self._under_way.values()):
+        for pending in list(self._pending.values()):
             if not pending.done.done():
                 pending.trace.add(now_ms, 'given up', why='stopping')
                 self._sender.finish_now(pending)
@@ -137,7 +137,7 @@
         started_ms = self._clock.now_ms()
         planned = self._plan(request, started_ms, hop_ms)
         if isinstance(planned, result.Failure):
-            return self._notes.log_refused(
+            return self._outcome_log.log_refused(
                 request, planned.failure(), started_ms
             )
         return await self._run(planned.unwrap(), started_ms)
@@ -150,7 +150,7 @@
         now_ms: float,
         hop_ms: float,
     ) -> result.Result[_route_plans.ForwardPlan, protocol.NotRun]:
-        if self._has_given_up:
+        if self._is_stopping:
             return _refused(
                 protocol.NotRunReason.SHUTTING_DOWN,
                 'this daemon is stopping; ask another one',
@@ -179,22 +179,22 @@
         targets = {
             service: self._targets.of_service(service) for service in services
         }
-        open_to = sum(
+        usable = sum(
             any(map(self._targets.is_usable, names))
             for names in targets.values()
         )
         least = _route_plans.least_shards(route) if route.shards else 1
-        if open_to < least:
+        if usable < least:
             # Waiting would end in the same refusal, only later.
             return _refused(
                 protocol.NotRunReason.NO_TARGET,
-                f'got {open_to} services of {len(services)} with a target '
+                f'got {usable} services of {len(services)} with a target '
                 f'that can be reached, expected at least {least}',
                 NO_TARGET_RETRY_MS,
             )
         spent_ms = 0.0
         if route.shards:
-            spent_ms = self._times.spent_ms(
+            spent_ms = self._caller_times.spent_ms(
                 route.name, request.deadline_ms, route.aim_ms
             )
         return result.Success(
@@ -204,7 +204,7 @@
                 table.version,
                 services,
                 targets,
-                str(next(self._numbers)),
+                str(next(self._query_numbers)),
                 self._settings.site,
                 now_ms,
                 self._settings.caller_way_ms + spent_ms + hop_ms,
@@ -229,11 +229,11 @@
             plan,
             scatter,
             done,
-            _request_log.Trail(started_ms),
+            _request_log.RequestTrace(started_ms),
             assignments=assignments,
         )
         query_id = plan.scatter.query_id
-        self._under_way[query_id] = pending
+        self._pending[query_id] = pending
         try:
             self._sender.apply(pending, scatter.start(started_ms))
             finish: _scatter_types.Finish = await done
@@ -241,16 +241,16 @@
             scatter.abandon()
             self._sender.cancel(pending)
             self._metrics.add('requests_left', route=plan.route.name)
-            self._notes.log_ended(pending, None)
+            self._outcome_log.log_ended(pending, None)
             raise
         finally:
-            del self._under_way[query_id]
+            del self._pending[query_id]
             if pending.timer is not None:
                 pending.timer.cancel()
         outcome = _pending_requests.outcome_of(
             pending, finish, self._clock.now_ms()
         )
-        self._notes.log_ended(pending, outcome)
+        self._outcome_log.log_ended(pending, outcome)
         return outcome
 
 
--- a/samphiredock/coordination/forwarding/_freshness_check.py
+++ b/samphiredock/coordination/forwarding/_freshness_check.py
@@ -23,7 +23,7 @@
 FRESHNESS_CHECK_INTERVAL_MS = 500.0
 """How often one that does not hear the store asks."""
 
-VOUCHED_MS = 1_200.0
+VALID_MS = 1_200.0
 """How long an answer holds: the next one may get lost.  A change that was
 accepted meanwhile is known here later by so long, of some seconds that it may
 take."""
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Standing:
+class RoundResult:
     """What the answers of one round of questions say, from ``at_ms`` on.
 
     ``newest`` is the newest version that a daemon knows that hears the
@@ -60,28 +60,28 @@
     """What the other coordinators have answered lately."""
 
     def __init__(self) -> None:
-        self._standing: Standing | None = None
+        self._last_round: RoundResult | None = None
 
     def record_round(
         self, answers: typing.Sequence[StoreStatus], asked_ms: float
-    ) -> Standing | None:
+    ) -> RoundResult | None:
         """Take in the answers to questions asked at a time.
 
         Without any answer nothing is known: this daemon may be cut off, and
         the others may know more.
         """
         if answers:
-            heard = [row.version for row in answers if row.hears]
-            newest = max(heard) if heard else None
-            self._standing = Standing(asked_ms, newest)
-        return self._standing
+            versions = [row.version for row in answers if row.hears]
+            newest = max(versions) if versions else None
+            self._last_round = RoundResult(asked_ms, newest)
+        return self._last_round
 
     def may_serve(self, version: int, now_ms: float) -> bool:
         """Whether what is known here, of a version, may serve others."""
-        standing = self._standing
-        if standing is None or now_ms - standing.at_ms > VOUCHED_MS:
+        last_round = self._last_round
+        if last_round is None or now_ms - last_round.at_ms > VALID_MS:
             return False
-        return standing.newest is None or standing.newest <= version
+        return last_round.newest is None or last_round.newest <= version
 
 
 def store_status_request() -> protocol.HttpRequest:
--- a/samphiredock/coordination/forwarding/_introduce.py
+++ b/samphiredock/coordination/forwarding/_introduce.py
@@ -16,15 +16,15 @@
 
 INTRODUCTION_PATH = '/samphiredock/coordinators'
 
-INTRODUCE_EVERY_MS = 1_000.0
+MIN_INTERVAL_MS = 1_000.0
 """How soon a daemon that starts is told.  A kilobyte a second, most of it
 within a site."""
 
-TRIED = 4
+MAX_ATTEMPTS = 4
 """How many on the ring are tried until one takes it; the next may be down
 itself."""
 
-_SIZE_AT_FULL_PACE = 100
+_FULL_RATE_DAEMONS = 100
 """Daemons up to which each tells its neighbour every second; beyond, the
 list of coordinators grows with the sites and the pace falls with it.  At 195
 daemons each 2 s, 0.8 KB/s each; with 30 here a daemon that starts without the
@@ -35,7 +35,7 @@
 
 def introduction_interval_ms(daemons: int) -> float:
     """Return the time between two introductions by one daemon."""
-    return INTRODUCE_EVERY_MS * max(1.0, daemons / _SIZE_AT_FULL_PACE)
+    return MIN_INTERVAL_MS * max(1.0, daemons / _FULL_RATE_DAEMONS)
 
 
 def successors(
@@ -50,7 +50,7 @@
     if name not in names:
         return []
     at = names.index(name) + 1
-    return [*ring[at:], *ring[: at - 1]][:TRIED]
+    return [*ring[at:], *ring[: at - 1]][:MAX_ATTEMPTS]
 
 
 def introduction_request(
--- a/samphiredock/coordination/forwarding/_live_targets.py
+++ b/samphiredock/coordination/forwarding/_live_targets.py
@@ -8,12 +8,12 @@
 from samphiredock import state
 from samphiredock import timers
 
-RETURN_MS = 2_500.0
+STORE_GRACE_MS = 2_500.0
 """How long an entry may be missing after the store has been away.  Entries
 lapse while nobody can renew them and are back within about two seconds;
 taken as gone at once, all targets would be lost with the store."""
 
-_NAMED_SERVICES = 16
+_MAX_SERVICES_LOGGED = 16
 """Services that one log line names at most."""
 
 _log = logs.logger('targets')
@@ -35,9 +35,9 @@
         self._by_service: dict[str, list[str]] = {}
         self._missing: dict[str, float] = {}
         self._misdirected: set[str] = set()
-        self._store_back_ms = -RETURN_MS
-        self._on_gone: list[typing.Callable[[state.LiveTarget], None]] = []
-        self._on_new: list[typing.Callable[[state.LiveTarget], None]] = []
+        self._store_unavailable_ms = -STORE_GRACE_MS
+        self._on_removed: list[typing.Callable[[state.LiveTarget], None]] = []
+        self._on_added: list[typing.Callable[[state.LiveTarget], None]] = []
 
     # What is known.
 
@@ -80,13 +80,13 @@
         self, callback: typing.Callable[[state.LiveTarget], None]
     ) -> None:
         """Call back with each target that is not registered any more."""
-        self._on_gone.append(callback)
+        self._on_removed.append(callback)
 
     def on_added(
         self, callback: typing.Callable[[state.LiveTarget], None]
     ) -> None:
         """Call back with each target that is seen for the first time."""
-        self._on_new.append(callback)
+        self._on_added.append(callback)
 
     def put(self, target: state.LiveTarget) -> None:
         """Take in a target's newest entry."""
@@ -105,9 +105,11 @@
             self._missing.pop(target.target_id, None)
         if not changed:
             return
-        self._forget_reborn(changed)
+        self._drop_restarted(changed)
         new = [row for row in changed if row.target_id not in self._targets]
-        turned = [row for row in changed if self._turned(row)]
+        changed_leaving = [
+            row for row in changed if self._is_leaving_changed(row)
+        ]
         for target in changed:
             if target.target_id not in self._records:
                 self._records[target.target_id] = (
@@ -116,12 +118,12 @@
             self._records[target.target_id].set_leaving(target.leaving)
             self._targets[target.target_id] = target
         self._index()
-        _note_changes(new, turned)
+        _log_changes(new, changed_leaving)
         for target in new:
-            for callback in self._on_new:
+            for callback in self._on_added:
                 callback(target)
 
-    def _forget_reborn(self, changed: list[state.LiveTarget]) -> None:
+    def _drop_restarted(self, changed: list[state.LiveTarget]) -> None:
         """Drop what was known of targets that have started again.
 
         One that starts again under its id holds nothing of before: its old
@@ -135,7 +137,7 @@
             ):
                 self._drop(target.target_id, 'started again')
 
-    def _turned(self, target: state.LiveTarget) -> bool:
+    def _is_leaving_changed(self, target: state.LiveTarget) -> bool:
         """Whether a known target begins to leave, or has come back."""
         before = self._targets.get(target.target_id)
         return before is not None and before.leaving != target.leaving
@@ -145,7 +147,7 @@
         if target_id not in self._targets:
             return
         now_ms = self._clock.now_ms()
-        until_ms = self._store_back_ms + RETURN_MS
+        until_ms = self._store_unavailable_ms + STORE_GRACE_MS
         if now_ms >= until_ms:
             self._drop(target_id)
             return
@@ -165,7 +167,7 @@
 
     def on_store_unavailable(self) -> None:
         """The store did not answer; entries may lapse meanwhile."""
-        self._store_back_ms = self._clock.now_ms()
+        self._store_unavailable_ms = self._clock.now_ms()
 
     def mark_misdirected(self, target_id: str) -> None:
         """Another target has the address now: nothing more goes there."""
@@ -175,7 +177,7 @@
     def _drop_missing(self) -> None:
         now_ms = self._clock.now_ms()
         # Another outage since then moves the end of the wait.
-        until_ms = self._store_back_ms + RETURN_MS
+        until_ms = self._store_unavailable_ms + STORE_GRACE_MS
         if now_ms < until_ms:
             self._clock.after(until_ms - now_ms, self._drop_missing)
             return
@@ -191,7 +193,7 @@
         _log.info(
             'target gone', target=target_id, service=target.service, why=why
         )
-        for callback in self._on_gone:
+        for callback in self._on_removed:
             callback(target)
 
     def _index(self) -> None:
@@ -202,11 +204,11 @@
         self._by_service = dict(index)
 
 
-def _note_changes(
-    new: list[state.LiveTarget], turned: list[state.LiveTarget]
+def _log_changes(
+    new: list[state.LiveTarget], changed_leaving: list[state.LiveTarget]
 ) -> None:
     """Log which targets came, and which began to leave or came back."""
-    came = [*new, *turned]
+    came = [*new, *changed_leaving]
     if not came:
         return
     by_service = collections.Counter(row.service for row in came)
@@ -214,7 +216,7 @@
         'target entries',
         new=[row.target_id for row in new],
         leaving=[row.target_id for row in came if row.leaving],
-        back=[row.target_id for row in turned if not row.leaving],
-        services=dict(by_service.most_common(_NAMED_SERVICES)),
-        services_more=max(0, len(by_service) - _NAMED_SERVICES),
+        back=[row.target_id for row in changed_leaving if not row.leaving],
+        services=dict(by_service.most_common(_MAX_SERVICES_LOGGED)),
+        services_more=max(0, len(by_service) - _MAX_SERVICES_LOGGED),
     )
--- a/samphiredock/coordination/forwarding/_merger.py
+++ b/samphiredock/coordination/forwarding/_merger.py
@@ -13,18 +13,18 @@
 from samphiredock import protocol
 from samphiredock import timers
 
-_End = _report_batcher.Part | protocol.EndedItem
+_Result = _report_batcher.Part | protocol.EndedItem
 
 
-class _Gathered:
+class _GatherTimeout:
     """The end of the time to gather."""
 
 
-class _GivenUp:
+class _Aborted:
     """The end of this daemon's time."""
 
 
-_Event = _End | _Gathered | _GivenUp
+_Event = _Result | _GatherTimeout | _Aborted
 
 
 class Merger:
@@ -62,7 +62,7 @@
         process else.
         """
         for events in self._events:
-            events.put_nowait(_GivenUp())
+            events.put_nowait(_Aborted())
 
     def close(self) -> None:
         """Write the lines that wait."""
@@ -77,7 +77,7 @@
         request = order.request()
         tasks = [
             asyncio.create_task(
-                self._ask(request, item, order.left_ms, events)
+                self._send(request, item, order.left_ms, events)
             )
             for item in order.items
         ]
@@ -85,42 +85,42 @@
         self._metrics.add('order_items', len(tasks))
         timer = self._clock.after(
             order.gather_ms,
-            functools.partial(events.put_nowait, _Gathered()),
+            functools.partial(events.put_nowait, _GatherTimeout()),
         )
-        told = _Told(self._clock.now_ms())
+        totals = _Totals(self._clock.now_ms())
         self._events.add(events)
         try:
             while not batcher.is_done():
                 event = await events.get()
-                if isinstance(event, _GivenUp):
+                if isinstance(event, _Aborted):
                     return
-                report = _take(batcher, event)
+                report = _handle(batcher, event)
                 if report is not None:
-                    told.add(report)
+                    totals.add(report)
                     yield report
         finally:
             self._events.discard(events)
             timer.cancel()
             for task in tasks:
                 task.cancel()
-            self._note_end(order, told)
+            self._log_end(order, totals)
 
-    def _note_end(self, order: protocol.MergeOrder, told: '_Told') -> None:
-        silent = len(order.items) - told.parts - told.failed
+    def _log_end(self, order: protocol.MergeOrder, totals: '_Totals') -> None:
+        silent = len(order.items) - totals.parts - totals.failed
         self._log.end(
             order.request_id,
-            _request_log.Trail(told.began_ms),
-            not silent and not told.failed,
+            _request_log.RequestTrace(totals.began_ms),
+            not silent and not totals.failed,
             event='order ended',
             targets=len(order.items),
-            parts=told.parts,
-            failed=told.failed,
+            parts=totals.parts,
+            failed=totals.failed,
             silent=silent,
-            late=told.late,
+            late=totals.late,
             gather_ms=round(order.gather_ms, 1),
         )
 
-    async def _ask(
+    async def _send(
         self,
         request: protocol.ForwardRequest,
         item: protocol.OrderedItem,
@@ -166,7 +166,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Told:
+class _Totals:
     """What was reported of an order."""
 
     began_ms: float
@@ -180,11 +180,11 @@
         self.late = self.late or report.is_late
 
 
-def _take(
-    batcher: _report_batcher.ReportBatcher, event: _End | _Gathered
+def _handle(
+    batcher: _report_batcher.ReportBatcher, event: _Result | _GatherTimeout
 ) -> protocol.MergeReport | None:
     """Give an event to the batcher; return what is to be reported."""
-    if isinstance(event, _Gathered):
+    if isinstance(event, _GatherTimeout):
         return batcher.on_gather_timeout()
     if isinstance(event, protocol.EndedItem):
         return batcher.on_failure(event)
--- a/samphiredock/coordination/forwarding/_outcome_log.py
+++ b/samphiredock/coordination/forwarding/_outcome_log.py
@@ -41,7 +41,7 @@
         self._metrics.add('requests_refused', reason=refusal.reason.value)
         self._log.end(
             request.request_id,
-            _request_log.Trail(started_ms),
+            _request_log.RequestTrace(started_ms),
             False,
             outcome='refused',
             reason=refusal.reason.value,
--- a/samphiredock/coordination/forwarding/_pending_requests.py
+++ b/samphiredock/coordination/forwarding/_pending_requests.py
@@ -69,7 +69,7 @@
     plan: _route_plans.ForwardPlan
     scatter: _scatter.Scatter
     done: asyncio.Future
-    trace: _request_log.Trail
+    trace: _request_log.RequestTrace
     timer: timers.Subscription | None = None
     assignments: _merger_assignments.MergerAssignments | None = None
     timer_due_ms: float = math.inf
--- a/samphiredock/coordination/forwarding/_presence.py
+++ b/samphiredock/coordination/forwarding/_presence.py
@@ -22,21 +22,21 @@
 
 DAEMONS_PREFIX = 'samphiredock-daemons/'
 
-LIST_EVERY_MS = 5_000.0
+LIST_INTERVAL_MS = 5_000.0
 """How soon a daemon that was added gets its part of the budget.  The list
 may be stale, which costs the store a tenth of a call."""
 
-FIRST_LIST_MS = 1_000.0
+FIRST_INTERVAL_MS = 1_000.0
 """When the list is read again after a start; then in doubling steps, while
 daemons that start together register."""
 
-_SIZE_OF_LIST = 30
+_FULL_RATE_DAEMONS = 30
 """Daemons up to which each lists them at the full pace.  Beyond, the bytes
 of all lists would grow with the square: 62 daemons read 115 KB/s of them,
 two thirds of it from other sites."""
 
-_STARTING_LISTS = 3
-_STARTING_FACTOR = 2
+_STARTUP_LISTS = 3
+_STARTUP_FACTOR = 2
 _RETRY_MS = 1_000.0
 
 _log = logs.logger('presence')
@@ -82,10 +82,10 @@
         self._daemons: tuple[_roles.Daemon, ...] = ()
         self._has_listed = False
         self._is_listed = False
-        self._is_new = True
+        self._must_register = True
         self._task: asyncio.Task | None = None
         self._version = 0
-        self._first = asyncio.Event()
+        self._first_list_done = asyncio.Event()
 
     def daemons(self) -> tuple[_roles.Daemon, ...]:
         """Return the daemons of the newest list, empty before the first."""
@@ -111,7 +111,7 @@
 
     async def wait_listed(self) -> None:
         """Wait until the list has been asked for once."""
-        await self._first.wait()
+        await self._first_list_done.wait()
 
     async def leave(self) -> None:
         """Remove this daemon's object."""
@@ -125,15 +125,15 @@
 
     async def _run(self) -> None:
         await self._join()
-        self._first.set()
+        self._first_list_done.set()
         for number in itertools.count():
-            starting = number < _STARTING_LISTS
-            every_ms = self._every_ms()
+            starting = number < _STARTUP_LISTS
+            interval_ms = self._interval_ms()
             if starting:
-                every_ms = FIRST_LIST_MS * _STARTING_FACTOR**number
-            await _pause.pause(self._clock, every_ms)
+                interval_ms = FIRST_INTERVAL_MS * _STARTUP_FACTOR**number
+            await _pause.pause(self._clock, interval_ms)
             await self._list(may_be_stale=True)
-            if self._is_new:
+            if self._must_register:
                 await self._register()
 
     async def _join(self) -> None:
@@ -145,18 +145,20 @@
         registered.
         """
         while not await self._list(may_be_stale=True) or (
-            self._is_new and not await self._register()
+            self._must_register and not await self._register()
         ):
             # The store is away: nobody is known, so this daemon reads for
             # itself.
-            self._first.set()
+            self._first_list_done.set()
             await _pause.pause(self._clock, _RETRY_MS)
         if len(self._daemons) <= 1:
             await self._list(may_be_stale=False)
 
-    def _every_ms(self) -> float:
+    def _interval_ms(self) -> float:
         """Return the time between lists; all together read as many rows."""
-        return LIST_EVERY_MS * max(1.0, len(self._daemons) / _SIZE_OF_LIST)
+        return LIST_INTERVAL_MS * max(
+            1.0, len(self._daemons) / _FULL_RATE_DAEMONS
+        )
 
     async def _register(self) -> bool:
         expected = transport.CREATE_ONLY
@@ -165,7 +167,7 @@
         reply = await self._store.put(self._key, self._value(), expected)
         if isinstance(reply, result.Success):
             self._version = reply.unwrap()
-            self._is_new = False
+            self._must_register = False
             return True
         # A conflict is this daemon's own object, from before a restart; the
         # next list shows it.
@@ -200,11 +202,11 @@
         rows = {row.key: row for row in reply.unwrap()}
         self._is_listed = self._key in rows
         if self._is_listed:
-            self._take_own(rows[self._key])
+            self._adopt_own_object(rows[self._key])
         else:
             # Removed when this daemon stopped before, and shown by an older
             # list since; or not in this one yet, which costs a refused write.
-            self._is_new = True
+            self._must_register = True
         found = {self._me.name: self._me}
         for row in rows.values():
             daemon = _read(row)
@@ -218,7 +220,7 @@
         self._on_list(self._daemons)
         return True
 
-    def _take_own(self, stored: transport.StoredObject) -> None:
+    def _adopt_own_object(self, stored: transport.StoredObject) -> None:
         """See whether the object from before tells what is so now.
 
         Where the targets were is kept until they have been listed again.
@@ -227,10 +229,10 @@
         before = _read(stored)
         if before is None:
             return
-        self._is_new = before != dataclasses.replace(
+        self._must_register = before != dataclasses.replace(
             self._me, near=before.near
         )
-        if not self._is_new:
+        if not self._must_register:
             self._me = before
 
 
--- a/samphiredock/coordination/forwarding/_request_log.py
+++ b/samphiredock/coordination/forwarding/_request_log.py
@@ -2,8 +2,8 @@
 
 Every request has a line at its end.  One that did not go well has a line
 for each decision as well: to whom it was sent and why, what came back, what
-was refused and with which budget left.  The decisions are kept until the
-end is known, so that a good request's never take the place of a bad one's.
+was refused and with which budget left.  The entries are kept until the
+end is known, so that a is_ok request's never take the place of a bad one's.
 """
 
 import collections
@@ -14,16 +14,16 @@
 from samphiredock import metrics
 from samphiredock import timers
 
-GOOD_LINES_PER_S = 50.0
+SUCCESS_LINES_PER_S = 50.0
 """A daemon serves about 15 requests a second; at a burst of thousands the
-lines of good ones are a sample."""
+lines of is_ok ones are a sample."""
 
-BAD_LINES_PER_S = 400.0
+FAILURE_LINES_PER_S = 400.0
 """Decisions of 10 to 20 failed requests a second.  A line takes some 60 us,
 so that both bounds together stay under 3 % of a core."""
 
-_WRITE_EVERY_MS = 20.0
-_LINES_A_TURN = 12
+_WRITE_INTERVAL_MS = 20.0
+_LINES_PER_WRITE = 12
 """Lines are written a few at a time, 600 a second as the bounds allow.  A
 search of 90 shards that was late leaves some 200 of them, 12 ms of work: at
 once, it would make the next ones late as well."""
@@ -51,12 +51,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Decision:
+class TraceEntry:
     """One decision about a request, ``at_ms`` after it came."""
 
     at_ms: float
     event: str
-    facts: typing.Mapping[str, object]
+    fields: typing.Mapping[str, object]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -65,22 +65,22 @@
 
     at_ms: float
     event: str
-    facts: typing.Mapping[str, object]
+    fields: typing.Mapping[str, object]
 
 
-class Trail:
-    """The decisions about one request, until its end is known."""
+class RequestTrace:
+    """The entries about one request, until its end is known."""
 
-    __slots__ = ('started_ms', 'decisions')
+    __slots__ = ('started_ms', 'entries')
 
     def __init__(self, started_ms: float) -> None:
         self.started_ms = started_ms
-        self.decisions: list[Decision] = []
+        self.entries: list[TraceEntry] = []
 
-    def add(self, now_ms: float, event: str, **facts: object) -> None:
+    def add(self, now_ms: float, event: str, **fields: object) -> None:
         """Keep one decision."""
         at_ms = round(now_ms - self.started_ms, 1)
-        self.decisions.append(Decision(at_ms, event, facts))
+        self.entries.append(TraceEntry(at_ms, event, fields))
 
 
 class RequestLog:
@@ -97,53 +97,53 @@
     ) -> None:
         self._clock = clock
         self._metrics = counters
-        self._good = _Bucket(GOOD_LINES_PER_S)
-        self._bad = _Bucket(BAD_LINES_PER_S)
+        self._success_bucket = _Bucket(SUCCESS_LINES_PER_S)
+        self._failure_bucket = _Bucket(FAILURE_LINES_PER_S)
         self._waiting: collections.deque[_Line] = collections.deque()
-        self._writes = False
+        self._has_timer = False
 
     def end(
         self,
         request_id: str,
-        trail: Trail,
-        good: bool,
+        trace: RequestTrace,
+        is_ok: bool,
         event: str = 'request ended',
-        **facts: object,
+        **fields: object,
     ) -> None:
-        """Write a request's end, and its decisions if it went badly.
+        """Write a request's end, and its entries if it went badly.
 
         ``event`` is what has ended: the request, or an order for it.
         """
-        lines = [] if good else trail.decisions
-        bucket = self._good if good else self._bad
+        lines = [] if is_ok else trace.entries
+        bucket = self._success_bucket if is_ok else self._failure_bucket
         if not bucket.take(1 + len(lines), self._clock.now_ms()):
             self._metrics.add('request_lines_left_out', 1 + len(lines))
             return
         now_ms, wall_ms = self._clock.now_ms(), self._clock.wall_ms()
-        began_wall_ms = wall_ms - (now_ms - trail.started_ms)
+        began_wall_ms = wall_ms - (now_ms - trace.started_ms)
         self._waiting += [
             _Line(
                 began_wall_ms + row.at_ms,
                 row.event,
-                {'request': request_id, 'at_ms': row.at_ms, **row.facts},
+                {'request': request_id, 'at_ms': row.at_ms, **row.fields},
             )
             for row in lines
         ]
-        took_ms = round(now_ms - trail.started_ms, 1)
-        said = {'request': request_id, 'took_ms': took_ms, **facts}
-        self._waiting.append(_Line(wall_ms, event, said))
-        self._write_later()
+        took_ms = round(now_ms - trace.started_ms, 1)
+        end_fields = {'request': request_id, 'took_ms': took_ms, **fields}
+        self._waiting.append(_Line(wall_ms, event, end_fields))
+        self._schedule_write()
 
-    def _write_later(self) -> None:
+    def _schedule_write(self) -> None:
         """Keep one timer, and only while lines wait."""
-        if self._waiting and not self._writes:
-            self._writes = True
-            self._clock.after(_WRITE_EVERY_MS, self._write_some)
+        if self._waiting and not self._has_timer:
+            self._has_timer = True
+            self._clock.after(_WRITE_INTERVAL_MS, self._write_some)
 
     def _write_some(self) -> None:
-        self._writes = False
-        self.write(_LINES_A_TURN)
-        self._write_later()
+        self._has_timer = False
+        self.write(_LINES_PER_WRITE)
+        self._schedule_write()
 
     def write(self, count: int | None = None) -> None:
         """Write lines that wait, ``count`` at most; None for all."""
@@ -152,6 +152,6 @@
             line = self._waiting.popleft()
             # When it happened, not when there was time to write it.
             _log.info(
-                line.event, time=logs.time_text(line.at_ms), **line.facts
+                line.event, time=logs.time_text(line.at_ms), **line.fields
             )
             left -= 1
--- a/samphiredock/coordination/forwarding/_roles.py
+++ b/samphiredock/coordination/forwarding/_roles.py
@@ -23,7 +23,7 @@
 power stay open at the target for a while, beside those of its successor; on
 a played day targets reset 114 connections beyond their limit."""
 
-LARGE_SHARE = 0.5
+MIN_CORES_SHARE = 0.5
 """A daemon coordinates if its host does at least this part of the work of
 the site's largest.  Sending a search to 90 shards takes some 20 ms of a
 core; on a host of a quarter of that it took 97 ms to the answer, and 57 ms
@@ -63,11 +63,9 @@
     chosen = []
     for rows in by_site.values():
         ranked = sorted(rows, key=_rank)
-        least_cores = ranked[0].cores * LARGE_SHARE
+        min_cores = ranked[0].cores * MIN_CORES_SHARE
         chosen += [
-            daemon
-            for daemon in ranked[:per_site]
-            if daemon.cores >= least_cores
+            daemon for daemon in ranked[:per_site] if daemon.cores >= min_cores
         ]
     return chosen
 
@@ -122,7 +120,7 @@
     def __init__(self, name: str, per_site: int) -> None:
         self._name = name
         self._per_site = per_site
-        self._alone_until_ms = 0.0
+        self._temporary_until_ms = 0.0
         self.coordinators: frozenset[str] = frozenset()
         self.is_candidate = False
         self.coordinates = True
@@ -138,7 +136,8 @@
         self.is_candidate = any(row.name == self._name for row in candidates)
         self.coordinators = coordinators_of(daemons, self._per_site)
         coordinates = (
-            self._name in self.coordinators or now_ms < self._alone_until_ms
+            self._name in self.coordinators
+            or now_ms < self._temporary_until_ms
         )
         if coordinates == self.coordinates:
             return False
@@ -148,7 +147,7 @@
 
     def coordinate_temporarily(self, now_ms: float, for_ms: float) -> None:
         """Coordinate for a time, since no coordinator can be reached."""
-        self._alone_until_ms = now_ms + for_ms
+        self._temporary_until_ms = now_ms + for_ms
         if not self.coordinates:
             self.coordinates = True
             self.since_ms = now_ms
--- a/samphiredock/coordination/forwarding/_route_plans.py
+++ b/samphiredock/coordination/forwarding/_route_plans.py
@@ -14,7 +14,7 @@
 from samphiredock import protocol
 from samphiredock import state
 
-MERGE_MS = 4.0
+MERGE_RESERVE_MS = 4.0
 """What is left for the merge and the way to the socket when an answer is
 due: 20 parts merge in about 1 ms, the rest is for a busy loop."""
 
@@ -90,7 +90,7 @@
     answer_by_ms = math.inf
     least = 1.0
     if route.shards:
-        answer_by_ms = now_ms + route.aim_ms - caller_way_ms - MERGE_MS
+        answer_by_ms = now_ms + route.aim_ms - caller_way_ms - MERGE_RESERVE_MS
         # Half a shard less: the parts of the key space are rounded.
         least = (least_shards(route) - 0.5) / len(services)
     shards = shards_of(services, targets)
--- a/samphiredock/coordination/forwarding/_target_client.py
+++ b/samphiredock/coordination/forwarding/_target_client.py
@@ -65,7 +65,7 @@
         self._dialect = dialect
         self._links = links
         self._clock = clock
-        self._once_kept_ms = once_kept_ms
+        self._max_idle_once_ms = once_kept_ms
         self._crashes = crashes
 
     async def send(
@@ -108,7 +108,7 @@
             self._dialect.target_request(request, target, left_ms),
             left_ms,
             lambda got: self._dialect.is_reply_to(request, got),
-            math.inf if repeatable else self._once_kept_ms,
+            math.inf if repeatable else self._max_idle_once_ms,
             is_wanted,
             on_send=on_send,
         )
--- a/samphiredock/coordination/forwarding/_window_budget.py
+++ b/samphiredock/coordination/forwarding/_window_budget.py
@@ -21,7 +21,7 @@
 a shard is missing from the answer, without a hedge the answer is late."""
 
 
-class _Group:
+class _Window:
     """First and extra requests to one service in the last window."""
 
     __slots__ = ('needed', 'extra')
@@ -30,7 +30,7 @@
         self.needed: collections.deque[float] = collections.deque()
         self.extra: collections.deque[float] = collections.deque()
 
-    def forget(self, before_ms: float) -> None:
+    def drop_before(self, before_ms: float) -> None:
         for times in (self.needed, self.extra):
             while times and times[0] < before_ms:
                 times.popleft()
@@ -73,7 +73,7 @@
         self._slack = slack
         self._window_ms = window_ms
         self._daemons = daemons
-        self._groups: dict[str, _Group] = collections.defaultdict(_Group)
+        self._windows: dict[str, _Window] = collections.defaultdict(_Window)
 
     def set_bounds(self, ratio: float, slack: float, window_ms: float) -> None:
         """Keep to other bounds from now on."""
@@ -85,26 +85,26 @@
         """Count the first request to each shard; ``share`` is not used."""
         now_ms = self._clock.now_ms()
         for shard in shards:
-            self._groups[shard].needed.append(now_ms)
+            self._windows[shard].needed.append(now_ms)
 
     def left(self, shard: str, part: float = 1.0) -> float:
         """Return how many more extra requests may be sent to a shard now."""
-        group = self._groups[shard]
-        group.forget(self._clock.now_ms() - self._window_ms)
+        window = self._windows[shard]
+        window.drop_before(self._clock.now_ms() - self._window_ms)
         daemons = self._daemons()
         slack = self._slack / daemons if daemons else 0.0
-        ours = self._ratio * len(group.needed) + slack
-        return ours * _USED_SHARE * part - len(group.extra)
+        ours = self._ratio * len(window.needed) + slack
+        return ours * _USED_SHARE * part - len(window.extra)
 
     def spend_hedge(self, shard: str = '') -> bool:
         """Count a hedge, if there is room for it."""
-        return self._spend(shard, _HEDGE_SHARE)
+        return self._try_spend(shard, _HEDGE_SHARE)
 
     def spend_retry(self, shard: str = '') -> bool:
         """Count a retry, if there is room for it."""
-        return self._spend(shard, 1.0)
+        return self._try_spend(shard, 1.0)
 
-    def _spend(self, shard: str, part: float) -> bool:
+    def _try_spend(self, shard: str, part: float) -> bool:
         if self.left(shard, part) < 1.0:
             return False
         self.owe(shard)
@@ -112,10 +112,10 @@
 
     def owe(self, shard: str = '') -> None:
         """Count an extra request that cannot be refused."""
-        self._groups[shard].extra.append(self._clock.now_ms())
+        self._windows[shard].extra.append(self._clock.now_ms())
 
     def refund(self, shard: str = '') -> None:
         """Take back the newest extra request, which reached no target."""
-        extra = self._groups[shard].extra
+        extra = self._windows[shard].extra
         if extra:
             extra.pop()
--- a/tests/failure/test_given_up.py
+++ b/tests/failure/test_given_up.py
@@ -27,7 +27,7 @@
         await memory_links.settle()
         return task
 
-    async def _give_up(
+    async def _finish(
         self, task: asyncio.Task[protocol.ForwardOutcome]
     ) -> protocol.ForwardOutcome:
         """Give up; the outcome is there without any time passing."""
@@ -42,7 +42,7 @@
             with self.subTest(path):
                 self.setUp()
                 task = await self._ask(path)
-                outcome = await self._give_up(task)
+                outcome = await self._finish(task)
                 self.assertIsInstance(outcome, protocol.Unknown)
 
     async def test_what_all_targets_refused_has_not_run(self) -> None:
@@ -51,7 +51,7 @@
         while self.desk.links.open:
             self.desk.links.open[0].refuse()
             await memory_links.settle()
-        outcome = await self._give_up(task)
+        outcome = await self._finish(task)
         self.assertIsInstance(outcome, protocol.NotRun)
         self.assertGreater(outcome.retry_after_ms, 0)
 
@@ -64,7 +64,7 @@
             with self.subTest(path):
                 self.setUp()
                 self.desk.links.busy = {f'p-{n}' for n in range(3)}
-                outcome = await self._give_up(await self._ask(path))
+                outcome = await self._finish(await self._ask(path))
                 self.assertIsInstance(outcome, protocol.NotRun)
                 self.desk.links.busy.clear()
                 await self.desk.advance(200.0)
@@ -76,14 +76,14 @@
         for sent in self.desk.links.open[1:]:
             sent.answer(RECORD)
         await memory_links.settle()
-        outcome = await self._give_up(task)
+        outcome = await self._finish(task)
         self.assertIsInstance(outcome, protocol.Gathered)
         self.assertEqual(1, outcome.missing)
 
     async def test_its_targets_are_freed(self) -> None:
         """Nobody waits for them; they would work on for nothing."""
         task = await self._ask('/one/x')
-        await self._give_up(task)
+        await self._finish(task)
         await self.desk.advance(200.0)
         self.assertTrue(all(row.cancelled for row in self.desk.links.sent))
 
@@ -105,11 +105,11 @@
         self,
     ) -> None:
         """The daemon that handed it over passes the outcome on."""
-        outcome = await self._give_up(await self._ask('/once/x'))
+        outcome = await self._finish(await self._ask('/once/x'))
         self.assertFalse(forwarding.can_retry_elsewhere(outcome))
 
 
-class SightTest(unittest.IsolatedAsyncioTestCase):
+class PendingSummaryTest(unittest.IsolatedAsyncioTestCase):
     """What the log tells of requests that a stop waits for."""
 
     async def test_a_request_without_a_connection_is_at_no_target(
--- a/tests/unit/test_caller_time.py
+++ b/tests/unit/test_caller_time.py
@@ -5,12 +5,12 @@
 from samphiredock.coordination.forwarding import _caller_time
 
 
-class CallerTimesTest(unittest.TestCase):
+class CallerTimeEstimatorTest(unittest.TestCase):
     """One route with an aim of 100 ms."""
 
     def setUp(self) -> None:
         """Have a caller state 600 ms on a kept connection."""
-        self.times = _caller_time.CallerTimes()
+        self.times = _caller_time.CallerTimeEstimator()
         self.assertEqual(0.0, self._spent(600.0))
 
     def _spent(self, left_ms: float | None, route: str = 'r') -> float:
@@ -33,7 +33,7 @@
     def test_what_was_stated_long_ago_is_forgotten(self) -> None:
         """One caller that gives more does not make all others late."""
         self._spent(640.0)
-        for _ in range(_caller_time.REMEMBERED):
+        for _ in range(_caller_time.MAX_SAMPLES):
             self._spent(600.0)
         self.assertEqual(0.0, self._spent(600.0))
 
@@ -41,6 +41,4 @@
         """Each change of the configuration may bring new names."""
         for number in range(2_000):
             self._spent(600.0, f'r-{number}')
-        self.assertEqual(
-            _caller_time.ROUTES_REMEMBERED, len(self.times._stated)
-        )
+        self.assertEqual(_caller_time.MAX_ROUTES, len(self.times._samples))
--- a/tests/unit/test_logs.py
+++ b/tests/unit/test_logs.py
@@ -33,7 +33,7 @@
             found += part
 
     def test_a_reader_that_does_not_read_costs_lines_not_time(self) -> None:
-        """The lines left out are counted, and said so when it reads on."""
+        """The lines left out are counted, and end_fields so when it reads on."""
         stream = logs.BoundedStream(self.writer, 10_000)
         self.addCleanup(os.close, self.writer)
         line = json.dumps({'event': 'x' * 90}) + '\n'
@@ -74,9 +74,9 @@
         return self.counters.total('request_lines_left_out')
 
     def _end(self, good: bool) -> None:
-        trail = _request_log.Trail(self.clock.now_ms())
-        trail.add(self.clock.now_ms(), 'sent', target='t')
-        self.log.end('id', trail, good, outcome='x')
+        trace = _request_log.RequestTrace(self.clock.now_ms())
+        trace.add(self.clock.now_ms(), 'sent', target='t')
+        self.log.end('id', trace, good, outcome='x')
 
     def test_good_requests_do_not_take_the_place_of_bad_ones(self) -> None:
         """Ten thousand good ones in a second, then one that failed."""
@@ -92,7 +92,7 @@
         for _ in range(10_000):
             self._end(False)
         written = 20_000 - self._left_out()
-        self.assertLessEqual(written, _request_log.BAD_LINES_PER_S)
+        self.assertLessEqual(written, _request_log.FAILURE_LINES_PER_S)
 
     def test_lines_are_written_a_few_at_a_time(self) -> None:
         """A late search of 90 shards leaves 200 lines, 12 ms of work.
@@ -102,11 +102,11 @@
         """
         began_ms = self.clock.wall_ms()
         with logbook.TestHandler() as seen:
-            trail = _request_log.Trail(self.clock.now_ms())
+            trace = _request_log.RequestTrace(self.clock.now_ms())
             for _ in range(100):
                 self.clock.advance(1.0)
-                trail.add(self.clock.now_ms(), 'sent', target='t')
-            self.log.end('id', trail, False, outcome='x')
+                trace.add(self.clock.now_ms(), 'sent', target='t')
+            self.log.end('id', trace, False, outcome='x')
             self.assertEqual(0, len(seen.records))
             self.clock.advance(20.0)
             self.assertEqual(12, len(seen.records))
--- a/tests/unit/test_merger_assignments.py
+++ b/tests/unit/test_merger_assignments.py
@@ -10,7 +10,7 @@
 from samphiredock import timers
 
 
-class MergeWaysTest(unittest.TestCase):
+class MergerAssignmentsTest(unittest.TestCase):
     """Targets at four sites, daemons at three of them."""
 
     def setUp(self) -> None:
@@ -65,19 +65,21 @@
             'bcd', self.peers, self.loads
         )
         self.assertEqual(['b'], list(found))
-        ways = _merger_assignments.MergerAssignments(self.targets, found)
-        self.assertEqual('s0-d', ways.owner('s0-d'))
-        self.assertEqual(found['b'], ways.owner('s1-b'))
-        self.assertIsNone(ways.owner('unknown'))
+        assignments = _merger_assignments.MergerAssignments(
+            self.targets, found
+        )
+        self.assertEqual('s0-d', assignments.owner('s0-d'))
+        self.assertEqual(found['b'], assignments.owner('s1-b'))
+        self.assertIsNone(assignments.owner('unknown'))
 
     def test_a_daemon_that_is_given_up_is_not_used_again(self) -> None:
         """The rest of the search asks its targets directly."""
         self._shards('b')
-        ways = _merger_assignments.MergerAssignments(
+        assignments = _merger_assignments.MergerAssignments(
             self.targets, {'b': 'b-0'}
         )
-        ways.drop_merger('b-0')
-        self.assertEqual('s0-b', ways.owner('s0-b'))
+        assignments.drop_merger('b-0')
+        self.assertEqual('s0-b', assignments.owner('s0-b'))
 
     def test_a_daemon_that_hangs_gets_few_orders(self) -> None:
         """A frozen one answers nothing, so only its age tells."""
