--- a/samphiredock/coordination/forwarding/__init__.py
+++ b/samphiredock/coordination/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that are passed on to targets unchanged, and merged."""
+"""Forwards HTTP requests to targets, and merges the answers of shards."""
 
 from samphiredock import lazy
 
--- a/samphiredock/coordination/forwarding/_attempt_sender.py
+++ b/samphiredock/coordination/forwarding/_attempt_sender.py
@@ -1,4 +1,4 @@
-"""Carry out what a scatter decides, and give it back what comes of it."""
+"""Carries out a scatter's decisions and returns the results to it."""
 
 import asyncio
 import math
@@ -18,16 +18,17 @@
 
 
 class AttemptSender:
-    """Sends the attempts of flights, and takes their ends in.
+    """Sends the attempts of pending requests and handles their results.
 
     Parameters
     ----------
-    target_client
-        Asks one target.
+    asker
+        Sends to one target.
     orders
-        Asks the targets of another site; None: each is asked directly.
+        Sends merge orders to daemons of other sites; None to ask every
+        target directly.
     replicas
-        What was observed of the targets.
+        The observed load of the targets.
     clock
         The timers of this daemon.
     """
@@ -57,7 +58,7 @@
         pending: _pending_requests.PendingRequest,
         effects: list[_scatter_types.Effect],
     ) -> None:
-        """Do what a scatter asks for, and arm its timer."""
+        """Carry out the effects that a scatter returned, and set its timer."""
         for effect in effects:
             if isinstance(effect, _scatter_types.SendAttempts):
                 self._send(pending, effect)
@@ -70,10 +71,10 @@
             self._set_timer(pending)
 
     def finish_now(self, pending: _pending_requests.PendingRequest) -> None:
-        """Have a pending end with what is known now.
+        """End a request with the outcome that is known now.
 
-        What still waits for a connection is taken back: its target has not
-        seen it, and its caller can be told so.
+        Attempts still waiting for a connection are cancelled: no target has
+        seen them, so they count as not run.
         """
         unsent = {
             attempt_id: exchange
@@ -87,7 +88,7 @@
         self.apply(pending, pending.scatter.give_up(now_ms, unsent))
 
     def cancel(self, pending: _pending_requests.PendingRequest) -> None:
-        """The caller has left: nobody wants what is under way."""
+        """Cancel the exchanges and orders of a request that nobody needs."""
         for exchange in pending.exchanges.values():
             if exchange.task is not None:
                 exchange.task.cancel()
@@ -96,7 +97,7 @@
                 sent_order.task.cancel()
 
     def _set_timer(self, pending: _pending_requests.PendingRequest) -> None:
-        """Keep one timer a request, at the next thing that falls due."""
+        """Keep one timer for a request, at the scatter's next due time."""
         due_ms = pending.scatter.next_due_ms()
         if due_ms >= pending.timer_due_ms:
             return
@@ -114,7 +115,7 @@
             now_ms = self._clock.now_ms()
             self.apply(pending, pending.scatter.on_tick(now_ms))
 
-    # Out.
+    # Sending.
 
     def _send(
         self,
@@ -150,7 +151,7 @@
         item: protocol.SubQuery,
         dispatcher: str | None,
     ) -> bool:
-        """Keep the decision; return whether it is the shard's first."""
+        """Trace an attempt; return whether it is the first for its shard."""
         is_first = item.shard_id not in pending.asked
         why = 'first' if is_first else 'hedge' if item.hedge else 'retry'
         pending.asked.add(item.shard_id)
@@ -184,7 +185,11 @@
     def _on_exchange_done(
         self, pending: _pending_requests.PendingRequest, attempt_id: str
     ) -> None:
-        """Also after a cut: its time is all that a silent target shows."""
+        """Record the time of a dropped exchange as load of its target.
+
+        This includes one that was cut off: its duration is all that is
+        observed of a silent target.
+        """
         exchange = pending.exchanges.pop(attempt_id)
         if exchange.is_dropped:
             took_ms = self._clock.now_ms() - exchange.sent_ms
@@ -195,8 +200,8 @@
     ) -> None:
         exchange = pending.exchanges.get(attempt_id)
         if not pending.done.done():
-            # An attempt that only waited for a connection was seen by no
-            # target, however long it took.
+            # The log tells an attempt that only waited for a connection from
+            # one that a target was slow to answer.
             waited = exchange is not None and not exchange.is_sent
             facts = {'no_connection': True} if waited else {}
             pending.trace.add(
@@ -213,7 +218,7 @@
             _pending_requests.LOSER_GRACE_MS, exchange.task.cancel
         )
 
-    # A target that is asked from here.
+    # Exchanges with targets.
 
     async def _exchange(
         self,
@@ -243,7 +248,7 @@
         self._on_result(pending, item, asked.status, asked.detail)
         await self._target_client.look_for_crash(request, item.target, asked)
 
-    # Back to the scatter.
+    # Results.
 
     def _on_result(
         self,
@@ -258,7 +263,7 @@
     def _hedge_late(
         self, pending: _pending_requests.PendingRequest, attempt_ids: list[str]
     ) -> None:
-        """Hedge what another daemon says is late."""
+        """Hedge attempts that a merging daemon reports as late."""
         if not pending.done.done():
             now_ms = self._clock.now_ms()
             effects = pending.scatter.on_late(attempt_ids, now_ms)
@@ -267,7 +272,7 @@
     def _hedge_silent(
         self, pending: _pending_requests.PendingRequest, attempt_ids: list[str]
     ) -> None:
-        """Hedge what a daemon was to ask that is silent itself."""
+        """Hedge attempts ordered from a daemon that has not reported."""
         now_ms = self._clock.now_ms()
         effects = pending.scatter.on_silent(attempt_ids, now_ms)
         self.apply(pending, effects)
@@ -277,7 +282,7 @@
         pending: _pending_requests.PendingRequest,
         ends: list[protocol.SubAnswer],
     ) -> None:
-        """Give ends to the scatter, with the ranges of sound answers."""
+        """Pass results to the scatter, with the key ranges answered."""
         if pending.done.done() or not ends:
             return
         now_ms = self._clock.now_ms()
@@ -305,9 +310,9 @@
 def _was_ordered(
     pending: _pending_requests.PendingRequest, shard: str, merger: str
 ) -> bool:
-    """Whether a daemon has been ordered to ask a target of a shard before.
+    """Whether a daemon already has an order for a target of this shard.
 
-    It may be frozen, and a hedge through it would hang as well.
+    If that daemon hangs, a hedge through it would hang as well.
     """
     return any(
         pending.shard_of[attempt_id] == shard
--- a/samphiredock/coordination/forwarding/_caller_time.py
+++ b/samphiredock/coordination/forwarding/_caller_time.py
@@ -1,28 +1,27 @@
-"""How much of its time a caller has spent before its request is read here.
+"""Estimates the time a caller has spent before its request is read.
 
-Callers of a route give the same time in all, and state what is left of it:
-less on a new connection, whose packets went back and forth before, less if
-another daemon had the request, and less for a second try.  What one states
-below the most that was samples lately has been spent.
+Callers of a route start with the same total time and state what is left of it.
+On a new connection less is left, because of the handshake; also if another
+daemon had the request before, or on a retry.  The difference to the greatest
+time stated recently is the time already spent.
 """
 
 import collections
 
 MAX_SAMPLES = 64
-"""Requests of a route whose samples times are compared."""
+"""Requests of a route whose stated times are compared."""
 
 MAX_SPENT_SHARE = 0.5
-"""Part of a route's aim up to which a difference is taken for time spent.
-Connecting takes 6 to 12 ms of an aim of 57 to 120 ms; a caller that has
-spent half of the aim is late anyhow, or has other times than the rest."""
+"""Share of a route's aim up to which a difference counts as time spent.
+Beyond, the caller is late anyway, or has a shorter total time than others."""
 
 
 MAX_ROUTES = 256
-"""Routes are renamed for good; 256 of them take 0.2 MB."""
+"""Bounds the memory, since renamed routes leave their old names behind."""
 
 
 class CallerTimeEstimator:
-    """The times that callers have samples lately, by route."""
+    """The times stated by recent callers, by route."""
 
     def __init__(self) -> None:
         self._samples: dict[str, collections.deque[float]] = {}
@@ -30,16 +29,16 @@
     def spent_ms(
         self, route: str, left_ms: float | None, aim_ms: float
     ) -> float:
-        """Return what a caller has spent already; 0 if that is not known.
+        """Return the time that a caller has already spent; 0 if unknown.
 
         Parameters
         ----------
         route
-            Callers of one route are compared.
+            The route's name; callers of one route are compared.
         left_ms
-            What the caller states as left, None if it does not.
+            The time left that the caller states, None if it does not.
         aim_ms
-            The route's.
+            The route's aim.
         """
         if left_ms is None:
             return 0.0
@@ -49,7 +48,7 @@
         return spent if spent <= aim_ms * MAX_SPENT_SHARE else 0.0
 
     def _route_samples(self, route: str) -> collections.deque[float]:
-        """Return what was samples on a route, which is the newest now."""
+        """Return a route's samples, and mark them as most recently used."""
         samples = self._samples.pop(route, None)
         if samples is None:
             samples = collections.deque(maxlen=MAX_SAMPLES)
--- a/samphiredock/coordination/forwarding/_collected_parts.py
+++ b/samphiredock/coordination/forwarding/_collected_parts.py
@@ -1,4 +1,4 @@
-"""The parts of one search that have come, and their greatest records."""
+"""Collects the parts of one search and keeps their greatest records."""
 
 import typing
 
@@ -9,10 +9,10 @@
 class CollectedParts:
     """Receipts by shard, and the greatest records.
 
-    A merged part brings several shards and cannot be taken apart.  While one
-    may still come that holds a shard, another part of that shard may have to
-    give way to it; it is kept apart until then, since its records could not
-    be taken out of the greatest ones either.
+    A merged part covers several shards and cannot be taken apart.  While one
+    may still come for a shard, another part of that shard may have to be
+    discarded in its favour.  Until then it is kept separately, because its
+    records could not be removed from the greatest records again.
 
     Parameters
     ----------
@@ -28,11 +28,11 @@
         self._expected: set[str] = set()
 
     def expect_merged(self, shards: typing.Iterable[str]) -> None:
-        """A merged part may come that holds any of these shards."""
+        """Note that a merged part may come that covers any of these shards."""
         self._expected.update(shards)
 
     def expect_no_merged(self, shards: typing.Iterable[str]) -> None:
-        """No merged part will come any more that holds these shards."""
+        """Note that no merged part will come any more for these shards."""
         for shard in shards:
             self._expected.discard(shard)
             part = self._replaceable.pop(shard, None)
@@ -42,14 +42,14 @@
     def add_merged(
         self, receipts: typing.Mapping[str, str], records: bytes
     ) -> None:
-        """Take a merged part in; others of its shards give way."""
+        """Add a merged part; it replaces other parts of its shards."""
         for shard in receipts:
             self._replaceable.pop(shard, None)
         self._expected.difference_update(receipts)
         self._merge(receipts, records)
 
     def add(self, shard: str, receipt: str, body: bytes) -> None:
-        """Take the part of one shard in, unless the shard has one."""
+        """Add the part of one shard, unless there is one already."""
         if shard in self._receipts or shard in self._replaceable:
             return
         if shard in self._expected:
@@ -58,10 +58,10 @@
             self._merge({shard: receipt}, body)
 
     def floor(self) -> bytes:
-        """Return a record that no smaller one can displace in the answer.
+        """Return a record such that smaller ones cannot be in the answer.
 
-        Empty while too few are known.  Parts that may have to give way do
-        not count, since the answer may come to lack their records.
+        Empty while too few records are known.  Replaceable parts do not count,
+        since their records may not be in the answer.
         """
         size = state.RECORD_BYTES
         if not self._top or len(self._records) < self._top * size:
@@ -69,7 +69,7 @@
         return self._records[-size:]
 
     def receipts(self) -> tuple[str, ...]:
-        """Return the receipts of all shards that are in."""
+        """Return the receipts of all shards that have a part."""
         apart = [receipt for receipt, _ in self._replaceable.values()]
         return (*self._receipts.values(), *apart)
 
--- a/samphiredock/coordination/forwarding/_crash_guard.py
+++ b/samphiredock/coordination/forwarding/_crash_guard.py
@@ -1,11 +1,10 @@
-"""Refuse contents that crash the targets that run them.
-
-A request may crash each target that begins it, and its caller sends it
-again, at any daemon.  Each time a search takes one target of every shard
-with it.  The dispatchers of the other door try a suspect alone first; here
-a caller's time is over was_quarantined that could end, so a content is convicted by
-what it did: targets were lost under it in two requests that came one after
-the other.  One outage, however many targets it takes, is one occasion.
+"""Refuses requests whose content crashes the targets that run it.
+
+If a content crashes targets, its caller retries it at any daemon, and each
+search takes down one target of every shard.  There is no time to try a suspect
+content on a single target first, so it is quarantined after targets were lost
+while running it in two separate requests.  One outage counts as one request,
+however many targets it takes down.
 """
 
 import collections
@@ -20,19 +19,19 @@
 from samphiredock import timers
 
 MIN_REQUESTS = 2
-"""A content that was there by chance when targets were lost would have to
-be there by chance a second time."""
+"""Requests that must have lost targets.  A content that was running by chance
+during one outage is unlikely to be running during a second one."""
 
 MIN_TARGETS = 2
-"""Lost targets that convict; one may crash twice by itself."""
+"""Distinct targets that must be lost; a single one may crash on its own."""
 
 MIN_GAP_MS = 250.0
-"""Losses closer to each other than this are one occasion.  A caller whose
-request failed sends it again at once, but the targets of the first one are
-down then; those of the second are lost after a service time at least."""
+"""Losses closer together than this count as one request.  A retry sent at once
+meets targets that are already down; those that it crashes itself are lost a
+service time later at the earliest."""
 
 EXPIRY_MS = 60_000.0
-"""How long a suspicion, or a conviction, is kept after the last loss."""
+"""How long a content is remembered after its last loss."""
 
 RETRY_AFTER_MS = 30_000
 _MAX_CASES = 1_000
@@ -42,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Loss:
-    """A target was lost while it ran a content, under this request."""
+    """A target was lost while it ran a content in this request."""
 
     fingerprint: str
     request_id: str
@@ -51,7 +50,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Case:
-    """``requests`` are the requests under which targets were lost."""
+    """The losses under one content; ``requests`` are those that count."""
 
     targets: set[str] = dataclasses.field(default_factory=set)
     requests: set[str] = dataclasses.field(default_factory=set)
@@ -71,14 +70,14 @@
 
 
 class CrashGuard:
-    """What is known of contents and lost targets.
+    """Tracks contents under which targets were lost.
 
     Parameters
     ----------
     clock, counters
         The timers and metrics of this daemon.
     tell
-        Called with each loss that was found here, for the other daemons.
+        Called with each loss found by this daemon, to inform the others.
     """
 
     def __init__(
@@ -95,12 +94,12 @@
         )
 
     def report_loss(self, loss: Loss) -> None:
-        """A target was lost under a request of this daemon."""
+        """Record a loss found by this daemon, and inform the others."""
         self.record_loss(loss)
         self._broadcast(loss)
 
     def record_loss(self, loss: Loss) -> None:
-        """Take a loss in, found here or told by another daemon."""
+        """Record a loss found by this daemon or reported by another one."""
         now_ms = self._clock.now_ms()
         case = self._case(loss.fingerprint, now_ms)
         was_quarantined = case.is_quarantined()
@@ -122,7 +121,7 @@
     def refusal(
         self, request: protocol.ForwardRequest
     ) -> protocol.NotRun | None:
-        """Return why a request may not run now, None if it may."""
+        """Return the refusal of a quarantined request, None if it may run."""
         if not self._cases:
             return None
         case = self._cases.get(fingerprint_of(request))
--- a/samphiredock/coordination/forwarding/_forward_types.py
+++ b/samphiredock/coordination/forwarding/_forward_types.py
@@ -1,4 +1,4 @@
-"""What the forwarder needs of others, and its bounds."""
+"""Protocols that the forwarder depends on, and its settings."""
 
 import dataclasses
 import math
@@ -12,7 +12,7 @@
 
 
 class Dialect(typing.Protocol):
-    """The targets' HTTP protocol, as the forwarder uses it."""
+    """The HTTP protocol spoken with targets."""
 
     def target_request(
         self,
@@ -20,32 +20,35 @@
         target: state.LiveTarget,
         left_ms: float,
     ) -> protocol.HttpRequest:
-        """Return what goes out to a target."""
+        """Return the request to send to a target.
+
+        ``left_ms`` is the time left until the caller's deadline.
+        """
 
     def read_reply(
         self, request: protocol.ForwardRequest, reply: protocol.HttpReply
     ) -> protocol.TargetReply:
-        """Return what a target's answer means."""
+        """Return a target's reply with its status as an attempt."""
 
     def is_reply_to(
         self, request: protocol.ForwardRequest, reply: protocol.HttpReply
     ) -> bool:
-        """Whether an answer belongs to this request and to no other."""
+        """Whether a reply belongs to this request and to no other."""
 
 
 class RouteTable(typing.Protocol):
-    """One version of the routes."""
+    """One version of the routing table."""
 
     @property
     def version(self) -> int:
-        """The number of the version."""
+        """The version number of the table."""
 
     def match(self, host: str, path: str) -> state.Route | None:
-        """Return the route of a request."""
+        """Return the route of a request, None if no route matches."""
 
 
 class Routing(typing.Protocol):
-    """What is known of the routes."""
+    """Access to the current routing table."""
 
     @property
     def table(self) -> RouteTable | None:
@@ -53,7 +56,7 @@
 
 
 class Links(typing.Protocol):
-    """Connections to targets."""
+    """Pooled connections to targets."""
 
     async def exchange(
         self,
@@ -66,31 +69,32 @@
         on_chunk: typing.Callable[[bytes], None] | None = None,
         on_send: typing.Callable[[], None] = lambda: None,
     ) -> result.Result[protocol.HttpReply, transport.LinkError]:
-        """Send a request once and return its answer.
-
-        Answers for which ``is_reply`` is false belong to other requests;
-        a connection that was idle for more than ``kept_ms`` is not used.
-        Nothing is sent once ``is_wanted`` is false.  ``on_chunk`` takes
-        the chunks of the answer, which are not in its body then;
-        ``on_send`` is called as the request goes out.
+        """Send a request once and return its reply.
+
+        Replies for which ``is_reply`` is false belong to other requests
+        and are skipped.  A connection that has been idle for more than
+        ``kept_ms`` is not used.  Nothing is sent once ``is_wanted`` returns
+        false.  With ``on_chunk``, the chunks of the body are passed to it
+        instead of being collected in the reply.  ``on_send`` is called when
+        the request is written.
         """
 
     def has_room(self, target: state.LiveTarget) -> bool:
         """Whether an exchange would get a connection without waiting."""
 
     async def is_listening(self, target: state.LiveTarget) -> bool:
-        """Whether a target takes connections."""
+        """Whether a target accepts connections."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForwardSettings:
-    """Bounds of the forwarder.
+    """Settings of the forwarder.
 
-    ``caller_way_ms`` is what the way from the caller and back takes of a
-    route's aim, without connecting.  ``once_kept_ms`` is how long a connection
-    may have been idle on which a request goes that must run once: if the
-    target has forgotten the connection, the request is lost and may not be
-    sent again.
+    ``site`` is this daemon's own.  ``caller_way_ms`` is the part of a route's
+    aim taken by the network between caller and daemon, both ways, without
+    connecting.  ``once_kept_ms`` is the longest idle time of a connection used
+    for a request that must run at most once: if the target has closed the
+    connection meanwhile, the request is lost and may not be sent again.
     """
 
     site: str
--- a/samphiredock/coordination/forwarding/_forwarder.py
+++ b/samphiredock/coordination/forwarding/_forwarder.py
@@ -1,7 +1,7 @@
-"""The task that passes requests on: one scatter a request.
+"""Runs one scatter for each forwarded request.
 
-The decisions are those of :class:`coordination.Scatter`; a
-:class:`FlightSender` carries them out.
+:class:`coordination.Scatter` decides which targets to ask; an
+:class:`AttemptSender` sends the requests.
 """
 
 import asyncio
@@ -29,34 +29,33 @@
 from samphiredock import timers
 
 FIRST_HEDGE_SHARE = 0.3
-"""Part of a route's aim after which a daemon hedges that knows no latencies
-yet.  Work takes some 15 % of the aim, and the hedge needs as much again."""
+"""Share of a route's aim after which to hedge while no latencies are known."""
 
 NO_TARGET_RETRY_MS = 300
-"""When to come back if too few shards have a target that can be reached.
-A target that was given up is tried again after 200 ms."""
+"""``Retry-After`` of a refusal that should clear soon.  A lost target is tried
+again after 200 ms."""
 
 
 class Forwarder:
-    """Pass requests on to targets and merge what comes back.
+    """Forwards requests to targets and merges the replies.
 
     Parameters
     ----------
     settings
-        Its bounds.
+        Site, limits and time allowances.
     routing, targets
-        What is known of routes and targets.
+        The routing table in force, and the registered targets.
     tools
-        Records, latencies and the budget that all requests share.
+        Target records, latencies and the retry budget, shared by all requests.
     dialect, links
-        The targets' protocol, and the connections to them.
+        The targets' HTTP protocol, and the connections to them.
     clock, counters
         The timers and metrics of this daemon.
     crashes
-        Which contents crash targets; None if nothing is to be refused.
+        Refuses requests whose content crashes targets; None to refuse none.
     orders
-        Has the targets of other sites asked by daemons there; None: each
-        target is asked from here.
+        Sends merge orders to daemons of other sites; None to ask every target
+        directly.
     """
 
     def __init__(
@@ -94,11 +93,11 @@
         self._is_stopping = False
 
     def close(self) -> None:
-        """Write the lines that wait."""
+        """Write the pending log lines."""
         self._outcome_log.close()
 
     def pending_requests(self) -> list[_pending_requests.PendingSummary]:
-        """Return the requests that have no outcome yet."""
+        """Return a summary of each request that has no outcome yet."""
         now_ms = self._clock.now_ms()
         return [
             _pending_requests.summarize(pending, now_ms)
@@ -106,12 +105,11 @@
         ]
 
     def finish_all(self) -> None:
-        """End every request now, and refuse those that still come.
+        """End every pending request now, and refuse new ones.
 
-        A daemon that stops has no more time: a request that is open when
-        the process ends loses its connection, and its caller learns neither
-        that it may have run nor that it has not.  So each gets the outcome
-        that is true now, in the same turn.
+        Called when the shutdown time is used up.  If the process ended with
+        open requests, their callers would see a closed connection and not know
+        whether the request has run, so each one gets its outcome right away.
         """
         self._is_stopping = True
         now_ms = self._clock.now_ms()
@@ -125,14 +123,14 @@
         request: protocol.ForwardRequest,
         hop_ms: float = 0.0,
     ) -> protocol.ForwardOutcome:
-        """Pass one request on; cancelling this cancels its sub-queries.
+        """Forward one request; cancelling this cancels its attempts.
 
         Parameters
         ----------
         request
-            The caller's.
+            The caller's request.
         hop_ms
-            What the way over another daemon takes of the route's aim.
+            Part of the route's aim that the hop over another daemon takes.
         """
         started_ms = self._clock.now_ms()
         planned = self._plan(request, started_ms, hop_ms)
@@ -142,7 +140,7 @@
             )
         return await self._run(planned.unwrap(), started_ms)
 
-    # Before anything is sent.
+    # Planning and refusals.
 
     def _plan(
         self,
@@ -185,7 +183,7 @@
         )
         least = _route_plans.least_shards(route) if route.shards else 1
         if usable < least:
-            # Waiting would end in the same refusal, only later.
+            # Sending would end in the same refusal, only later.
             return _refused(
                 protocol.NotRunReason.NO_TARGET,
                 f'got {usable} services of {len(services)} with a target '
@@ -212,7 +210,7 @@
             )
         )
 
-    # One request.
+    # Running.
 
     async def _run(
         self, plan: _route_plans.ForwardPlan, started_ms: float
--- a/samphiredock/coordination/forwarding/_freshness_check.py
+++ b/samphiredock/coordination/forwarding/_freshness_check.py
@@ -1,13 +1,11 @@
-"""Whether a coordinator that lost the store may serve other daemons.
-
-What it knows may be old: a daemon that hears the store may know a newer
-configuration, and callers would see a change undone.  So it asks some of the
-other coordinators what they know.  One that hears the store and knows no
-newer version vouches for it; if none of those that answer hears the store,
-old knowledge is the best there is.  It asks by itself, every half second
-while it is without the store, and not for each request: when all had lost
-it, each request was refused 30 times by 15 coordinators before old knowledge
-was used, 115 ms of an aim of 57 to 120 ms (log of one played day).
+"""Decides whether a coordinator without the store may serve other daemons.
+
+Its routing table may be old: a daemon that has contact with the store may know
+a newer one, and its callers would see a change undone.  So a coordinator that
+has lost contact regularly asks some other coordinators for their version.  It
+may serve if a peer with contact to the store knows no newer version, or if no
+peer that answers has contact, since an old table is the best available then.
+Asking in the background keeps the check off the path of requests.
 """
 
 import dataclasses
@@ -18,24 +16,22 @@
 from samphiredock import protocol
 
 STORE_STATUS_PATH = '/samphiredock/heard'
-"""Where daemons ask each other whether they hear the store."""
+"""Where daemons ask each other for their store status."""
 
 FRESHNESS_CHECK_INTERVAL_MS = 500.0
-"""How often one that does not hear the store asks."""
+"""How often a coordinator that has lost the store asks."""
 
 VALID_MS = 1_200.0
-"""How long an answer holds: the next one may get lost.  A change that was
-accepted meanwhile is known here later by so long, of some seconds that it may
-take."""
+"""How long a round is valid, so that one lost round does no harm.  A change
+may go unnoticed for this long."""
 
 FRESHNESS_CHECK_PEERS = 8
-"""How many are asked at a time.  If a third of the daemons has lost the
-store, all of eight are among them once in 6,000 times; what is asked then
-is asked anew half a second later."""
+"""How many peers are asked in a round.  If only some daemons have lost the
+store, at least one of these very likely has not."""
 
 
 class StoreStatus(msgspec.Struct, frozen=True):
-    """What a daemon answers: its version, and whether it hears the store."""
+    """A daemon's routing version and whether it ``hears`` the store."""
 
     version: int
     hears: bool
@@ -46,10 +42,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoundResult:
-    """What the answers of one round of questions say, from ``at_ms`` on.
+    """The result of one round of questions, asked at ``at_ms``.
 
-    ``newest`` is the newest version that a daemon knows that hears the
-    store, None if none hears it.
+    ``newest`` is the newest version among peers that have contact with the
+    store, None if none has.
     """
 
     at_ms: float
@@ -57,7 +53,7 @@
 
 
 class FreshnessCheck:
-    """What the other coordinators have answered lately."""
+    """Keeps the result of the last round of questions."""
 
     def __init__(self) -> None:
         self._last_round: RoundResult | None = None
@@ -65,10 +61,10 @@
     def record_round(
         self, answers: typing.Sequence[StoreStatus], asked_ms: float
     ) -> RoundResult | None:
-        """Take in the answers to questions asked at a time.
+        """Record the answers to questions sent at ``asked_ms``.
 
-        Without any answer nothing is known: this daemon may be cut off, and
-        the others may know more.
+        A round without answers is ignored: this daemon may be cut off, and the
+        others may know more.
         """
         if answers:
             versions = [row.version for row in answers if row.hears]
@@ -77,7 +73,7 @@
         return self._last_round
 
     def may_serve(self, version: int, now_ms: float) -> bool:
-        """Whether what is known here, of a version, may serve others."""
+        """Whether this daemon may serve others with a given version."""
         last_round = self._last_round
         if last_round is None or now_ms - last_round.at_ms > VALID_MS:
             return False
@@ -85,14 +81,14 @@
 
 
 def store_status_request() -> protocol.HttpRequest:
-    """Return what another daemon is asked."""
+    """Return the request for another daemon's store status."""
     return protocol.HttpRequest(
         'GET', STORE_STATUS_PATH, (('Host', 'samphiredock'),)
     )
 
 
 def store_status_reply(version: int, hears: bool) -> protocol.HttpReply:
-    """Return the answer to a question."""
+    """Return the reply with this daemon's store status."""
     body = msgspec.json.encode(StoreStatus(version, hears))
     return protocol.HttpReply(
         200, (('Content-Type', 'application/json'),), body
@@ -100,7 +96,7 @@
 
 
 def read_store_status(reply: protocol.HttpReply) -> StoreStatus | None:
-    """Return what another daemon answers, None if it cannot be read."""
+    """Return the store status in a reply, None if it is malformed."""
     try:
         return _decode(reply.body) if reply.status == 200 else None
     except msgspec.DecodeError:
--- a/samphiredock/coordination/forwarding/_handover.py
+++ b/samphiredock/coordination/forwarding/_handover.py
@@ -1,12 +1,13 @@
-"""Hand a whole request over to a daemon that coordinates.
-
-The hand-over is a scatter over one shard whose replicas are the
-coordinators.  One that takes no connection, or refuses, costs another try.
-One that is lost with the request may have sent it to targets, nobody knows
-to which: another one might send it to more of them than the route allows,
-so the caller is told at once and may ask again under a new id.
-Between daemons a request keeps its own headers; what is added for the hop
-has names of its own.
+"""Hands whole requests over to a coordinating daemon.
+
+A handover is a scatter over one shard whose replicas are the coordinators.
+If one accepts no connection, or refuses, another one is tried.  If one is lost
+with the request, it may already have sent it to some targets; another one
+might exceed the number of targets that the route allows, so the caller gets an
+error at once and may retry under a new id.
+
+The caller's headers are passed on unchanged; the hop adds headers of its own
+and removes them again.
 """
 
 import dataclasses
@@ -30,20 +31,21 @@
 _PREFIX = 'samphiredock-'
 
 UNKNOWN_ROUTE_MS = 10_000.0
-"""Timeout of a request whose route is not known here; the coordinator
-knows it, or answers at once that there is none."""
+"""Timeout of a request whose route is not known here.  The coordinator knows
+the route, or replies at once that there is none."""
 
 _Status = protocol.SubStatus
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HandedOver:
-    """A request from another daemon.
+    """The headers of a request that another daemon handed over.
 
-    ``least_version`` is the newest routing table whose effect that daemon
-    has seen: one that is older must not be used for it, or its callers
-    would see a change undone.  ``stale_ok`` says that every coordinator
-    has lost the store, so that old knowledge is the best there is.
+    ``left_ms`` is the time left until the caller's deadline.
+    ``least_version`` is the newest routing table whose effect the sender has
+    seen: if an older one were used, callers would see a change undone.
+    ``stale_ok`` is set when every coordinator has lost the store, so that an
+    old routing table is the best available.
     """
 
     headers: protocol.Headers
@@ -54,7 +56,7 @@
 
 
 def read_handed_over(headers: protocol.Headers) -> HandedOver | None:
-    """Return what the hop added, None if it is not whole."""
+    """Return the handover headers, None if any is missing or invalid."""
     added = {
         name.lower(): value
         for name, value in headers
@@ -78,23 +80,23 @@
 def coordinator_reply(
     reply: protocol.HttpReply, handed: HandedOver, version: int
 ) -> protocol.HttpReply:
-    """Return the answer to a caller with what the hop adds."""
+    """Return the caller's reply with the handover headers added."""
     added = ((_ID, handed.request_id), (_VERSION, str(version)))
     return dataclasses.replace(reply, headers=reply.headers + added)
 
 
 def refusal_reply(handed: HandedOver | None, why: str) -> protocol.HttpReply:
-    """Return the answer of a daemon that cannot coordinate now."""
+    """Return the reply of a daemon that cannot coordinate now."""
     request_id = handed.request_id if handed else ''
     headers = ((_REFUSED, '1'), (_ID, request_id))
     return protocol.HttpReply(503, headers, why.encode())
 
 
 def can_retry_elsewhere(outcome: protocol.ForwardOutcome) -> bool:
-    """Whether another coordinator can still run what was handed over.
+    """Whether another coordinator can still run a request handed over.
 
-    This one stops, and has sent nothing: passed on as the caller's answer,
-    its refusal would cost the caller one of few tries.
+    This one is shutting down and has sent nothing.  If its refusal were passed
+    on, it would cost the caller one of its few tries.
     """
     return (
         isinstance(outcome, protocol.NotRun)
@@ -103,11 +105,11 @@
 
 
 LOSS_PATH = '/samphiredock/losses'
-"""Where daemons tell each other of targets lost under a content."""
+"""Where daemons report to each other targets lost while running a content."""
 
 
 def loss_notice(loss: _crash_guard.Loss) -> protocol.HttpRequest:
-    """Return what the other daemons are told."""
+    """Return the request that reports a loss to another daemon."""
     headers = (('Host', 'samphiredock'), ('Content-Type', 'application/json'))
     return protocol.HttpRequest(
         'POST', LOSS_PATH, headers, msgspec.json.encode(loss)
@@ -115,7 +117,7 @@
 
 
 def read_loss(body: bytes) -> _crash_guard.Loss | None:
-    """Return what another daemon tells, None if it cannot be read."""
+    """Return the loss reported by another daemon, None if it is malformed."""
     try:
         return msgspec.json.decode(body, type=_crash_guard.Loss)
     except msgspec.DecodeError:
@@ -123,10 +125,10 @@
 
 
 class HandoverRouting:
-    """One route for everything: to the coordinators.
+    """Routes every request to the coordinators.
 
-    The routing table of this daemon may be old; only how long a request
-    may take is read from it.
+    Only the timeouts are taken from this daemon's routing table, which may be
+    out of date.
     """
 
     def __init__(self, routing: _routing.RoutingState) -> None:
@@ -134,17 +136,17 @@
 
     @property
     def table(self) -> 'HandoverRouting':
-        """The table itself; it is always there."""
+        """Itself; it is always available."""
         return self
 
     @property
     def version(self) -> int:
-        """The version of the table that it reads."""
+        """The version of the underlying routing table, 0 if there is none."""
         table = self._routing.table
         return table.version if table else 0
 
     def match(self, host: str, path: str) -> state.Route:
-        """Return the way of one request."""
+        """Return a route to the coordinators, with the request's timeouts."""
         table = self._routing.table
         found = table.match(host, path) if table else None
         to_coordinators = (state.WeightedService(SERVICE, 1.0),)
@@ -163,7 +165,7 @@
 
 
 class HandoverDialect:
-    """What goes between two daemons; implements the forwarder's dialect."""
+    """The protocol between two daemons; implements :class:`Dialect`."""
 
     def __init__(self, routing: _routing.RoutingState) -> None:
         self._routing = routing
@@ -180,7 +182,7 @@
         target: state.LiveTarget,
         left_ms: float,
     ) -> protocol.HttpRequest:
-        """Return the request with what the hop adds."""
+        """Return the request with the handover headers added."""
         added = [
             (_ID, request.request_id),
             (_LEFT, f'{left_ms:.1f}'),
@@ -196,10 +198,10 @@
     def is_reply_to(
         self, request: protocol.ForwardRequest, reply: protocol.HttpReply
     ) -> bool:
-        """Whether an answer belongs to this request and to no other.
+        """Whether a reply belongs to this request and to no other.
 
-        Only a failure may lack the id: that of a daemon whose own code
-        failed, which would else be waited for until the deadline.
+        Only an error may lack the id: a daemon whose own code failed cannot
+        add it, and skipping its reply would mean waiting until the deadline.
         """
         echoed = reply.header(_ID)
         if echoed is None:
@@ -209,9 +211,9 @@
     def read_reply(
         self, request: protocol.ForwardRequest, reply: protocol.HttpReply
     ) -> protocol.TargetReply:
-        """A coordinator's answer is the caller's, unless it refused."""
+        """Return a coordinator's reply, without the handover headers."""
         if reply.header(_ID) is None:
-            # It may have sent the request on before it failed.
+            # It may have forwarded the request before it failed.
             return protocol.TargetReply(
                 _Status.BROKEN, reply, detail=f'status {reply.status}'
             )
@@ -231,7 +233,7 @@
 
 
 class StaleHandoverDialect:
-    """The same, to coordinators that may have lost the store."""
+    """As :class:`HandoverDialect`, but allows an old routing table."""
 
     def __init__(self, dialect: HandoverDialect) -> None:
         self._dialect = dialect
@@ -244,14 +246,14 @@
         target: state.LiveTarget,
         left_ms: float,
     ) -> protocol.HttpRequest:
-        """Return the request with what the hop adds."""
+        """Return the request with the handover headers added."""
         sent = self._dialect.target_request(request, target, left_ms)
         headers = (*sent.headers, (_STALE_OK, '1'))
         return dataclasses.replace(sent, headers=headers)
 
 
 def as_target(daemon: _roles.Daemon) -> state.LiveTarget:
-    """Return a coordinator as a target of hand-overs."""
+    """Return a coordinator as a target of handovers."""
     return state.LiveTarget(
         daemon.name, SERVICE, daemon.address, daemon.site, slots=1
     )
--- a/samphiredock/coordination/forwarding/_introduce.py
+++ b/samphiredock/coordination/forwarding/_introduce.py
@@ -1,10 +1,10 @@
-"""Daemons tell their neighbour who coordinates.
+"""Daemons send the list of coordinators to their neighbours on a ring.
 
-A daemon that starts while it cannot reach the store knows nobody, and would
-refuse every request until the store is back.  Those that were there before
-know its address from their list, so each tells the next one on a ring of
-all daemons every second.  What is told is only used by a daemon that has not
-read the list itself.
+A daemon that starts while the store is unreachable knows no coordinators and
+would refuse every request.  Other daemons still have its address in their
+list, so each one regularly sends the coordinators to the next daemon on a
+ring.  The receiver uses them only until it has read the list from the store
+itself.
 """
 
 import typing
@@ -17,18 +17,14 @@
 INTRODUCTION_PATH = '/samphiredock/coordinators'
 
 MIN_INTERVAL_MS = 1_000.0
-"""How soon a daemon that starts is told.  A kilobyte a second, most of it
-within a site."""
+"""Interval between introductions in a small system."""
 
 MAX_ATTEMPTS = 4
-"""How many on the ring are tried until one takes it; the next may be down
-itself."""
+"""How many daemons on the ring are tried until one accepts."""
 
 _FULL_RATE_DAEMONS = 100
-"""Daemons up to which each tells its neighbour every second; beyond, the
-list of coordinators grows with the sites and the pace falls with it.  At 195
-daemons each 2 s, 0.8 KB/s each; with 30 here a daemon that starts without the
-store waited 6.5 s, of the 1 to 2 s that callers wait."""
+"""Number of daemons beyond which the interval grows, since the list of
+coordinators, and with it the traffic, grows with the system."""
 
 _decode = msgspec.json.Decoder(tuple[_roles.Daemon, ...]).decode
 
@@ -41,9 +37,9 @@
 def successors(
     daemons: typing.Iterable[_roles.Daemon], name: str
 ) -> list[_roles.Daemon]:
-    """Return the daemons after ``name`` on the ring, those to be tried.
+    """Return the daemons after ``name`` on the ring that are tried in turn.
 
-    Ordered by site first, so that most introductions stay within a site.
+    The ring is ordered by site, so that most introductions stay within one.
     """
     ring = sorted(daemons, key=lambda row: (row.site, row.name))
     names = [row.name for row in ring]
@@ -56,14 +52,14 @@
 def introduction_request(
     daemons: typing.Iterable[_roles.Daemon],
 ) -> protocol.HttpRequest:
-    """Return what the neighbour is told."""
+    """Return the request that sends the coordinators to a neighbour."""
     headers = (('Host', 'samphiredock'), ('Content-Type', 'application/json'))
     body = msgspec.json.encode(tuple(daemons))
     return protocol.HttpRequest('POST', INTRODUCTION_PATH, headers, body)
 
 
 def read_introduction(body: bytes) -> tuple[_roles.Daemon, ...] | None:
-    """Return the daemons that are told of, None if it cannot be read."""
+    """Return the daemons that a request lists, None if it is malformed."""
     try:
         return _decode(body)
     except msgspec.DecodeError:
--- a/samphiredock/coordination/forwarding/_live_targets.py
+++ b/samphiredock/coordination/forwarding/_live_targets.py
@@ -1,4 +1,4 @@
-"""The targets that are running now, and which of them may get work."""
+"""The registered targets, and which of them may get work."""
 
 import collections
 import typing
@@ -9,21 +9,20 @@
 from samphiredock import timers
 
 STORE_GRACE_MS = 2_500.0
-"""How long an entry may be missing after the store has been away.  Entries
-lapse while nobody can renew them and are back within about two seconds;
-taken as gone at once, all targets would be lost with the store."""
+"""How long an entry may be missing after the store was unreachable.  Entries
+expire while nobody can renew them and reappear within about two seconds; if
+they were removed at once, an outage of the store would lose all targets."""
 
 _MAX_SERVICES_LOGGED = 16
-"""Services that one log line names at most."""
 
 _log = logs.logger('targets')
 
 
 class LiveTargets:
-    """Targets by id and by service, with what was observed of each.
+    """Registered targets by id and by service, with their observed health.
 
     Implements :class:`coordination.Routes` for targets that are asked
-    directly: each is its own dispatcher.
+    directly: each target is its own dispatcher.
     """
 
     snapshot: state.Snapshot | None = None
@@ -39,14 +38,14 @@
         self._on_removed: list[typing.Callable[[state.LiveTarget], None]] = []
         self._on_added: list[typing.Callable[[state.LiveTarget], None]] = []
 
-    # What is known.
+    # Lookups.
 
     def get(self, target_id: str) -> state.LiveTarget | None:
-        """Return a target that is registered."""
+        """Return a registered target, None if there is none of this id."""
         return self._targets.get(target_id)
 
     def record(self, target_id: str) -> _observed_health.ObservedHealth:
-        """Return what was observed of a registered target."""
+        """Return the observed health of a registered target."""
         return self._records[target_id]
 
     def of_service(self, service: str) -> list[str]:
@@ -54,7 +53,7 @@
         return self._by_service.get(service, [])
 
     def is_empty(self) -> bool:
-        """Whether no target is known yet."""
+        """Whether no target is registered."""
         return not self._targets
 
     def all(self) -> list[state.LiveTarget]:
@@ -64,7 +63,7 @@
     # Routes.
 
     def owner(self, target: str) -> str | None:
-        """A target that is asked directly is its own dispatcher."""
+        """Return the target itself, which is its own dispatcher."""
         return target if target in self._targets else None
 
     def is_usable(self, target: str) -> bool:
@@ -79,24 +78,24 @@
     def on_removed(
         self, callback: typing.Callable[[state.LiveTarget], None]
     ) -> None:
-        """Call back with each target that is not registered any more."""
+        """Call back with each target that is removed."""
         self._on_removed.append(callback)
 
     def on_added(
         self, callback: typing.Callable[[state.LiveTarget], None]
     ) -> None:
-        """Call back with each target that is seen for the first time."""
+        """Call back with each target that is added."""
         self._on_added.append(callback)
 
     def put(self, target: state.LiveTarget) -> None:
-        """Take in a target's newest entry."""
+        """Add or update one target."""
         self.put_all([target])
 
     def put_all(self, targets: typing.Sequence[state.LiveTarget]) -> None:
-        """Take in the newest entries of several targets.
+        """Add or update several targets.
 
-        One index and one log line for all of them: a daemon that starts on
-        a large system reads some 700, and callers wait meanwhile.
+        Indexes and logs once for all of them: a daemon that starts reads
+        hundreds of entries at once, while callers wait.
         """
         changed = [
             row for row in targets if self._targets.get(row.target_id) != row
@@ -124,10 +123,10 @@
                 callback(target)
 
     def _drop_restarted(self, changed: list[state.LiveTarget]) -> None:
-        """Drop what was known of targets that have started again.
+        """Drop targets that have restarted under their id.
 
-        One that starts again under its id holds nothing of before: its old
-        connections are silent, and its record tells of another process.
+        Their old connections are dead, and their observed health is that of
+        another process.
         """
         for target in changed:
             before = self._targets.get(target.target_id)
@@ -138,12 +137,12 @@
                 self._drop(target.target_id, 'started again')
 
     def _is_leaving_changed(self, target: state.LiveTarget) -> bool:
-        """Whether a known target begins to leave, or has come back."""
+        """Whether a known target begins to leave, or no longer does."""
         before = self._targets.get(target.target_id)
         return before is not None and before.leaving != target.leaving
 
     def remove(self, target_id: str) -> None:
-        """A target's entry is gone; while the store returns, wait for it."""
+        """Remove a target, after a grace time if the store was unreachable."""
         if target_id not in self._targets:
             return
         now_ms = self._clock.now_ms()
@@ -155,28 +154,28 @@
         self._clock.after(until_ms - now_ms, self._drop_missing)
 
     def remove_unreadable(self, target_id: str) -> None:
-        """A target's entry cannot be read: it names no target to use."""
+        """Remove a target whose entry cannot be read."""
         if target_id in self._targets:
             self._drop(target_id, 'entry cannot be read')
 
     def keep_only(self, target_ids: typing.Container[str]) -> None:
-        """The store has been read whole: what it lacks is gone."""
+        """Remove the targets that a complete read of the store lacks."""
         for target_id in list(self._targets):
             if target_id not in target_ids:
                 self.remove(target_id)
 
     def on_store_unavailable(self) -> None:
-        """The store did not answer; entries may lapse meanwhile."""
+        """Note that the store is unreachable and entries may expire."""
         self._store_unavailable_ms = self._clock.now_ms()
 
     def mark_misdirected(self, target_id: str) -> None:
-        """Another target has the address now: nothing more goes there."""
+        """Stop using a target whose address now belongs to another one."""
         if target_id in self._targets:
             self._misdirected.add(target_id)
 
     def _drop_missing(self) -> None:
         now_ms = self._clock.now_ms()
-        # Another outage since then moves the end of the wait.
+        # Another outage since then extends the grace time.
         until_ms = self._store_unavailable_ms + STORE_GRACE_MS
         if now_ms < until_ms:
             self._clock.after(until_ms - now_ms, self._drop_missing)
@@ -191,7 +190,7 @@
         del self._records[target_id]
         self._index()
         _log.info(
-            'target gone', target=target_id, service=target.service, why=why
+            'target removed', target=target_id, service=target.service, why=why
         )
         for callback in self._on_removed:
             callback(target)
@@ -207,13 +206,13 @@
 def _log_changes(
     new: list[state.LiveTarget], changed_leaving: list[state.LiveTarget]
 ) -> None:
-    """Log which targets came, and which began to leave or came back."""
+    """Log which targets were added, began to leave or returned."""
     came = [*new, *changed_leaving]
     if not came:
         return
     by_service = collections.Counter(row.service for row in came)
     _log.info(
-        'target entries',
+        'targets changed',
         new=[row.target_id for row in new],
         leaving=[row.target_id for row in came if row.leaving],
         back=[row.target_id for row in changed_leaving if not row.leaving],
--- a/samphiredock/coordination/forwarding/_merger.py
+++ b/samphiredock/coordination/forwarding/_merger.py
@@ -1,4 +1,4 @@
-"""Carry out orders of other daemons: ask targets of this site, and merge."""
+"""Executes merge orders: asks targets of this site and merges their parts."""
 
 import asyncio
 import dataclasses
@@ -17,26 +17,26 @@
 
 
 class _GatherTimeout:
-    """The end of the time to gather."""
+    """Event: the time to gather parts is over."""
 
 
 class _Aborted:
-    """The end of this daemon's time."""
+    """Event: this daemon's shutdown time is over."""
 
 
 _Event = _Result | _GatherTimeout | _Aborted
 
 
 class Merger:
-    """Asks the targets that orders name.
+    """Executes merge orders.
 
-    Which targets, how many and when is decided by the daemon that has the
-    search: this one sends to those that are named and to no other, so that
-    the bound on targets that run a request holds whatever becomes of it.
+    The coordinating daemon decides which targets are asked, and when.  A
+    merger sends to the ordered targets only, so the limit on how many targets
+    may run a request holds whatever happens to the order.
 
     Parameters
     ----------
-    target_client
+    asker
         Sends to one target.
     clock, counters
         The timers and metrics of this daemon.
@@ -55,23 +55,22 @@
         self._events: set[asyncio.Queue[_Event]] = set()
 
     def finish_all(self) -> None:
-        """End every order now: this daemon stops.
+        """End every order now, since this daemon is shutting down.
 
-        The daemon that has the search learns at once that nothing more will
-        come, and asks others; it would learn it only from the end of the
-        process else.
+        The coordinating daemons see their orders end and ask other targets,
+        instead of waiting for this process to exit.
         """
         for events in self._events:
             events.put_nowait(_Aborted())
 
     def close(self) -> None:
-        """Write the lines that wait."""
+        """Write the pending log lines."""
         self._log.write()
 
     async def reports(
         self, order: protocol.MergeOrder
     ) -> typing.AsyncGenerator[protocol.MergeReport, None]:
-        """Yield what comes of an order; closing this ends its exchanges."""
+        """Yield an order's reports; closing this cancels its exchanges."""
         batcher = _report_batcher.ReportBatcher(order)
         events: asyncio.Queue[_Event] = asyncio.Queue()
         request = order.request()
@@ -158,7 +157,7 @@
                 asked.detail,
             )
         )
-        # Not in this task, which ends with the order.
+        # In a task of its own, since this one is cancelled with the order.
         background.start(
             self._target_client.look_for_crash(request, item.target, asked),
             'look for a crash',
@@ -167,7 +166,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Totals:
-    """What was reported of an order."""
+    """What has been reported of an order."""
 
     began_ms: float
     parts: int = 0
@@ -183,7 +182,7 @@
 def _handle(
     batcher: _report_batcher.ReportBatcher, event: _Result | _GatherTimeout
 ) -> protocol.MergeReport | None:
-    """Give an event to the batcher; return what is to be reported."""
+    """Pass an event to the batcher; return the report to send, if any."""
     if isinstance(event, _GatherTimeout):
         return batcher.on_gather_timeout()
     if isinstance(event, protocol.EndedItem):
--- a/samphiredock/coordination/forwarding/_merger_assignments.py
+++ b/samphiredock/coordination/forwarding/_merger_assignments.py
@@ -1,8 +1,8 @@
-"""Which daemons ask the targets of other sites for a search.
+"""Chooses the daemons that ask the targets of other sites for a search.
 
-Each part of a search that crosses sites costs its own head and body there
-and back, and a connection that this daemon seldom uses.  A daemon of the
-targets' site has warm ones, and sends one merged part across.
+Asked directly, each shard at another site costs request and response headers
+across sites, and a rarely used connection.  A daemon at the targets' site has
+warm connections to them and sends one merged part across.
 """
 
 import collections
@@ -13,22 +13,23 @@
 from samphiredock import state
 
 MIN_PARTS = 4
-"""Parts of one site from which on an order is worth its hop.  An order costs
-some 700 bytes of heads, and 25 bytes out and 30 back a part; a part of a
-shard that travels alone costs 600 bytes of heads and up to 1,000 of records.
-Bytes are saved from two parts on; with few of them a search still waits for
-one daemon more, which may be busy or die."""
+"""Least parts expected from a site to send it an order.  With fewer, the bytes
+saved do not outweigh the wait for one more daemon, which may be busy or
+fail."""
 
 
 class MergerAssignments:
-    """Routes of one search: through whom each target is asked.
+    """Which daemon asks each target of one search.
+
+    Implements :class:`coordination.Routes`.
 
     Parameters
     ----------
     targets
-        The targets that are known.
+        The registered targets.
     mergers
-        For each site whose targets are asked by order: by which daemon.
+        By site, the daemon that asks its targets; other sites' targets are
+        asked directly.
     """
 
     def __init__(
@@ -47,7 +48,7 @@
         return self._targets.snapshot
 
     def owner(self, target: str) -> str | None:
-        """Return who asks a target: a merging daemon, or this one."""
+        """Return the daemon that asks a target, or the target if direct."""
         found = self._targets.get(target)
         if found is None:
             return None
@@ -56,11 +57,11 @@
         return self._mergers.get(found.site, target)
 
     def ask_directly(self, target: str) -> None:
-        """A daemon that was to ask a target does not know it, or not yet."""
+        """Ask a target directly, since its daemon has refused to."""
         self._direct.add(target)
 
     def drop_merger(self, merger: str) -> None:
-        """Ask directly what a daemon was to ask that does not."""
+        """Ask the targets of a daemon directly from now on."""
         self._mergers = {
             site: name
             for site, name in self._mergers.items()
@@ -73,16 +74,18 @@
     shards: typing.Iterable[typing.Sequence[str]],
     targets: _live_targets.LiveTargets,
 ) -> list[str]:
-    """Return the other sites that a search asks for many parts.
+    """Return the other sites from which a search expects many parts.
+
+    A shard with targets at several sites counts as a fraction for each.
 
     Parameters
     ----------
     site
-        This daemon's own; a shard with a target there needs no other.
+        This daemon's own; a shard with a target there needs no other site.
     shards
         The targets of each shard.
     targets
-        Where they are.
+        The registered targets.
     """
     expected: collections.Counter[str] = collections.Counter()
     for names in shards:
@@ -100,16 +103,16 @@
     peers: _live_targets.LiveTargets,
     loads: _replica_selector.ReplicaSelector,
 ) -> dict[str, str]:
-    """Return a daemon for each site that has one; the least loaded.
+    """Return the least loaded daemon of each site that has one.
 
     Parameters
     ----------
     sites
-        Whose targets are asked by order.
+        The sites whose targets are asked by order.
     peers
-        The daemons that coordinate: they follow the store.
+        The coordinating daemons.
     loads
-        What was observed of them.
+        Their observed load.
     """
     by_site: dict[str, list[str]] = collections.defaultdict(list)
     for peer in peers.all():
--- a/samphiredock/coordination/forwarding/_no_suspicions.py
+++ b/samphiredock/coordination/forwarding/_no_suspicions.py
@@ -1,4 +1,4 @@
-"""Nothing is suspected."""
+"""Quarantine stub for forwarded requests."""
 
 
 class NoSuspicions:
--- a/samphiredock/coordination/forwarding/_order_client.py
+++ b/samphiredock/coordination/forwarding/_order_client.py
@@ -1,4 +1,4 @@
-"""Send orders to daemons of other sites, and read what they report."""
+"""Sends merge orders to daemons of other sites and reads their reports."""
 
 import math
 import typing
@@ -17,8 +17,8 @@
 from samphiredock import transport
 
 ORDER_PATH = '/samphiredock/orders/1'
-"""With the version of the orders: a daemon that does not know it refuses,
-and its targets are asked directly."""
+"""Path of merge orders, with the version of their format.  A daemon that does
+not know the version refuses, and its targets are asked directly."""
 
 _Status = protocol.SubStatus
 _Kind = transport.LinkErrorKind
@@ -27,18 +27,18 @@
 
 
 class OrderClient:
-    """Sends orders.
+    """Sends merge orders.
 
     Parameters
     ----------
     site
-        This daemon's own.
+        This daemon's own site.
     targets
         The targets of searches.
     peers, links
-        The daemons that coordinate, and the connections to them.
+        The coordinating daemons, and the connections to them.
     loads
-        What was observed of these daemons.
+        The observed load of these daemons.
     clock, counters
         The timers and metrics of this daemon.
     """
@@ -64,7 +64,7 @@
     def assign_mergers(
         self, shards: typing.Sequence[state.Shard]
     ) -> _merger_assignments.MergerAssignments:
-        """Return through whom the targets of one search are asked."""
+        """Return which daemon asks each target of one search."""
         sites = _merger_assignments.sites_for_orders(
             self._site, [row.replicas for row in shards], self._targets
         )
@@ -79,9 +79,9 @@
         order: protocol.MergeOrder,
         on_report: typing.Callable[[protocol.MergeReport], None],
     ) -> _Status:
-        """Send an order; return the status of what no report has named.
+        """Send an order; return the status of attempts that no report names.
 
-        ``on_report`` is called with each report when it comes.
+        ``on_report`` is called with each report as it arrives.
         """
         peer = self._peers.get(merger)
         if peer is None:
@@ -94,7 +94,7 @@
         def take(chunk: bytes) -> None:
             nonlocal first_ms, broken
             if broken:
-                # Later parts may be cut by what could not be read.
+                # Later parts are cut against the report that was unreadable.
                 return
             first_ms = min(first_ms, self._clock.now_ms())
             read = protocol.decode_report(chunk)
@@ -126,7 +126,7 @@
         reply: result.Result[protocol.HttpReply, transport.LinkError],
         broken: bool,
     ) -> _Status:
-        """Return what became of the targets that were not reported."""
+        """Return the status of the attempts that no report has named."""
         if isinstance(reply, result.Success):
             if reply.unwrap().status == 200:
                 self._on_success(merger)
@@ -144,13 +144,13 @@
         return _Status.ORDER_LOST
 
     def _on_success(self, merger: str) -> None:
-        """One that was lost gets hand-overs and orders again."""
+        """Mark a peer as reachable again, if it was lost."""
         if self._peers.get(merger):
             record = self._peers.record(merger)
             record.on_answer(1, 0.0, self._clock.now_ms())
 
     def on_late(self, merger: str) -> None:
-        """A daemon has reported nothing in time: others come first."""
+        """Count a daemon that has not reported in time as failed."""
         self._metrics.add('orders_late')
         self._loads.record_failure(merger)
 
--- a/samphiredock/coordination/forwarding/_order_tracker.py
+++ b/samphiredock/coordination/forwarding/_order_tracker.py
@@ -1,4 +1,4 @@
-"""Orders of flights: what is sent, and what their reports bring."""
+"""Sends the merge orders of pending requests and handles their reports."""
 
 import asyncio
 import typing
@@ -11,22 +11,20 @@
 from samphiredock import timers
 
 REPORT_TRANSIT_MS = 5.0
-"""What the first report of an order takes to its search, when an answer is
-due: 1.4 ms between sites and two busy loops."""
+"""Time allowed for an order's first report to reach the coordinator."""
 
 REPORT_GRACE_MS = 15.0
-"""How much later than due a first report may come before its daemon is given
-up for the search and its shards are hedged by another way: 3 ms between sites
-there and back, 3 to 4 ms to send 20 requests and merge as many parts, the same
-for another search that came first.  With 5 to 8 ms five in 24 orders of a calm
-day were taken for lost (log of one daemon, 12 s).  A daemon that died with an
-order costs its search this wait and a hedge."""
+"""How long after its due time an order's first report is waited for.  After
+that its daemon gets no more of the search, and its shards are hedged.  Covers
+the round trip between sites, sending the requests and merging the parts, with
+another search's order ahead of it."""
 
 _MIN_GATHER_MS = 1.0
 
 HEDGE_DELAY_MS = 1.0
-"""Between giving a silent daemon up and hedging its shards: others that are
-silent as well are given up by then, and the hedges go through none of them."""
+"""Delay between dropping a silent daemon and hedging its shards.  Other
+daemons that are silent as well are dropped by then, so no hedge goes through
+them."""
 
 _Status = protocol.SubStatus
 
@@ -34,22 +32,22 @@
 
 
 class OrderTracker:
-    """Sends the orders of flights, and takes their reports in.
+    """Sends the merge orders of pending requests and handles their reports.
 
     Parameters
     ----------
-    target_client
-        Keeps the records of targets, also of those that others ask.
+    asker
+        Records the health of targets, also of those that other daemons ask.
     orders
-        Sends one order; None: none is ever sent.
+        Sends one order; None if none is ever sent.
     clock
         The timers of this daemon.
     take
-        Takes the ends of a pending's attempts.
+        Called with the results of a request's attempts.
     on_late
-        Takes attempts that are late where they were asked.
+        Called with attempts that the ordered daemon reports as late.
     on_silent
-        Takes attempts of a daemon that has reported nothing in time.
+        Called with attempts of a daemon that has not reported in time.
     """
 
     def __init__(
@@ -83,8 +81,8 @@
     ) -> None:
         """Order a daemon to send these attempts.
 
-        ``is_gathering`` is true for first attempts, the only ones whose
-        results may come back merged: see :class:`ReportBatcher`.
+        ``gathers`` is true for first attempts, the only ones whose results
+        may come back merged: see :class:`ReportBatcher`.
         """
         waiting = {_number_of(item.attempt_id): item for item in items}
         sent_order = _pending_requests.SentOrder(merger, waiting, is_gathering)
@@ -107,9 +105,9 @@
         pending: _pending_requests.PendingRequest,
         sent_order: _pending_requests.SentOrder,
     ) -> None:
-        """Expect nothing of a daemon that has reported nothing in time.
+        """Drop a daemon that has not reported in time from the search.
 
-        It may be frozen.  Hedges that went through it would hang as well.
+        It may hang, and hedges sent through it would hang as well.
         """
         if (
             sent_order.has_reported
@@ -192,7 +190,7 @@
         sent_order: _pending_requests.SentOrder,
         status: protocol.SubStatus,
     ) -> None:
-        """Expect nothing more of an order."""
+        """End the attempts of an order from which no more reports are read."""
         assert pending.assignments is not None
         pending.assignments.drop_merger(sent_order.merger)
         items = list(sent_order.waiting.values())
@@ -219,9 +217,10 @@
         numbers = [row.number for row in (*report.merged, *report.ended)]
         unknown = set(numbers) - set(sent_order.waiting)
         if unknown or len(set(numbers)) < len(numbers):
-            # Records of an attempt that was not ordered, or was reported
-            # before, cannot be taken out of the merged part, and later
-            # reports build on it.
+            # The merged part may hold records of an attempt that was not
+            # ordered or was reported before.  They cannot be taken out, and
+            # later reports are cut against them, so the order is dropped.
+
             sent_order.is_broken = True
             _log.error(
                 'report', daemon=sent_order.merger, unknown=sorted(unknown)
@@ -242,7 +241,7 @@
         sent_order: _pending_requests.SentOrder,
         report: protocol.MergeReport,
     ) -> list[protocol.SubAnswer]:
-        """Keep what a report brings; return the ends of its attempts."""
+        """Add a report's parts; return the results of its attempts."""
         items = [sent_order.waiting.pop(row.number) for row in report.merged]
         receipts = {
             item.shard_id: row.receipt
@@ -268,6 +267,7 @@
         sent_order: _pending_requests.SentOrder,
         report: protocol.MergeReport,
     ) -> list[protocol.SubAnswer]:
+        """Return the results of the attempts that a report lists as failed."""
         assert pending.assignments is not None
         items = [sent_order.waiting.pop(row.number) for row in report.ended]
         for item, row in zip(items, report.ended):
@@ -284,7 +284,7 @@
         pending: _pending_requests.PendingRequest,
         sent_order: _pending_requests.SentOrder,
     ) -> None:
-        """No merged part will come any more; hedge what is late."""
+        """Stop expecting a merged part, and hedge the attempts still open."""
         sent_order.is_gathering = False
         items = list(sent_order.waiting.values())
         pending.parts.expect_no_merged(item.shard_id for item in items)
@@ -297,7 +297,7 @@
         took_us: int,
         detail: str = '',
     ) -> protocol.SubAnswer:
-        """Take what another daemon saw of a target into its record."""
+        """Record what another daemon observed of a target."""
         took_ms = took_us / 1000.0
         self._target_client.record_result(item.target, status, took_ms)
         return _pending_requests.make_sub_answer(item, status, took_ms, detail)
@@ -305,7 +305,7 @@
     def drop(
         self, pending: _pending_requests.PendingRequest, attempt_id: str
     ) -> None:
-        """End an order once none of its attempts is needed any more."""
+        """Cancel an order once none of its open attempts is needed."""
         order = pending.sent_orders[attempt_id]
         order.unwanted.add(_number_of(attempt_id))
         if order.task is not None and order.unwanted >= set(order.waiting):
@@ -315,5 +315,5 @@
 
 
 def _number_of(attempt_id: str) -> int:
-    """Return what tells an attempt apart within its search."""
+    """Return the number of an attempt, unique within its search."""
     return int(attempt_id.rpartition('.')[2])
--- a/samphiredock/coordination/forwarding/_outcome_log.py
+++ b/samphiredock/coordination/forwarding/_outcome_log.py
@@ -1,4 +1,4 @@
-"""What log and metrics tell of the end of a request that is passed on."""
+"""Writes log lines and metrics at the end of forwarded requests."""
 
 from samphiredock.coordination.forwarding import _pending_requests
 from samphiredock.coordination.forwarding import _request_log
@@ -8,11 +8,10 @@
 from samphiredock import timers
 
 _MAX_SHARDS_LOGGED = 8
-"""Shards that a log line names at most; the count says how many more."""
 
 
 class OutcomeLog:
-    """Notes of ends.
+    """Logs and counts the outcomes of requests.
 
     Parameters
     ----------
@@ -28,7 +27,7 @@
         self._log = _request_log.RequestLog(clock, counters)
 
     def close(self) -> None:
-        """Write the lines that wait."""
+        """Write the pending log lines."""
         self._log.write()
 
     def log_refused(
@@ -37,7 +36,7 @@
         refusal: protocol.NotRun,
         started_ms: float,
     ) -> protocol.NotRun:
-        """Tell of a request that was refused before anything was sent."""
+        """Log a request that was refused before anything was sent."""
         self._metrics.add('requests_refused', reason=refusal.reason.value)
         self._log.end(
             request.request_id,
@@ -55,7 +54,7 @@
         pending: _pending_requests.PendingRequest,
         outcome: protocol.ForwardOutcome | None,
     ) -> None:
-        """Tell of the end of a pending; None if its caller has left."""
+        """Log a request's end; ``outcome`` is None if its caller has left."""
         plan = pending.plan
         name = type(outcome).__name__.lower() if outcome else 'caller left'
         took_ms = self._clock.now_ms() - pending.trace.started_ms
--- a/samphiredock/coordination/forwarding/_pending_requests.py
+++ b/samphiredock/coordination/forwarding/_pending_requests.py
@@ -1,4 +1,4 @@
-"""One request that is passed on, from its plan to what its caller is told."""
+"""The state of a forwarded request until its outcome is known."""
 
 import asyncio
 import dataclasses
@@ -15,17 +15,18 @@
 
 
 LOSER_GRACE_MS = 150.0
-"""How long an exchange that is not needed any more may still end by itself.
-A target that pauses for 120 ms answers within it, and its connection stays
-open; a new one would hold a slot of the target for 6 ms."""
+"""How long an exchange that is no longer needed may still end by itself.
+Closing its connection would cost a new handshake, during which a slot of the
+target is taken."""
 
 
 @dataclasses.dataclass(slots=True)
 class Exchange:
-    """One exchange with a target; ``lingers`` after nobody needs it.
+    """One exchange with a target.
 
-    It was decided at ``sent_ms``, and ``has_gone_out`` once it had a
-    connection.
+    ``sent_ms`` is when the attempt was decided; ``is_sent`` is set when a
+    connection was available and the request was written.  ``is_dropped`` is
+    set when the reply is no longer needed.
     """
 
     target: str
@@ -35,17 +36,18 @@
     is_sent: bool = False
 
     def mark_sent(self) -> None:
-        """The target gets the request now."""
+        """Note that the request has been written to a connection."""
         self.is_sent = True
 
 
 @dataclasses.dataclass(slots=True)
 class SentOrder:
-    """An order that has not ended.
+    """A merge order that has not ended.
 
-    ``waiting`` are the attempts that no report has named, ``unwanted``
-    those whose end is of no use any more.  It ``gathers`` until its merged
-    part has come, and ``is_broken`` once a report made no sense.
+    ``merger`` is the daemon that executes it.  ``waiting`` holds the attempts
+    not yet reported, by number; ``unwanted`` the numbers of those whose result
+    is no longer needed.  ``is_gathering`` until the merged part has come;
+    ``is_broken`` after a report that contradicts the order.
     """
 
     merger: str
@@ -59,11 +61,12 @@
 
 @dataclasses.dataclass(slots=True)
 class PendingRequest:
-    """One request that has no outcome yet.
+    """A forwarded request that has no outcome yet.
 
-    ``ways`` says through whom its targets are asked, None if each is asked
-    directly.  ``parts`` is what has come of a search, ``replies`` whole
-    answers by attempt, one of which may be passed on.
+    ``assignments`` says which daemon asks each target, None if this one asks
+    all of them.  ``parts`` collects the results of a search; ``replies`` holds
+    whole replies by attempt, one of which may be passed on.  ``failure`` is a
+    target's own error reply, passed on if nothing better comes.
     """
 
     plan: _route_plans.ForwardPlan
@@ -88,7 +91,7 @@
         self.parts = _collected_parts.CollectedParts(self.plan.route.top)
 
     def unanswered(self) -> list[str]:
-        """Return the services that gave no answer."""
+        """Return the services that have not answered."""
         return [
             name for name in self.plan.services if name not in self.answered
         ]
@@ -96,10 +99,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PendingSummary:
-    """A request that has no outcome yet, for the log.
+    """A pending request as it is logged at shutdown.
 
-    ``at`` are the targets that have it, and the daemons with orders for it;
-    ``no_connection`` those for which it still waits for a connection.
+    ``for_ms`` is its age.  ``at`` are the targets it was sent to and the
+    daemons with open orders for it; ``no_connection`` the targets for which
+    it still waits for a connection.
     """
 
     request_id: str
@@ -109,7 +113,7 @@
 
 
 def summarize(pending: PendingRequest, now_ms: float) -> PendingSummary:
-    """Return what a pending waits for."""
+    """Return the summary of a pending request."""
     waited_for = [
         exchange
         for exchange in pending.exchanges.values()
@@ -133,14 +137,14 @@
 def outcome_of(
     pending: PendingRequest, finish: _scatter_types.Finish, now_ms: float
 ) -> protocol.ForwardOutcome:
-    """Return what the caller is told at the end of a pending.
+    """Return the outcome that the caller of a finished request gets.
 
     Parameters
     ----------
     pending, finish
         The request, and how its scatter ended.
     now_ms
-        A request that is still unanswered at its deadline has timed out.
+        A request that is unanswered at its deadline has timed out.
     """
     plan = pending.plan
     outcome = finish.outcome
@@ -169,7 +173,7 @@
     took_ms: float = 0.0,
     detail: str = '',
 ) -> protocol.SubAnswer:
-    """Return the end of an attempt, without what it brought."""
+    """Return the result of an attempt, without its receipt and records."""
     return protocol.SubAnswer(
         item.attempt_id,
         item.target,
--- a/samphiredock/coordination/forwarding/_presence.py
+++ b/samphiredock/coordination/forwarding/_presence.py
@@ -1,8 +1,8 @@
-"""Which daemons there are, by an object of each in the store.
+"""Registers this daemon in the store and lists the other daemons.
 
-The daemons share the retry budget.  One that counts too few would use more
-than its part, so an object that was left behind by a lost daemon does no
-harm: it only makes the parts smaller.
+The daemons share the retry budget.  An entry left behind by a lost daemon only
+makes each daemon's part smaller; one that is missing would let the others
+exceed the budget.
 """
 
 import asyncio
@@ -23,17 +23,16 @@
 DAEMONS_PREFIX = 'samphiredock-daemons/'
 
 LIST_INTERVAL_MS = 5_000.0
-"""How soon a daemon that was added gets its part of the budget.  The list
-may be stale, which costs the store a tenth of a call."""
+"""Interval between lists in a small system, and so the time until a new daemon
+gets its part of the budget."""
 
 FIRST_INTERVAL_MS = 1_000.0
-"""When the list is read again after a start; then in doubling steps, while
-daemons that start together register."""
+"""Interval before the second list after a start.  It doubles for the next
+ones, while daemons that start together register."""
 
 _FULL_RATE_DAEMONS = 30
-"""Daemons up to which each lists them at the full pace.  Beyond, the bytes
-of all lists would grow with the square: 62 daemons read 115 KB/s of them,
-two thirds of it from other sites."""
+"""Number of daemons beyond which the interval grows.  At a constant interval
+the traffic of all lists would grow with the square of the number."""
 
 _STARTUP_LISTS = 3
 _STARTUP_FACTOR = 2
@@ -58,13 +57,13 @@
     Parameters
     ----------
     me
-        This daemon; a restart has the same name.
+        This daemon; its name is the same after a restart.
     store
-        Where the objects are.
+        The object store.
     clock
         The timers of this daemon.
     on_list
-        Called with the daemons each time that they were listed.
+        Called with all daemons after each list.
     """
 
     def __init__(
@@ -88,13 +87,13 @@
         self._first_list_done = asyncio.Event()
 
     def daemons(self) -> tuple[_roles.Daemon, ...]:
-        """Return the daemons of the newest list, empty before the first."""
+        """Return the daemons last listed, empty before the first list."""
         return self._daemons
 
     def on_introduction(self, daemons: tuple[_roles.Daemon, ...]) -> bool:
-        """Take what another daemon tells; True if it is of use.
+        """Take the daemons that another one sent; return whether used.
 
-        It is only while the list has not been read: what others have seen
+        They are ignored once this daemon has read the list itself, since they
         may be older.
         """
         if self._has_listed:
@@ -106,11 +105,11 @@
         return True
 
     def start(self) -> None:
-        """Register and list in the background."""
+        """Start to register and list in the background."""
         self._task = background.start(self._run(), 'presence')
 
     async def wait_listed(self) -> None:
-        """Wait until the list has been asked for once."""
+        """Wait until the first list was attempted, successfully or not."""
         await self._first_list_done.wait()
 
     async def leave(self) -> None:
@@ -137,25 +136,24 @@
                 await self._register()
 
     async def _join(self) -> None:
-        """Learn of the others, and have an object that tells of this one.
+        """List the other daemons and register this one, until both succeed.
 
-        One that starts among others knows them by a list that may be stale,
-        which costs a tenth; its object is there from before if it is not
-        new.  Where all are new, the list is empty until they have
-        registered.
+        A stale read is cheaper and usually complete.  Only if it shows no
+        other daemon is the newest list read, since daemons that start together
+        would each take themselves for the only one.
         """
         while not await self._list(may_be_stale=True) or (
             self._must_register and not await self._register()
         ):
-            # The store is away: nobody is known, so this daemon reads for
-            # itself.
+            # The store is unreachable and no daemon is known, so this one
+            # goes on without waiting.
             self._first_list_done.set()
             await _pause.pause(self._clock, _RETRY_MS)
         if len(self._daemons) <= 1:
             await self._list(may_be_stale=False)
 
     def _interval_ms(self) -> float:
-        """Return the time between lists; all together read as many rows."""
+        """Return the interval between lists, longer in a large system."""
         return LIST_INTERVAL_MS * max(
             1.0, len(self._daemons) / _FULL_RATE_DAEMONS
         )
@@ -169,8 +167,8 @@
             self._version = reply.unwrap()
             self._must_register = False
             return True
-        # A conflict is this daemon's own object, from before a restart; the
-        # next list shows it.
+        # A conflict means that its object from before a restart exists; the
+        # next list reads it.
         return reply.failure().kind is transport.StoreErrorKind.CONFLICT
 
     def _value(self) -> bytes:
@@ -180,7 +178,7 @@
         )
 
     def set_near(self, near: bool) -> None:
-        """Tell the others whether this daemon is near the targets."""
+        """Publish whether this daemon is near the targets."""
         if near != self._me.near:
             self._me = dataclasses.replace(self._me, near=near)
             background.start(self._rewrite(), 'presence')
@@ -188,7 +186,8 @@
     async def _rewrite(self) -> None:
         reply = await self._store.put(self._key, self._value(), self._version)
         if isinstance(reply, result.Failure):
-            # Wrong for a while: it gets requests that others serve nearer.
+            # Until the next write, requests come here that a daemon nearer
+            # to the targets should get.
             _log.info('object not written', why=reply.failure().detail)
             return
         self._version = reply.unwrap()
@@ -204,8 +203,9 @@
         if self._is_listed:
             self._adopt_own_object(rows[self._key])
         else:
-            # Removed when this daemon stopped before, and shown by an older
-            # list since; or not in this one yet, which costs a refused write.
+            # Either an older list still showed the object that this daemon
+            # removed when it last stopped, or this stale list does not show
+            # the new one yet; then the write is refused, which is harmless.
             self._must_register = True
         found = {self._me.name: self._me}
         for row in rows.values():
@@ -221,9 +221,9 @@
         return True
 
     def _adopt_own_object(self, stored: transport.StoredObject) -> None:
-        """See whether the object from before tells what is so now.
+        """Check whether this daemon's stored object is up to date.
 
-        Where the targets were is kept until they have been listed again.
+        Its ``near`` is kept until the targets have been listed again.
         """
         self._version = stored.version
         before = _read(stored)
--- a/samphiredock/coordination/forwarding/_report_batcher.py
+++ b/samphiredock/coordination/forwarding/_report_batcher.py
@@ -1,13 +1,15 @@
-"""When the parts of an order are reported, and which of them as one.
-
-A pure object: ends of attempts and the time go in, reports come out.
-Failures are reported at once, since the search asks another target then.
-Parts wait until all are in or the time to gather is over, and are merged;
-what comes later is reported one by one.  So a shard is in at most one merged
-part of a search, as only first attempts are gathered: a part of it that
-another target gave can always give way, though a merged part cannot be taken
-apart.  And since the search keeps each merged part, later ones are cut to the
-records that are greater than the least of it.
+"""Decides when the results of a merge order are reported, and which together.
+
+Performs no I/O: results and timeouts go in, reports come out.  Failures are
+reported at once, so that the coordinator can ask another target.  Parts are
+held until all are in or the gather time is over, and are then merged; later
+parts are reported one by one.
+
+Only first attempts are gathered, so a shard is in at most one merged part of a
+search.  A merged part cannot be taken apart, but a part of the same shard from
+another target can always be discarded in its favour.  Since the coordinator
+keeps every merged part, later parts are cut to the records greater than the
+least one already reported.
 """
 
 import dataclasses
@@ -19,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Part:
-    """What a target gave to one attempt."""
+    """The result of one attempt: its receipt and records."""
 
     number: int
     receipt: str
@@ -28,12 +30,12 @@
 
 
 class ReportBatcher:
-    """The attempts of one order that have not been reported.
+    """Holds the results of one order until they are reported.
 
     Parameters
     ----------
     order
-        What is asked, and for how long its parts are gathered.
+        The order: its attempts, and how long parts are gathered.
     """
 
     def __init__(self, order: protocol.MergeOrder) -> None:
@@ -48,7 +50,7 @@
         return not self._open and not self._parts
 
     def on_part(self, part: Part) -> protocol.MergeReport | None:
-        """Take a part in; return what to report now, if anything."""
+        """Add a part; return the report to send now, if any."""
         self._open.discard(part.number)
         self._parts.append(part)
         if self._is_gathering and self._open:
@@ -56,14 +58,14 @@
         return self._report((), is_late=False)
 
     def on_failure(self, ended: protocol.EndedItem) -> protocol.MergeReport:
-        """Return the report of an attempt that gave no part."""
+        """Return the report of a failed attempt."""
         self._open.discard(ended.number)
         if self._is_gathering and self._open:
             return protocol.MergeReport(ended=(ended,))
         return self._report((ended,), is_late=False)
 
     def on_gather_timeout(self) -> protocol.MergeReport | None:
-        """The time to gather is over; None if all has been reported."""
+        """Return the merged part so far; None if all has been reported."""
         if not self._is_gathering or self.is_done():
             return None
         self._is_gathering = False
@@ -77,7 +79,7 @@
             [part.body for part in held], self._top, self._floor
         )
         if len(records) == self._top * state.RECORD_BYTES:
-            # What a later part has below these cannot be in the answer.
+            # Smaller records of later parts cannot be in the answer.
             self._floor = records[-state.RECORD_BYTES :]
         return protocol.MergeReport(
             tuple(
--- a/samphiredock/coordination/forwarding/_request_log.py
+++ b/samphiredock/coordination/forwarding/_request_log.py
@@ -1,9 +1,9 @@
-"""Log lines about requests: few for those that went well.
+"""Writes log lines about requests, with little detail for successful ones.
 
-Every request has a line at its end.  One that did not go well has a line
-for each decision as well: to whom it was sent and why, what came back, what
-was refused and with which budget left.  The entries are kept until the
-end is known, so that a is_ok request's never take the place of a bad one's.
+Every request has a line at its end.  A failed or late one also has a line for
+each decision: where it was sent and why, what came back, what was refused.
+The decisions are kept until the outcome is known, and failed requests have a
+rate limit of their own, so that successful ones cannot crowd them out.
 """
 
 import collections
@@ -15,24 +15,21 @@
 from samphiredock import timers
 
 SUCCESS_LINES_PER_S = 50.0
-"""A daemon serves about 15 requests a second; at a burst of thousands the
-lines of is_ok ones are a sample."""
+"""Rate limit for successful requests; beyond, their lines are a sample."""
 
 FAILURE_LINES_PER_S = 400.0
-"""Decisions of 10 to 20 failed requests a second.  A line takes some 60 us,
-so that both bounds together stay under 3 % of a core."""
+"""Rate limit for failed or late requests."""
 
 _WRITE_INTERVAL_MS = 20.0
 _LINES_PER_WRITE = 12
-"""Lines are written a few at a time, 600 a second as the bounds allow.  A
-search of 90 shards that was late leaves some 200 of them, 12 ms of work: at
-once, it would make the next ones late as well."""
+"""Lines written at once.  A late search of many shards leaves hundreds of
+lines, which would delay other requests if written in one go."""
 
 _log = logs.logger('requests')
 
 
 class _Bucket:
-    """Lines that may be written now, filled by time."""
+    """Token bucket for log lines."""
 
     def __init__(self, per_s: float) -> None:
         self._per_s = per_s
@@ -52,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TraceEntry:
-    """One decision about a request, ``at_ms`` after it came."""
+    """One decision about a request, ``at_ms`` after the request came."""
 
     at_ms: float
     event: str
@@ -61,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Line:
-    """One line that waits; ``at_ms`` is the time of day."""
+    """A line waiting to be written; ``at_ms`` is its wall-clock time."""
 
     at_ms: float
     event: str
@@ -69,7 +66,7 @@
 
 
 class RequestTrace:
-    """The entries about one request, until its end is known."""
+    """The decisions about one request, kept until its outcome is known."""
 
     __slots__ = ('started_ms', 'entries')
 
@@ -78,13 +75,13 @@
         self.entries: list[TraceEntry] = []
 
     def add(self, now_ms: float, event: str, **fields: object) -> None:
-        """Keep one decision."""
+        """Add one decision."""
         at_ms = round(now_ms - self.started_ms, 1)
         self.entries.append(TraceEntry(at_ms, event, fields))
 
 
 class RequestLog:
-    """Writes the lines, and counts those that are left out.
+    """Writes the lines of requests, and counts those left out.
 
     Parameters
     ----------
@@ -110,9 +107,9 @@
         event: str = 'request ended',
         **fields: object,
     ) -> None:
-        """Write a request's end, and its entries if it went badly.
+        """Log the end of a request, and its decisions unless it went well.
 
-        ``event`` is what has ended: the request, or an order for it.
+        ``event`` names what has ended: the request, or a merge order for it.
         """
         lines = [] if is_ok else trace.entries
         bucket = self._success_bucket if is_ok else self._failure_bucket
@@ -135,7 +132,7 @@
         self._schedule_write()
 
     def _schedule_write(self) -> None:
-        """Keep one timer, and only while lines wait."""
+        """Set a timer for the next lines, unless it is set or none wait."""
         if self._waiting and not self._has_timer:
             self._has_timer = True
             self._clock.after(_WRITE_INTERVAL_MS, self._write_some)
@@ -146,11 +143,11 @@
         self._schedule_write()
 
     def write(self, count: int | None = None) -> None:
-        """Write lines that wait, ``count`` at most; None for all."""
+        """Write at most ``count`` waiting lines; all of them if None."""
         left = len(self._waiting) if count is None else count
         while self._waiting and left:
             line = self._waiting.popleft()
-            # When it happened, not when there was time to write it.
+            # The time of the event, not of the write.
             _log.info(
                 line.event, time=logs.time_text(line.at_ms), **line.fields
             )
--- a/samphiredock/coordination/forwarding/_roles.py
+++ b/samphiredock/coordination/forwarding/_roles.py
@@ -1,10 +1,10 @@
-"""Which daemons ask the targets, and which hand requests over to those.
+"""Decides which daemons coordinate searches and which hand requests over.
 
-A target takes few connections, a connection that is seldom used is cold,
-and a part that crosses between sites costs more than a merged answer.  So
-where there are many daemons, or none of the targets is near, a few daemons
-near the targets coordinate: they follow the store, keep warm connections
-and merge.  The others hand the whole request over, one hop.
+A target accepts few connections, a rarely used connection is cold, and
+transferring every part between sites costs more than one merged answer.  So
+in a large system, or if no targets are near, only a few daemons near the
+targets coordinate: they follow the store, keep connections warm, and merge.
+The others hand whole requests over to them.
 """
 
 import collections
@@ -14,28 +14,26 @@
 import xxhash
 
 NEAR_SHARE = 0.5
-"""A site coordinates if it has at least this part of the targets that the
-best site has.  Half: with fewer, most parts come from other sites."""
+"""A site is near if it has at least this share of the targets of the best
+site.  With fewer, most parts would come from other sites."""
 
 
 CONNECTION_SHARE = 0.8
-"""Part of a target's connections that is used.  Those of a daemon that lost
-power stay open at the target for a while, beside those of its successor; on
-a played day targets reset 114 connections beyond their limit."""
+"""Share of a target's connections that the daemons use.  The rest allows for
+those of a daemon that lost power, which stay open at the target for a while
+beside those of its successor."""
 
 MIN_CORES_SHARE = 0.5
-"""A daemon coordinates if its host does at least this part of the work of
-the site's largest.  Sending a search to 90 shards takes some 20 ms of a
-core; on a host of a quarter of that it took 97 ms to the answer, and 57 ms
-on the large ones."""
+"""A daemon coordinates only if it has at least this share of the cores of the
+largest one at its site, since smaller hosts answer searches more slowly."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Daemon:
     """A daemon as the others know it; ``address`` is for its peers.
 
-    ``cores`` is how many cores' worth of work it does, ``near`` whether its
-    site has targets enough to coordinate.
+    ``cores`` is its host's capacity in cores, ``near`` whether its site has
+    enough targets to coordinate.
     """
 
     name: str
@@ -48,14 +46,14 @@
 def candidates_of(
     daemons: typing.Iterable[Daemon], per_site: int
 ) -> list[Daemon]:
-    """Return the daemons that may coordinate: the largest of each site.
+    """Return the daemons that may coordinate: the largest ones of each site.
 
     Parameters
     ----------
     daemons
-        Those that are known and not known to be down.
+        The daemons not known to be down.
     per_site
-        How many of a site at most.
+        How many to return per site at most.
     """
     by_site: dict[str, list[Daemon]] = collections.defaultdict(list)
     for daemon in daemons:
@@ -75,7 +73,7 @@
 ) -> frozenset[str]:
     """Return the names of the daemons that coordinate.
 
-    Those candidates that are near the targets; all of them if none is.
+    These are the candidates near the targets, or all of them if none is near.
     """
     candidates = candidates_of(daemons, per_site)
     near = [daemon for daemon in candidates if daemon.near]
@@ -89,32 +87,32 @@
 
 
 def connections_per_daemon(most: int, daemons: int) -> int:
-    """Return how many connections to a target one daemon may have.
+    """Return how many connections to one target a daemon may have.
 
     Parameters
     ----------
     most
-        What the target takes from all together.
+        How many the target accepts in total.
     daemons
-        How many share them.
+        How many daemons share them.
     """
     return max(1, int(most * CONNECTION_SHARE) // daemons)
 
 
 def _rank(daemon: Daemon) -> tuple[float, int]:
-    """Larger hosts first; equal ones by a hash, the same everywhere."""
+    """Return the sort key: largest first, then by a hash of the name."""
     return -daemon.cores, xxhash.xxh64_intdigest(daemon.name.encode())
 
 
 class Role:
-    """What this daemon is, and since when.
+    """Whether this daemon coordinates, and since when.
 
     Parameters
     ----------
     name
         This daemon.
     per_site
-        How many daemons of a site coordinate.
+        How many daemons of a site coordinate at most.
     """
 
     def __init__(self, name: str, per_site: int) -> None:
@@ -129,7 +127,7 @@
     def update(
         self, daemons: typing.Collection[Daemon], now_ms: float
     ) -> bool:
-        """Take in what is known; True if this daemon's part changed."""
+        """Update the role from a list of daemons; return if it changed."""
         if not daemons:
             return False
         candidates = candidates_of(daemons, self._per_site)
@@ -146,7 +144,7 @@
         return True
 
     def coordinate_temporarily(self, now_ms: float, for_ms: float) -> None:
-        """Coordinate for a time, since no coordinator can be reached."""
+        """Coordinate for some time, since no coordinator can be reached."""
         self._temporary_until_ms = now_ms + for_ms
         if not self.coordinates:
             self.coordinates = True
--- a/samphiredock/coordination/forwarding/_route_plans.py
+++ b/samphiredock/coordination/forwarding/_route_plans.py
@@ -1,9 +1,9 @@
-"""Turn a request that is passed on into the plan of a scatter.
+"""Turns a forwarded request into the plan of a scatter.
 
 A route to one service is a scatter over one shard whose replicas are the
-service's targets; a route to many has one shard a service.  Each shard
-stands for an equal part of the key space, so that coverage is the share of
-the shards that answered.
+service's targets; a route to several has one shard per service.  Each shard
+stands for an equal part of the key space, so coverage is the share of the
+shards that answered.
 """
 
 import dataclasses
@@ -15,13 +15,13 @@
 from samphiredock import state
 
 MERGE_RESERVE_MS = 4.0
-"""What is left for the merge and the way to the socket when an answer is
-due: 20 parts merge in about 1 ms, the rest is for a busy loop."""
+"""Time reserved for the merge and the write to the socket before an answer is
+due."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForwardPlan:
-    """What one passed-on request is, fixed when it comes.
+    """The plan of one forwarded request, fixed when the request arrives.
 
     ``key_ranges`` are those of the shards, by service.
     """
@@ -41,7 +41,7 @@
 def shards_of(
     services: tuple[str, ...], targets: dict[str, list[str]]
 ) -> list[state.Shard]:
-    """Return equal parts of the key space, one a service."""
+    """Return one shard per service, each an equal part of the key space."""
     count = len(services)
     bounds = [state.KEY_SPACE_SIZE * at // count for at in range(count + 1)]
     return [
@@ -55,7 +55,7 @@
 
 
 def least_shards(route: state.Route) -> int:
-    """Return how many shards an answer needs at least."""
+    """Return the least number of shards that an answer needs."""
     # 0.85 * 20 is 17.000000000000004 in floating point.
     return max(1, math.ceil(route.least_share * len(route.shards) - 1e-6))
 
@@ -72,15 +72,15 @@
     caller_way_ms: float,
     first_hedge_ms: float,
 ) -> ForwardPlan:
-    """Fix deadline, shards and least coverage of one request.
+    """Return the plan of a request: deadline, shards and least coverage.
 
     Parameters
     ----------
     services, targets
         The services to ask, and the targets of each.
     caller_way_ms
-        What the caller has spent of the route's aim, and the way back
-        to it will take.
+        The part of the route's aim that the caller has already spent and
+        that the way back to it will take.
     first_hedge_ms
         When to hedge while no latencies are known.
     """
@@ -91,7 +91,7 @@
     least = 1.0
     if route.shards:
         answer_by_ms = now_ms + route.aim_ms - caller_way_ms - MERGE_RESERVE_MS
-        # Half a shard less: the parts of the key space are rounded.
+        # Half a shard less, since the key ranges are rounded.
         least = (least_shards(route) - 0.5) / len(services)
     shards = shards_of(services, targets)
     snapshot = state.Snapshot(
@@ -129,10 +129,10 @@
 
 
 def merge_parts(bodies: list[bytes], top: int, floor: bytes = b'') -> bytes:
-    """Return the greatest ``top`` records of all parts, greatest first.
+    """Return the ``top`` greatest records of all parts, greatest first.
 
-    A remainder shorter than a record is none.  Equal records all count.
-    Those that are not greater than ``floor`` are left out.
+    Trailing bytes shorter than a record are ignored.  Equal records are all
+    kept.  Records that are not greater than ``floor`` are left out.
     """
     size = state.RECORD_BYTES
     records = [
--- a/samphiredock/coordination/forwarding/_routing.py
+++ b/samphiredock/coordination/forwarding/_routing.py
@@ -1,4 +1,4 @@
-"""Which routing table is in force here."""
+"""Holds the routing table in force."""
 
 import typing
 
@@ -9,11 +9,11 @@
 
 
 class RoutingState:
-    """The newest routing table; an older one never comes back.
+    """The newest routing table seen; older ones are ignored.
 
-    A stale read, or an answer that was overtaken, may show an older version
-    after a newer one.  A caller would then see a route vanish that it has
-    just used.
+    A stale read or a reordered reply may deliver an older version after a
+    newer one.  If it were used, a caller would lose a route that it has just
+    used.
     """
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         self._subscribers.append(callback)
 
     def offer(self, table: state.RoutingTable) -> bool:
-        """Put a table in force if it is newer than the one held."""
+        """Put a table in force if it is newer; return whether it was."""
         held = self._table.version if self._table else None
         if held is not None and table.version <= held:
             return False
--- a/samphiredock/coordination/forwarding/_splitter.py
+++ b/samphiredock/coordination/forwarding/_splitter.py
@@ -1,4 +1,4 @@
-"""Which of the services that share a route gets the next request."""
+"""Splits the requests of a route among services by weight."""
 
 import dataclasses
 
@@ -13,18 +13,17 @@
 
 
 class Splitter:
-    """Choose among weighted services so that each gets its proportion.
+    """Chooses services by smooth weighted round robin.
 
-    Smooth weighted round robin: after any number of requests the shares
-    are off by less than one request, where a random choice strays by
-    several per cent over some hundreds.
+    After any number of requests each service's count is off by less than one,
+    where random choice may deviate by several per cent over hundreds.
     """
 
     def __init__(self) -> None:
         self._credits: dict[str, list[_Credit]] = {}
 
     def choose(self, route: state.Route) -> str:
-        """Return the service for one more request on ``route``."""
+        """Return the service that gets the next request on ``route``."""
         if len(route.services) == 1:
             return route.services[0].service
         rows = self._rows(route)
--- a/samphiredock/coordination/forwarding/_target_client.py
+++ b/samphiredock/coordination/forwarding/_target_client.py
@@ -1,4 +1,4 @@
-"""One exchange with a target, and what it shows of the target."""
+"""Sends a request to one target and records the result."""
 
 import dataclasses
 import math
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ExchangeResult:
-    """How an exchange ended; ``reply`` is None if there was no answer."""
+    """The result of an exchange; ``reply`` is None if none came."""
 
     status: _Status
     detail: str = ''
@@ -35,21 +35,21 @@
 
 
 class TargetClient:
-    """Asks targets, and keeps their records.
+    """Sends requests to targets and records the results.
 
     Parameters
     ----------
     targets
-        The targets that are known, and what was observed of each.
+        The registered targets and their records.
     dialect, links
-        Their protocol, and the connections to them.
+        The targets' HTTP protocol, and the connections to them.
     clock
         The timers of this daemon.
     once_kept_ms
-        How long a connection may have been idle on which a request goes
-        that must run once.
+        Longest idle time of a connection used for a request that must run
+        at most once.
     crashes
-        Which contents crash targets; None if nothing is to be refused.
+        Takes the losses of targets; None to look for no crashes.
     """
 
     def __init__(
@@ -78,24 +78,24 @@
         is_wanted: typing.Callable[[], bool] = lambda: True,
         on_send: typing.Callable[[], None] = lambda: None,
     ) -> ExchangeResult:
-        """Send a request to a target once.
+        """Send a request to a target, once.
 
         Parameters
         ----------
         request, target_id
-            What is sent where.
+            What to send, and to which target.
         left_ms
-            What is left of the caller's time.
+            Time left until the caller's deadline.
         repeatable
             Whether the request may be sent again if it is lost.
         hedge
-            It goes only if a connection is free: it would wait behind what
-            makes the first attempt late as well, and take the place of
-            another request's first one.
+            Whether this is a hedge.  A hedge is sent only if a connection is
+            free: queued, it would be late as well and would delay another
+            request's first attempt.
         is_wanted
-            Whether the answer is still of use.
+            Whether the reply is still needed.
         on_send
-            Called as the request goes out.
+            Called when the request is written.
         """
         target = self._targets.get(target_id)
         if target is None:
@@ -125,7 +125,7 @@
     def record_result(
         self, target_id: str, status: _Status, took_ms: float
     ) -> None:
-        """Take the end of an exchange into the record of its target."""
+        """Record the result of an exchange as the health of its target."""
         if self._targets.get(target_id) is None:
             return
         now_ms = self._clock.now_ms()
@@ -145,9 +145,9 @@
         target_id: str,
         asked: ExchangeResult,
     ) -> None:
-        """Tell a target that died from one that only lost an answer.
+        """Report a loss if a connection broke because its target died.
 
-        A live target takes a connection at once.
+        A target that has only lost one connection still accepts new ones.
         """
         lost = asked.status is _Status.BROKEN and asked.reply is None
         target = self._targets.get(target_id)
@@ -165,5 +165,5 @@
         )
 
     def target(self, target_id: str) -> state.LiveTarget | None:
-        """Return a target that is registered."""
+        """Return a registered target, None if there is none of this id."""
         return self._targets.get(target_id)
--- a/samphiredock/coordination/forwarding/_window_budget.py
+++ b/samphiredock/coordination/forwarding/_window_budget.py
@@ -1,9 +1,9 @@
-"""The share of a common budget for repeated sub-queries that is ours.
+"""This daemon's part of the retry budget that all daemons share.
 
-All daemons together may send a service ``ratio`` extra requests for each
-first one, and ``slack`` more, in any window of some seconds.  Each keeps
-within the ratio of its own first requests and its part of the slack, so
-that the sum holds without any talk between them.
+In any window all daemons together may send a service ``ratio`` extra requests
+for each first one, and ``slack`` more.  Each daemon keeps within the ratio of
+its own first requests and an equal part of the slack, so the sum holds without
+communication.
 """
 
 import collections
@@ -13,16 +13,16 @@
 from samphiredock import timers
 
 _USED_SHARE = 0.95
-"""Part of the budget that is spent.  What is sent now may arrive in the
-next window, together with what that one sends."""
+"""Share of the budget that is used.  A request sent now may arrive in the next
+window, in addition to that window's own."""
 
 _HEDGE_SHARE = 0.85
-"""Part of ours that hedges may take.  The rest is for retries: without one
-a shard is missing from the answer, without a hedge the answer is late."""
+"""Share that hedges may use.  The rest is kept for retries: without a retry a
+shard is missing from the answer, without a hedge the answer is only late."""
 
 
 class _Window:
-    """First and extra requests to one service in the last window."""
+    """Times of first and extra requests to one shard."""
 
     __slots__ = ('needed', 'extra')
 
@@ -37,18 +37,18 @@
 
 
 class WindowBudget:
-    """First and extra requests, counted by shard in a sliding window.
+    """Counts first and extra requests by shard in a sliding window.
 
     Parameters
     ----------
     clock
         The timers of this daemon.
     ratio, slack, window_ms
-        The common budget: extra requests for each first one, those beyond,
-        and the length of every window in which it must hold.
+        The shared budget: extra requests for each first one, extra requests
+        beyond that, and the length of the window.
     daemons
-        How many daemons share the slack; None while that is not known, and
-        then no slack is used: too many would use it twice.
+        Returns how many daemons share the slack, None if unknown.  Then no
+        slack is used, since too many daemons might use all of it.
     """
 
     also_charged = frozenset(
@@ -76,7 +76,7 @@
         self._windows: dict[str, _Window] = collections.defaultdict(_Window)
 
     def set_bounds(self, ratio: float, slack: float, window_ms: float) -> None:
-        """Keep to other bounds from now on."""
+        """Change the budget."""
         self._ratio = ratio
         self._slack = slack
         self._window_ms = window_ms
@@ -88,7 +88,10 @@
             self._windows[shard].needed.append(now_ms)
 
     def left(self, shard: str, part: float = 1.0) -> float:
-        """Return how many more extra requests may be sent to a shard now."""
+        """Return how many more extra requests may be sent to a shard now.
+
+        ``part`` is the share of the budget that may be used.
+        """
         window = self._windows[shard]
         window.drop_before(self._clock.now_ms() - self._window_ms)
         daemons = self._daemons()
@@ -97,11 +100,11 @@
         return ours * _USED_SHARE * part - len(window.extra)
 
     def spend_hedge(self, shard: str = '') -> bool:
-        """Count a hedge, if there is room for it."""
+        """Count a hedge if the budget allows it; return whether it does."""
         return self._try_spend(shard, _HEDGE_SHARE)
 
     def spend_retry(self, shard: str = '') -> bool:
-        """Count a retry, if there is room for it."""
+        """Count a retry if the budget allows it; return whether it does."""
         return self._try_spend(shard, 1.0)
 
     def _try_spend(self, shard: str, part: float) -> bool:
--- a/tests/failure/test_crash_guard.py
+++ b/tests/failure/test_crash_guard.py
@@ -1,4 +1,4 @@
-"""Requests that crash each target that runs them, sent again and again."""
+"""Requests that crash every target that runs them, and are retried."""
 
 import unittest
 
@@ -14,10 +14,10 @@
 
 
 class CrashGuardTest(unittest.TestCase):
-    """Two daemons that tell each other of lost targets."""
+    """Two daemons that report lost targets to each other."""
 
     def setUp(self) -> None:
-        """Wire two guards together."""
+        """Connect two guards to each other."""
         self.clock = timers.ManualTimers()
         self.counters = metrics.Metrics('test')
         self.addCleanup(self.counters.close)
@@ -44,10 +44,10 @@
         return refusal is not None
 
     def test_a_content_that_crashes_twice_is_refused_everywhere(self) -> None:
-        """Its caller sends it again, to another daemon each time.
+        """Its caller retries it at another daemon.
 
-        The first request takes three targets, the second one more; from
-        then on no daemon sends it to a target.
+        The first request loses three targets, the second one more; after that
+        no daemon may send it.
         """
         self._lose(0, 'r1', 't1', 't2', 't3')
         self.assertFalse(self._refused(0))
@@ -59,7 +59,7 @@
         self.assertIs(protocol.NotRunReason.QUARANTINED, refusal.reason)
 
     def test_one_outage_convicts_nobody(self) -> None:
-        """Ten targets fail at once under requests that are innocent.
+        """Many targets fail at once under innocent requests.
 
         Two callers had sent the same content, and both saw the failure.
         """
@@ -85,7 +85,7 @@
         self.assertFalse(self._refused(0, '/a/other'))
 
     def test_a_conviction_ends(self) -> None:
-        """The targets may have been mended meanwhile."""
+        """The targets may have been fixed meanwhile."""
         self._lose(0, 'r1', 't1')
         self.clock.advance(1_000.0)
         self._lose(0, 'r2', 't2')
--- a/tests/failure/test_given_up.py
+++ b/tests/failure/test_given_up.py
@@ -1,4 +1,4 @@
-"""Requests that a stopping daemon can wait for no longer."""
+"""Requests still pending when a daemon's shutdown time is over."""
 
 import asyncio
 import unittest
@@ -11,15 +11,15 @@
 
 
 class GivenUpTest(unittest.IsolatedAsyncioTestCase):
-    """The daemon stops, and its time is over.
+    """A daemon shuts down while requests wait for silent targets.
 
-    A caller's request is at targets that are silent.  Without an outcome its
-    connection would be closed as the process ends, and the caller would not
-    know whether it may ask again.  Each is told what is true at that moment.
+    Without an outcome, callers would see a closed connection and not know
+    whether they may retry.  Each must get the outcome that is true at that
+    moment.
     """
 
     def setUp(self) -> None:
-        """Ten shards, eight are the least; a service with three targets."""
+        """Set up ten shards, eight required, and one service of three."""
         self.desk = memory_links.ForwardDesk()
 
     async def _ask(self, path: str) -> asyncio.Task[protocol.ForwardOutcome]:
@@ -30,7 +30,7 @@
     async def _finish(
         self, task: asyncio.Task[protocol.ForwardOutcome]
     ) -> protocol.ForwardOutcome:
-        """Give up; the outcome is there without any time passing."""
+        """Finish all requests; the outcome is there without delay."""
         self.desk.forwarder.finish_all()
         await memory_links.settle()
         self.assertTrue(task.done())
@@ -46,7 +46,7 @@
                 self.assertIsInstance(outcome, protocol.Unknown)
 
     async def test_what_all_targets_refused_has_not_run(self) -> None:
-        """It waits to be tried again; the caller may go elsewhere at once."""
+        """It was waiting for a retry; the caller may go elsewhere at once."""
         task = await self._ask('/once/x')
         while self.desk.links.open:
             self.desk.links.open[0].refuse()
@@ -56,9 +56,9 @@
         self.assertGreater(outcome.retry_after_ms, 0)
 
     async def test_what_waits_for_a_connection_has_not_run(self) -> None:
-        """No target has seen it, and none will; its caller may ask again.
+        """No target has seen it, and none will.
 
-        All connections to its target are in use as the daemon stops.
+        All connections to its target are in use when the daemon shuts down.
         """
         for path in ('/one/x', '/once/x'):
             with self.subTest(path):
@@ -71,7 +71,7 @@
                 self.assertEqual([], self.desk.links.sent)
 
     async def test_parts_that_are_enough_are_delivered(self) -> None:
-        """A ready answer is not thrown away for the part that is late."""
+        """A sufficient answer is not discarded for one late part."""
         task = await self._ask('/all/x')
         for sent in self.desk.links.open[1:]:
             sent.answer(RECORD)
@@ -81,14 +81,14 @@
         self.assertEqual(1, outcome.missing)
 
     async def test_its_targets_are_freed(self) -> None:
-        """Nobody waits for them; they would work on for nothing."""
+        """The targets must not go on working for nobody."""
         task = await self._ask('/one/x')
         await self._finish(task)
         await self.desk.advance(200.0)
         self.assertTrue(all(row.cancelled for row in self.desk.links.sent))
 
     async def test_what_comes_later_is_sent_nowhere(self) -> None:
-        """It is refused truly and at once; another daemon can run it."""
+        """It is refused at once; another daemon can run it."""
         self.desk.forwarder.finish_all()
         outcome = await self.desk.ask('/one/x')
         self.assertIsInstance(outcome, protocol.NotRun)
@@ -96,7 +96,7 @@
         self.assertEqual([], self.desk.links.sent)
 
     async def test_a_daemon_that_handed_it_over_may_ask_another(self) -> None:
-        """It sees a refusal, and not the final answer of its caller."""
+        """The refusal is not passed on as the caller's final answer."""
         self.desk.forwarder.finish_all()
         outcome = await self.desk.ask('/one/x')
         self.assertTrue(forwarding.can_retry_elsewhere(outcome))
@@ -110,15 +110,14 @@
 
 
 class PendingSummaryTest(unittest.IsolatedAsyncioTestCase):
-    """What the log tells of requests that a stop waits for."""
+    """How requests that delay a shutdown are logged."""
 
     async def test_a_request_without_a_connection_is_at_no_target(
         self,
     ) -> None:
-        """Taken for one at a silent target, its cause is sought there.
+        """A request waiting for a connection must not blame its target.
 
-        Its line says "sent" since its target was chosen; no target has seen
-        it, and it waits in this daemon.
+        Its target has been chosen but has not seen the request.
         """
         desk = memory_links.ForwardDesk()
         desk.links.busy = {'p-0'}
--- a/tests/failure/test_merged_crossing.py
+++ b/tests/failure/test_merged_crossing.py
@@ -1,4 +1,4 @@
-"""Searches that cross to a site once, and what fails on the way."""
+"""Searches across sites by merge orders, and faults on the way."""
 
 import asyncio
 import collections
@@ -18,10 +18,10 @@
 
 
 def records_of(target: str) -> bytes:
-    """Return the records that a shard's targets hold, in no order.
+    """Return the records that a shard's targets hold, unsorted.
 
-    The targets of a shard hold the same, so that a shard which is in twice
-    shows.  The records of the shards lie between each other.
+    The targets of a shard hold the same records, so a shard counted twice
+    shows up.  The records of different shards interleave.
     """
     shard = target.rpartition('-')[0]
     number = int(shard[1:])
@@ -42,20 +42,20 @@
 
 class _Case(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        """Ask 36 shards from a site that has a target of 24."""
+        """Ask 36 shards from a site that has targets of 24 of them."""
         self.desk = memory_orders.OrderDesk()
         self.desk.offer(2, least_share=0.5)
         self.task = self.desk.ask('/all/x')
         await memory_links.settle()
 
     def answer_all(self, leave_out: set[str] = frozenset()) -> None:
-        """Answer what is open, but for some targets."""
+        """Answer all open exchanges, except for some targets."""
         for sent in self.desk.links.open:
             if sent.target not in leave_out:
                 sent.answer(records_of(sent.target))
 
     async def outcome(self, steps: int = 40) -> protocol.ForwardOutcome:
-        """Let time pass until the search has an outcome."""
+        """Advance the clock until the search has an outcome."""
         for _ in range(steps):
             if self.task.done():
                 break
@@ -64,13 +64,13 @@
         return await self.task
 
     async def asyncTearDown(self) -> None:
-        """Let end what lingers."""
+        """End the exchanges still open."""
         for sent in self.desk.links.open:
             sent.refuse()
         await self.desk.advance(300.0)
 
     def check_whole(self, outcome: protocol.ForwardOutcome) -> None:
-        """Each shard is in once or missing, and the top records are true."""
+        """Check that each shard counts once or is missing, and the records."""
         self.assertIsInstance(outcome, protocol.Gathered)
         shards = [row.split('-')[1] for row in outcome.receipts]
         self.assertEqual(len(set(shards)), len(shards))
@@ -78,17 +78,17 @@
         self.assertEqual(top_of(shards), outcome.body)
 
     def check_bound(self) -> None:
-        """No shard is run by more targets than the route allows."""
+        """Check that no shard ran on more targets than the route allows."""
         for shard, targets in self.desk.runs().items():
             self.assertLessEqual(len(set(targets)), 2, shard)
             self.assertEqual(len(set(targets)), len(targets), shard)
 
 
 class MergedCrossingTest(_Case):
-    """A search at a site that holds a target of two shards in three."""
+    """A search from a site that has targets of two thirds of the shards."""
 
     async def test_one_order_a_site_brings_all_parts(self) -> None:
-        """24 shards are asked here, the others by one order a site."""
+        """24 shards are asked directly, the others by one order per site."""
         self.assertEqual(36, len(self.desk.links.open))
         orders = self.desk.order_links.seen
         self.assertEqual(['b', 'c'], sorted(row.merger[0] for row in orders))
@@ -106,10 +106,10 @@
         self.assertEqual(0, outcome.missing)
 
     async def test_a_straggler_does_not_hold_the_others(self) -> None:
-        """One of the targets at another site pauses.
+        """One target at another site is slow.
 
-        The others come as one part when the time to gather is over,
-        the straggler is hedged then, and its own part is not in twice.
+        The other parts come merged when the gather time is over; the slow
+        shard is hedged then, and must not be counted twice.
         """
         ordered = self.desk.order_links.seen[0].order.items
         slow = ordered[0].target
@@ -126,10 +126,10 @@
         self.check_bound()
 
     async def test_a_hedge_gives_way_to_the_merged_part(self) -> None:
-        """A frozen daemon wakes after its shards were answered elsewhere.
+        """A frozen daemon recovers after its shards were hedged.
 
-        Its merged part has records of shards that hedges have brought as
-        well, and cannot be taken apart: the hedges' parts are left out.
+        Its merged part also has records of shards whose hedges have answered.
+        It cannot be taken apart, so the hedges' parts are discarded.
         """
         near = {
             sent.target
@@ -160,15 +160,15 @@
         self.check_bound()
 
     async def test_a_caller_that_leaves_stops_ordered_targets(self) -> None:
-        """Nobody wants what targets of other sites still work on."""
+        """Targets at other sites must not go on working for nobody."""
         self.task.cancel()
         await memory_links.settle()
         self.assertTrue(all(row.cancelled for row in self.desk.links.sent))
 
     async def test_a_part_of_an_unknown_attempt_is_not_merged(self) -> None:
-        """A report that names what was not ordered: its records are foreign.
+        """A report lists an attempt that was not ordered.
 
-        They would stand in an answer whose receipts do not tell of them.
+        Its records would be in an answer whose receipts do not cover them.
         """
         sender = self.desk.forwarder._sender._order_tracker
         taken = []
@@ -194,10 +194,10 @@
 
 
 class LostMergerTest(_Case):
-    """The daemon that has an order fails."""
+    """The daemon that executes an order fails."""
 
     async def asyncSetUp(self) -> None:
-        """Prepare the search; each test breaks a daemon, then asks."""
+        """Prepare a search; each test breaks daemons before it asks."""
         self.desk = memory_orders.OrderDesk()
         self.desk.offer(2, least_share=0.5)
         self.links = self.desk.order_links
@@ -207,7 +207,7 @@
         await memory_links.settle()
 
     async def test_one_that_takes_no_connection_costs_nothing(self) -> None:
-        """Its targets are asked directly, at once; none was asked twice."""
+        """Its targets are asked directly at once, and none twice."""
         self.links.dead = set(self.desk.mergers)
         await self._ask()
         self.assertEqual(36, len(self.desk.links.open))
@@ -218,7 +218,7 @@
         self.check_bound()
 
     async def test_one_that_does_not_know_orders(self) -> None:
-        """A daemon of an older version refuses: asked as before."""
+        """An older daemon refuses; its targets are asked directly."""
         self.links.old = set(self.desk.mergers)
         await self._ask()
         self.answer_all()
@@ -227,11 +227,10 @@
         self.assertEqual(0, outcome.missing)
 
     async def test_one_that_lags_behind_on_targets(self) -> None:
-        """It does not know the servers of a new index yet.
+        """The daemon does not know the targets of a new index yet.
 
-        It refuses them; ordered from it again and again, each search would
-        send thousands of orders and have no answer.  They are asked
-        directly, each once.
+        It refuses them.  If they were ordered from it again, each search would
+        send thousands of orders; they are asked directly instead, once each.
         """
         for name in self.desk.mergers:
             self.desk.make_merger_ignorant(name)
@@ -249,11 +248,10 @@
         self.check_bound()
 
     async def test_one_that_is_frozen_costs_a_hedge(self) -> None:
-        """The whole answer comes in the aim, though an order hangs.
+        """The full answer comes within the aim though an order hangs.
 
-        The order's report is due 55 ms after it was sent; its shards are
-        hedged at another site then, and the caller has them all before the
-        105 ms at which an answer in part would leave.
+        The order's shards are hedged at another site when its report is
+        overdue, before a partial answer would be due.
         """
         self.links.frozen = set(self.desk.mergers)
         await self._ask()
@@ -268,10 +266,11 @@
         self.check_bound()
 
     async def test_a_hedge_does_not_wait_for_the_same_daemon(self) -> None:
-        """Both targets of a shard are at the site of a frozen daemon.
+        """Both targets of each shard are at the site of a frozen daemon.
 
-        Hedges are due before its order is taken for lost, since latencies
-        became known meanwhile.  Through it, they would hang as well.
+        Latencies have become known, so hedges are due before the order's
+        report is overdue.  Sent through the same daemon, they would hang as
+        well.
         """
         desk = memory_orders.OrderDesk(far_only=True)
         for shard in desk.shards:
@@ -294,10 +293,10 @@
     async def test_one_that_is_frozen_while_targets_seem_overloaded(
         self,
     ) -> None:
-        """Hedges stop then, as they would only add to a queue.
+        """Overload stops hedges, but not those for a silent daemon.
 
-        That says nothing of a daemon that is silent.  Without its shards a
-        search of many has too little, and waits for them until its deadline.
+        Without its shards a search has too few, and would wait for them until
+        its deadline.
         """
         for _ in range(30):
             self.desk.latencies.note('all', protocol.SubStatus.SHED, 0.0, 0.0)
@@ -315,10 +314,10 @@
         self.check_bound()
 
     async def test_one_whose_merged_part_cannot_be_read(self) -> None:
-        """Its late parts are cut by the merged one, which did not come.
+        """Its later parts are cut against a merged part that was not read.
 
-        Taken all the same, they would lack records that belong into the
-        answer.  Nothing more is taken from that order.
+        They may lack records of the answer, so nothing more of that order may
+        be used.
         """
         desk = memory_orders.OrderDesk(far_only=True)
         desk.offer(2, least_share=0.02)
@@ -333,17 +332,17 @@
         for sent in desk.links.open:
             if sent.target in slow:
                 sent.answer(records_of(sent.target))
-        # No hedge is answered, so that nothing covers what was cut.
+        # No hedge is answered, so no other part has the records cut away.
         outcome = await self.outcome(200)
         if isinstance(outcome, protocol.Gathered):
             self.check_whole(outcome)
         self.check_bound()
 
     async def test_one_that_dies_with_an_order_costs_a_retry(self) -> None:
-        """Nobody knows which of its targets it had asked.
+        """Nobody knows which of its targets the lost daemon has asked.
 
-        Their other replicas are asked at once; none of those that may have
-        run the search is asked a second time.
+        The other replicas are asked at once; no target that may have run the
+        search is asked a second time.
         """
         await self._ask()
         merger = self.links.seen[0].merger
@@ -359,7 +358,7 @@
         await self._check_whole_by_hedges()
 
     async def _check_whole_by_hedges(self) -> None:
-        """What is missing is asked elsewhere at once, and nothing twice."""
+        """Check that missing parts are asked elsewhere at once, none twice."""
         await memory_links.settle()
         self.answer_all()
         outcome = await self.outcome(4)
@@ -368,10 +367,10 @@
         self.check_bound()
 
     async def test_one_that_gives_up_costs_a_hedge(self) -> None:
-        """It stops, and its time is over while targets work for it.
+        """A daemon reaches the end of its shutdown time with open orders.
 
-        It ends its orders at once; the search asks other targets, without
-        waiting for the end of its process.
+        It ends its orders at once, and the search asks other targets without
+        waiting for the process to exit.
         """
         await self._ask()
         stopping = self.links.seen[0].merger
@@ -381,7 +380,7 @@
     async def test_a_target_of_another_service_is_not_asked(self) -> None:
         """An order names a target that has changed its service since.
 
-        The daemon of its site refuses this one alone, and at once.
+        The daemon of its site refuses only this item, and at once.
         """
         await self._ask()
         self.answer_all()
@@ -390,9 +389,9 @@
         await self._check_not_asked('another', gone.target)
 
     async def test_a_target_that_is_leaving_there_is_not_asked(self) -> None:
-        """The daemon of its site knows sooner that a target drains.
+        """The daemon at its site learns first that a target is leaving.
 
-        It refuses this one alone; the search asks the other replica.
+        It refuses only this item; the search asks the other replica.
         """
         await self._ask()
         order = self.links.seen[0]
@@ -404,10 +403,10 @@
         await self._check_not_asked(gone.service, gone.target)
 
     async def _check_not_asked(self, service: str, target: str) -> None:
-        """Order one target; it is refused, known as it may be.
+        """Order one target and check that it is refused without being asked.
 
-        A target that is asked all the same stays silent: the order would
-        not end, so that it is given as many turns as a refusal needs.
+        A target that is asked by mistake stays silent and the order does not
+        end, so it is only given as many turns as a refusal needs.
         """
         merger = self.desk.mergers[self.links.seen[0].merger]
         self.assertIsNotNone(merger._target_client.target(target))
@@ -434,13 +433,13 @@
 
 
 class RandomFaultsTest(unittest.IsolatedAsyncioTestCase):
-    """Targets and daemons fail at random; the promises hold."""
+    """Targets and daemons that fail at random."""
 
     async def test_every_answer_is_true(self) -> None:
         """Many searches, each with other faults.
 
-        Whatever fails when: no shard is in twice or run by more targets than
-        allowed, and the records are those of the shards that are named.
+        No shard may count twice or run on more targets than allowed, and the
+        records must be those of the shards that the receipts name.
         """
         for number in range(60):
             seed = memory_links.SEED + number
@@ -465,7 +464,7 @@
                 desk.order_links.lose(rng.choice(names))
             await desk.advance(5.0)
         outcome = await task
-        # What lingers ends before the loop does.
+        # Let the remaining exchanges end before the event loop does.
         await desk.advance(300.0)
         for shard, targets in desk.runs().items():
             self.assertLessEqual(len(set(targets)), 2, shard)
@@ -478,7 +477,7 @@
 
 
 def _end_some(sent: memory_links.Sent, rng: random.Random) -> None:
-    """Let an exchange end in some way, or go on."""
+    """End an exchange in a random way, or leave it open."""
     draw = rng.random()
     if draw < 0.25:
         sent.answer(records_of(sent.target))
@@ -500,10 +499,10 @@
     """A content crashes the targets that run it at another site."""
 
     async def test_the_daemon_that_asked_finds_the_loss(self) -> None:
-        """The order ends with its last target's loss.
+        """The check for a crash must outlive the order.
 
-        What looks whether the target still listens must not end with it:
-        the content would crash one target after the other.
+        The order ends with the loss of its last target.  If the check were
+        cancelled with it, the content would crash one target after the other.
         """
         desk = memory_orders.OrderDesk()
         found: list[forwarding.Loss] = []
--- a/tests/failure/test_passed_on.py
+++ b/tests/failure/test_passed_on.py
@@ -1,4 +1,4 @@
-"""Requests that are passed on to targets: whole, truthful, at most once."""
+"""Requests that are forwarded to targets, alone or merged."""
 
 import asyncio
 import random
@@ -13,16 +13,16 @@
 
 
 class GatherTest(unittest.IsolatedAsyncioTestCase):
-    """Answers merged from many shards."""
+    """Answers merged from ten shards."""
 
     async def asyncSetUp(self) -> None:
-        """Ask ten shards; eight are the least."""
+        """Ask ten shards, of which eight must answer."""
         self.desk = memory_links.ForwardDesk()
         self.task = self.desk.ask('/all/x')
         await memory_links.settle()
 
     async def test_all_parts_make_the_answer(self) -> None:
-        """Each shard's receipt once, nothing missing."""
+        """Each shard's receipt is there once, and nothing is missing."""
         for sent in self.desk.links.open:
             sent.answer(RECORD)
         outcome = await self.task
@@ -33,10 +33,10 @@
     async def test_a_late_shard_does_not_hold_the_answer_past_the_aim(
         self,
     ) -> None:
-        """The caller gets nine shards of ten in time, and is told so.
+        """The caller gets nine of ten shards in time, and is told so.
 
         One shard and its hedge stay silent.  Waiting for it would make the
-        whole answer late, though it is there but for one part.
+        whole answer late.
         """
         silent = self.desk.links.open[0].target
         for sent in self.desk.links.open[1:]:
@@ -49,7 +49,7 @@
         self.assertNotIn(f'receipt-{silent}', outcome.receipts)
 
     async def test_too_few_shards_in_time_answer_late(self) -> None:
-        """The least comes in after the aim: it is delivered at once."""
+        """After the aim, the answer is sent once enough shards are in."""
         late = self.desk.links.open[:3]
         for sent in self.desk.links.open[3:]:
             sent.answer(RECORD)
@@ -60,11 +60,10 @@
         self.assertEqual(2, outcome.missing)
 
     async def test_a_hedge_waits_for_no_connection(self) -> None:
-        """It would stand in line behind what makes its shard late.
+        """A hedge is sent only when a connection is free.
 
-        After a start all connections are cold and in use.  A hedge that
-        waits for one takes the turn of another search's first attempt, and
-        all of them are late.  It goes once there is room.
+        After a start all connections are cold and in use.  A queued hedge
+        would delay the first attempt of another search.
         """
         slow = self.desk.links.open[0]
         other = slow.target[:3] + str(1 - int(slow.target[3:]))
@@ -82,11 +81,11 @@
     async def test_shards_that_are_late_together_are_hedged_in_turn(
         self,
     ) -> None:
-        """What makes all of them late is mostly this daemon itself.
+        """Hedging all late shards at once would double this daemon's load.
 
-        Hedged at once, they would double its work in the second after a
-        start.  Most answer by themselves meanwhile; a whole site that is
-        silent has all of its shards hedged in time.
+        If all are late, the daemon itself is mostly the cause, and most shards
+        answer meanwhile.  If a whole site is silent, all its shards must still
+        be hedged in time.
         """
         await self.desk.advance(36.0)
         counts = [len(self.desk.links.open)]
@@ -96,7 +95,7 @@
         self.assertEqual([12, 14, 16, 18, 20, 20], counts)
 
     async def test_a_loser_that_answers_late_is_not_in_twice(self) -> None:
-        """Both answers of one shard would double its records."""
+        """Counting both answers of one shard would double its records."""
         slow = self.desk.links.open[0]
         for sent in self.desk.links.open[1:8]:
             sent.answer(RECORD)
@@ -115,7 +114,7 @@
         self.assertEqual(len(set(shards)), len(shards))
 
     async def test_no_shard_is_run_by_more_targets_than_allowed(self) -> None:
-        """Every attempt fails; each shard may be run by two targets."""
+        """Every attempt fails; each shard may run on two targets."""
         while self.desk.links.open:
             for sent in self.desk.links.open:
                 sent.lose(Kind.BROKEN)
@@ -130,10 +129,10 @@
             self.assertLessEqual(len(tried), 2)
 
     async def test_a_hopeless_request_ends_at_once(self) -> None:
-        """The caller may go elsewhere in good time.
+        """The caller can go elsewhere without waiting for the deadline.
 
-        Three shards of ten lose both targets, so that eight can never be
-        in; the other seven are still at work.
+        Three shards of ten lose both targets, so eight can never answer, while
+        the other seven are still working.
         """
         for _ in range(2):
             for sent in self.desk.links.open:
@@ -144,18 +143,16 @@
         self.assertIsInstance(outcome, protocol.Unknown)
 
     async def test_a_caller_that_leaves_stops_the_targets(self) -> None:
-        """Nobody reads what they would still compute."""
+        """Targets must not go on working for nobody."""
         self.task.cancel()
         await memory_links.settle()
         self.assertTrue(all(row.cancelled for row in self.desk.links.sent))
 
     async def test_a_caller_that_leaves_is_forgotten(self) -> None:
-        """What it had under way must not count as in flight for ever.
+        """Cancelled attempts must not count as in flight for ever.
 
-        Callers connect to a daemon that starts and give up before it has
-        answered.  Their attempts never ended here, so that the targets they
-        had gone to looked slower every second, and the work went to another
-        site for as long as the daemon lived.
+        Otherwise their targets look slower every second, and all work goes to
+        another site.
         """
         asked = [row.target for row in self.desk.links.open]
         self.task.cancel()
@@ -165,7 +162,7 @@
             self.assertEqual([], list(loads[target].started_ms), target)
 
     async def test_a_loser_gets_a_moment_then_it_is_cut(self) -> None:
-        """Its connection is kept if it ends by itself in that time."""
+        """Its connection is kept if it ends within the grace time."""
         sent = list(self.desk.links.open)
         for row in sent[:9]:
             row.answer(RECORD)
@@ -178,16 +175,14 @@
 
 
 class SheddingTest(unittest.IsolatedAsyncioTestCase):
-    """Targets that refuse a part of their work, and look well otherwise."""
+    """Targets that refuse part of their work."""
 
     async def test_callers_get_whole_answers(self) -> None:
-        """The shared budget does not pay for a retry of every refusal.
+        """The retry budget does not cover a retry of every refusal.
 
-        One target of each shard refuses four of ten requests, at once; its
-        twin is sound.  Chosen by latency alone both get the same work, the
-        retries use the budget up within a second, and from then on searches
-        end without the shards that refused them.  Chosen by latency alone, 55
-        of these 80 searches were answered whole; with failures counted, 80.
+        One target of each shard refuses four of ten requests at once; the
+        other one is healthy.  If latency alone decided, both would get the
+        same work, and the retries would use up the budget within a second.
         """
         desk = memory_links.ForwardDesk(daemons=8)
         rng = random.Random(memory_links.SEED)
@@ -213,7 +208,7 @@
     """Requests that cannot be served."""
 
     async def test_no_target_refuses_at_once(self) -> None:
-        """It would only end in the same refusal, later."""
+        """Waiting would end in the same refusal."""
         desk = memory_links.ForwardDesk()
         for shard in desk.shards[:3]:
             for number in range(2):
@@ -224,20 +219,20 @@
         self.assertEqual([], desk.links.sent)
 
     async def test_a_path_without_a_route(self) -> None:
-        """A typed refusal that names the version."""
+        """The refusal names the version of the routing table."""
         outcome = await memory_links.ForwardDesk().ask('/none/x')
         self.assertIs(protocol.NotRunReason.UNKNOWN_ROUTE, outcome.reason)
         self.assertIn('version 1', outcome.detail)
 
     async def test_an_older_table_never_comes_back(self) -> None:
-        """A stale read shows version 1 after version 5."""
+        """A stale read delivers version 1 after version 5."""
         desk = memory_links.ForwardDesk()
         desk.offer(5, shards=('s0', 's1'))
         desk.offer(1)
         self.assertEqual(5, desk.routing.table.version)
 
     async def test_a_request_keeps_the_shards_it_began_with(self) -> None:
-        """Parts of two versions would count records twice or not at all."""
+        """Mixing two versions would count records twice or not at all."""
         desk = memory_links.ForwardDesk()
         task = desk.ask('/all/x')
         await memory_links.settle()
@@ -251,13 +246,13 @@
     """Requests that may run at most once."""
 
     async def asyncSetUp(self) -> None:
-        """Send one."""
+        """Send one request."""
         self.desk = memory_links.ForwardDesk()
         self.task = self.desk.ask('/once/x', method='POST')
         await memory_links.settle()
 
     async def test_it_is_never_hedged(self) -> None:
-        """However late the answer is."""
+        """It waits for its target however late that is."""
         for _ in range(5):
             await self.desk.advance(100.0)
         self.assertEqual(1, len(self.desk.links.sent))
@@ -265,11 +260,10 @@
         self.assertEqual(b'late', (await self.task).reply.body)
 
     async def test_what_may_have_run_is_not_sent_again(self) -> None:
-        """A second target would pay out a second time.
+        """The request may have run though its reply is lost.
 
-        The target runs the request and its answer is lost with the
-        connection.  Nothing proves that it has not run, so the outcome is
-        unknown, and no refusal.
+        A second target would run it again, so the outcome is unknown rather
+        than refused.
         """
         for kind in (Kind.BROKEN, Kind.SILENT, Kind.BAD_ANSWER):
             with self.subTest(kind):
@@ -280,7 +274,7 @@
                 self.assertEqual(1, len(self.desk.links.sent))
 
     async def test_a_refusal_without_a_run_goes_elsewhere(self) -> None:
-        """The target says that it has not begun it and never will."""
+        """The target states that it will not run the request."""
         self.desk.links.open[0].refuse()
         await memory_links.settle()
         self.assertEqual(2, len(self.desk.links.sent))
@@ -290,7 +284,7 @@
         self.assertEqual(b'done', (await self.task).reply.body)
 
     async def test_refused_everywhere_is_truly_not_run(self) -> None:
-        """The caller may come back; the answer says when."""
+        """The caller may retry; the answer says when."""
         while not self.task.done():
             for sent in self.desk.links.open:
                 sent.refuse()
@@ -300,21 +294,21 @@
         self.assertGreater(outcome.retry_after_ms, 0)
 
     async def test_a_refusal_then_a_loss_is_unknown(self) -> None:
-        """The second target may have run it: "not run" would be untrue."""
+        """The second target may have run it."""
         self.desk.links.open[0].refuse()
         await memory_links.settle()
         self.desk.links.open[0].lose(Kind.BROKEN)
         self.assertIsInstance(await self.task, protocol.Unknown)
 
     async def test_a_targets_own_failure_is_passed_on(self) -> None:
-        """It ran, and the target says how it ended."""
+        """It ran, and the target reports how it ended."""
         self.desk.links.open[0].fail(500)
         outcome = await self.task
         self.assertEqual(500, outcome.reply.status)
         self.assertEqual(1, len(self.desk.links.sent))
 
     async def test_the_routes_time_ends_it(self) -> None:
-        """The answer is due at the timeout, and promises nothing."""
+        """At the route's timeout the outcome is a timeout, not a refusal."""
         await self.desk.advance(599.0)
         self.assertFalse(self.task.done())
         await self.desk.advance(2.0)
--- a/tests/failure/test_start_rush.py
+++ b/tests/failure/test_start_rush.py
@@ -1,4 +1,4 @@
-"""The second after all daemons have started at once."""
+"""The load just after all daemons have started at once."""
 
 import asyncio
 import random
@@ -20,15 +20,15 @@
 
 
 class StartRushTest(unittest.IsolatedAsyncioTestCase):
-    """Seven daemons with no open connection, 62 searches a second.
+    """Seven daemons without open connections, 62 searches a second.
 
-    Three callers a daemon have waited until it listened.  Each search asks
-    20 shards of two targets with two slots; a daemon may have two
-    connections to a target, and a new one holds a slot for 6 ms.
+    Three callers per daemon are already waiting.  Each search asks 20 shards
+    of two targets with two slots; a daemon may have two connections to a
+    target, and a handshake holds a slot for 6 ms.
     """
 
     async def _play(self) -> tuple[list[float], int, int]:
-        """Return the time of each answer, requests and handshakes."""
+        """Return the time of each answer, the requests and the handshakes."""
         clock = timers.ManualTimers()
         rng = random.Random(memory_links.SEED)
         targets = cold_links.SlotTargets(clock, rng, work_ms=_WORK_MS)
@@ -62,13 +62,11 @@
         return took_ms, targets.requests, targets.handshakes
 
     async def test_answers_are_in_time_again_at_once(self) -> None:
-        """Callers come back to daemons whose connections are all cold.
+        """Late first searches must not overload the daemons that run them.
 
-        Each first search finds all of its shards late.  Hedged together
-        they double the work, answers miss their aim, and what is cut then
-        costs new connections: the rush feeds itself for a second.  Hedged
-        a few at a time, and with nothing sent that nobody waits for, it is
-        over when the connections are open.
+        On cold connections every shard is late.  Hedging them all at once
+        doubles the work, and cancelling exchanges costs new handshakes, so the
+        overload would sustain itself.
         """
         took_ms, requests, handshakes = await self._play()
         in_aim = sum(took <= _IN_AIM_MS for took in took_ms)
--- a/tests/unit/test_caller_time.py
+++ b/tests/unit/test_caller_time.py
@@ -1,4 +1,4 @@
-"""What a caller's stated time tells of the time that it has spent."""
+"""Tests of the estimate of the time that a caller has already spent."""
 
 import unittest
 
@@ -9,7 +9,7 @@
     """One route with an aim of 100 ms."""
 
     def setUp(self) -> None:
-        """Have a caller state 600 ms on a kept connection."""
+        """Let a first caller state 600 ms."""
         self.times = _caller_time.CallerTimeEstimator()
         self.assertEqual(0.0, self._spent(600.0))
 
@@ -17,28 +17,28 @@
         return self.times.spent_ms(route, left_ms, 100.0)
 
     def test_connecting_takes_from_the_time(self) -> None:
-        """A caller on a new connection states what is left of its 600."""
+        """A caller on a new connection states less than 600 ms."""
         self.assertEqual(7.0, self._spent(593.0))
         self.assertEqual(0.0, self._spent(600.0))
 
     def test_routes_are_told_apart(self) -> None:
-        """Callers of another route have other times."""
+        """Callers of another route may have other times."""
         self.assertEqual(0.0, self._spent(300.0, 'other'))
 
     def test_a_large_difference_tells_nothing(self) -> None:
-        """It is late anyhow, or a caller that always gives less."""
+        """Such a caller is late anyway, or always allows less time."""
         self.assertEqual(0.0, self._spent(500.0))
         self.assertEqual(0.0, self._spent(None))
 
     def test_what_was_stated_long_ago_is_forgotten(self) -> None:
-        """One caller that gives more does not make all others late."""
+        """One caller that allows more must not make all others look late."""
         self._spent(640.0)
         for _ in range(_caller_time.MAX_SAMPLES):
             self._spent(600.0)
         self.assertEqual(0.0, self._spent(600.0))
 
     def test_routes_that_are_gone_are_forgotten(self) -> None:
-        """Each change of the configuration may bring new names."""
+        """Renamed routes must not use memory without bound."""
         for number in range(2_000):
             self._spent(600.0, f'r-{number}')
         self.assertEqual(_caller_time.MAX_ROUTES, len(self.times._samples))
--- a/tests/unit/test_collected_parts.py
+++ b/tests/unit/test_collected_parts.py
@@ -1,4 +1,4 @@
-"""Parts of a search that give way to merged ones."""
+"""Tests of merging the parts of a search."""
 
 import os
 import random
@@ -16,14 +16,14 @@
 
 
 class CollectedPartsTest(unittest.TestCase):
-    """The greatest three records of a search."""
+    """A search for the three greatest records."""
 
     def setUp(self) -> None:
-        """Have nothing yet."""
+        """Start without parts."""
         self.parts = _collected_parts.CollectedParts(3)
 
     def test_a_merged_part_displaces_another_of_its_shards(self) -> None:
-        """The hedge of ``a`` was answered first, with other records."""
+        """A hedge's part comes before the merged part of the same shard."""
         self.parts.expect_merged(['a', 'b'])
         self.parts.add('a', 'hedge', _body(9, 8))
         self.assertEqual(('hedge',), self.parts.receipts())
@@ -33,14 +33,14 @@
         self.assertEqual(_body(7, 6, 5), self.parts.body())
 
     def test_the_first_part_of_a_shard_stays(self) -> None:
-        """Both would double its records."""
+        """Both parts together would count its records twice."""
         self.parts.add('a', 'one', _body(9))
         self.parts.add('a', 'two', _body(9))
         self.assertEqual(('one',), self.parts.receipts())
         self.assertEqual(_body(9), self.parts.body())
 
     def test_the_floor_is_of_records_that_stay(self) -> None:
-        """What may give way must not keep others out of the answer."""
+        """A replaceable part must not keep other records out of the answer."""
         self.parts.expect_merged(['a'])
         self.parts.add('a', 'hedge', _body(9, 8, 7))
         self.assertEqual(b'', self.parts.floor())
@@ -52,7 +52,7 @@
         self.assertEqual(_body(7), self.parts.floor())
 
     def test_any_order_gives_the_greatest_records(self) -> None:
-        """Parts cut at the floor of their time change nothing."""
+        """Random parts, some cut at an earlier floor, give the same answer."""
         for number in range(300):
             rng = random.Random(SEED + number)
             with self.subTest(seed=SEED + number):
--- a/tests/unit/test_introduce.py
+++ b/tests/unit/test_introduce.py
@@ -1,3 +1,5 @@
+"""Tests of the ring on which daemons send each other the coordinators."""
+
 import unittest
 
 from samphiredock.coordination import forwarding
@@ -8,7 +10,7 @@
 
 
 class IntroductionTest(unittest.TestCase):
-    """Who is told, and what."""
+    """Four daemons at two sites."""
 
     def setUp(self) -> None:
         self.daemons = [
@@ -16,7 +18,7 @@
         ]
 
     def test_each_daemon_is_told_by_one_other(self) -> None:
-        """A ring: nobody is left out, whatever the order of the list."""
+        """On the ring every daemon is the first successor of another one."""
         first = [
             forwarding.successors(self.daemons, row.name)[0].name
             for row in self.daemons
@@ -48,7 +50,7 @@
             self.assertIsNone(forwarding.read_introduction(body))
 
     def test_the_pace_falls_with_the_size(self) -> None:
-        """The list of coordinators grows; the bytes a second must not."""
+        """The list grows with the system; its traffic must stay bounded."""
         self.assertEqual(1_000.0, forwarding.introduction_interval_ms(8))
         for daemons, sites in ((8, 3), (195, 5), (490, 8)):
             coordinators = [
@@ -59,10 +61,10 @@
             ]
             body = forwarding.introduction_request(coordinators).body
             seconds = forwarding.introduction_interval_ms(daemons) / 1000.0
-            # A sixth of the 6 KB/s that a daemon has for control.
+            # A sixth of a daemon's 6 KB/s for control traffic.
             self.assertLess(len(body) / seconds, 1_000.0, daemons)
 
     def test_one_that_starts_is_told_soon(self) -> None:
-        """It refuses its callers meanwhile; they wait for 2 s at most."""
+        """A daemon that starts refuses its callers until it is told."""
         self.assertLess(forwarding.introduction_interval_ms(195), 2_000.0)
         self.assertLess(forwarding.introduction_interval_ms(490), 5_000.0)
--- a/tests/unit/test_live_targets.py
+++ b/tests/unit/test_live_targets.py
@@ -1,4 +1,4 @@
-"""Which targets are running, as the store and the answers show it."""
+"""Tests of the registered targets and of the weighted choice of services."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 class LiveTargetsTest(unittest.TestCase):
-    """Entries that come, change and go."""
+    """Entries that are added, changed and removed."""
 
     def setUp(self) -> None:
         """Register one target."""
@@ -31,14 +31,14 @@
         self.live.put(target('a'))
 
     def test_a_leaving_target_gets_no_new_work(self) -> None:
-        """It still serves what it has, so it is not gone."""
+        """It still completes what it has, so it is not removed."""
         self.live.put(target('a', leaving=True))
         self.assertFalse(self.live.is_usable('a'))
         self.assertEqual([], self.live.of_service('s'))
         self.assertEqual([], self.gone)
 
     def test_many_are_indexed_once(self) -> None:
-        """Callers wait while a daemon that starts reads 700 entries."""
+        """A daemon that starts reads many entries while callers wait."""
         rows = [target(f't{number}', service='b') for number in range(5)]
         seen: list[list[str]] = []
         self.live.on_added(lambda row: seen.append(self.live.of_service('b')))
@@ -50,17 +50,16 @@
         self.assertEqual(5, len(seen))
 
     def test_a_removed_entry_is_gone_at_once(self) -> None:
-        """The store was there all the time, so the target has left."""
+        """The store was reachable throughout, so the target has left."""
         self.live.remove('a')
         self.assertFalse(self.live.is_usable('a'))
         self.assertEqual(['a'], self.gone)
 
     def test_entries_that_lapse_in_an_outage_are_awaited(self) -> None:
-        """The caller would be refused by every daemon at once.
+        """An outage of the store must not lose all targets.
 
-        The store is away, and entries lapse since nobody can renew them.
-        It returns without them; the targets run and register again within
-        two seconds.
+        Entries expire since nobody can renew them.  The store returns without
+        them, and the running targets register again within two seconds.
         """
         self.live.on_store_unavailable()
         self.live.keep_only(set())
@@ -71,7 +70,7 @@
         self.assertTrue(self.live.is_usable('a'))
 
     def test_what_is_not_back_after_the_wait_is_gone(self) -> None:
-        """A target that ended during the outage never comes back."""
+        """A target that ended during the outage is removed."""
         self.live.on_store_unavailable()
         self.live.remove('a')
         self.clock.advance(2_499.0)
@@ -80,7 +79,7 @@
         self.assertEqual(['a'], self.gone)
 
     def test_a_second_outage_begins_the_wait_anew(self) -> None:
-        """Else the entry would be dropped while nobody can renew it."""
+        """An entry must not be removed while nobody can renew it."""
         self.live.on_store_unavailable()
         self.live.remove('a')
         self.clock.advance(2_000.0)
@@ -91,23 +90,22 @@
         self.assertEqual(['a'], self.gone)
 
     def test_a_misdirected_address_is_not_used_again(self) -> None:
-        """Another target answers there now; the entry is only late."""
+        """Another target has the address, though the entry still exists."""
         self.live.mark_misdirected('a')
         self.assertFalse(self.live.is_usable('a'))
 
     def test_a_lost_target_is_tried_again_after_a_pause(self) -> None:
-        """Else a target that returned would stay unused for ever."""
+        """A target that has recovered must get work again."""
         self.live.record('a').on_failure(True, self.clock.now_ms())
         self.assertFalse(self.live.is_usable('a'))
         self.clock.advance(300.0)
         self.assertTrue(self.live.is_usable('a'))
 
     def test_a_target_that_starts_again_under_its_id_is_another(self) -> None:
-        """Its old record would keep work from it, or send it too much.
+        """Its old health must not count for the new process.
 
-        It crashed and was lost, comes back under the same id and says that
-        it was born later: what was known of it is dropped, and those who
-        keep connections to it are told.
+        The target was lost and returns under the same id with a later
+        ``born_ms``: its health is reset and its connections are closed.
         """
         self.live.put(target('b', started_at_ms=5))
         self.live.record('b').on_failure(True, self.clock.now_ms())
@@ -120,7 +118,7 @@
         self.assertEqual(['b'], self.gone)
 
     def test_an_entry_that_cannot_be_read_names_no_target(self) -> None:
-        """Another writer's bytes stand where a target's entry was."""
+        """An entry was overwritten with malformed bytes."""
         self.live.put(target('b'))
         self.live.remove_unreadable('a')
         self.live.remove_unreadable('never seen')
@@ -129,7 +127,7 @@
 
 
 class SplitterTest(unittest.TestCase):
-    """Requests of a route that several services share."""
+    """A route that several services share."""
 
     def _route(self, *weights: float) -> state.Route:
         services = tuple(
@@ -141,7 +139,7 @@
         )
 
     def test_each_service_gets_its_proportion(self) -> None:
-        """Off by less than one request after any number of them."""
+        """Off by less than one request after any number of requests."""
         splitter = forwarding.Splitter()
         route = self._route(0.7, 0.2, 0.1)
         counts = {'s0': 0, 's1': 0, 's2': 0}
@@ -151,7 +149,7 @@
             self.assertAlmostEqual(0.1 * number, counts['s2'], delta=1.0)
 
     def test_new_weights_hold_from_the_next_request(self) -> None:
-        """What was owed under the old weights is forgotten."""
+        """Credit from the old weights is dropped."""
         splitter = forwarding.Splitter()
         for _ in range(5):
             splitter.choose(self._route(0.9, 0.1))
--- a/tests/unit/test_logs.py
+++ b/tests/unit/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines never hold up the program."""
+"""Tests that writing log lines never blocks the program."""
 
 import json
 import os
@@ -33,7 +33,7 @@
             found += part
 
     def test_a_reader_that_does_not_read_costs_lines_not_time(self) -> None:
-        """The lines left out are counted, and end_fields so when it reads on."""
+        """Lines left out are counted and reported when the reader goes on."""
         stream = logs.BoundedStream(self.writer, 10_000)
         self.addCleanup(os.close, self.writer)
         line = json.dumps({'event': 'x' * 90}) + '\n'
@@ -51,7 +51,7 @@
         self.assertEqual(5_001, written + stream.left_out)
 
     def test_a_reader_that_is_gone_is_no_error(self) -> None:
-        """The daemon serves on without its log."""
+        """The daemon continues without its log."""
         reader, writer = os.pipe()
         os.close(reader)
         self.addCleanup(os.close, writer)
@@ -64,7 +64,7 @@
     """Which requests leave which lines."""
 
     def setUp(self) -> None:
-        """Make a log whose lines are counted by what is left out."""
+        """Make a log; its counter tells how many lines were left out."""
         self.clock = timers.ManualTimers()
         self.counters = metrics.Metrics('test')
         self.addCleanup(self.counters.close)
@@ -79,7 +79,7 @@
         self.log.end('id', trace, good, outcome='x')
 
     def test_good_requests_do_not_take_the_place_of_bad_ones(self) -> None:
-        """Ten thousand good ones in a second, then one that failed."""
+        """Thousands succeed within a second, then one fails."""
         for _ in range(10_000):
             self._end(True)
         before = self._left_out()
@@ -88,17 +88,16 @@
         self.assertEqual(before, self._left_out())
 
     def test_the_volume_is_bounded(self) -> None:
-        """Also if every request fails."""
+        """The limit holds even if every request fails."""
         for _ in range(10_000):
             self._end(False)
         written = 20_000 - self._left_out()
         self.assertLessEqual(written, _request_log.FAILURE_LINES_PER_S)
 
     def test_lines_are_written_a_few_at_a_time(self) -> None:
-        """A late search of 90 shards leaves 200 lines, 12 ms of work.
+        """Hundreds of lines at once would delay other requests.
 
-        Written at once, they would hold up the requests that are under
-        way; each line bears the time at which its decision was made.
+        Each line has the time at which its decision was made.
         """
         began_ms = self.clock.wall_ms()
         with logbook.TestHandler() as seen:
--- a/tests/unit/test_merger_assignments.py
+++ b/tests/unit/test_merger_assignments.py
@@ -1,4 +1,4 @@
-"""Through whom the targets of other sites are asked."""
+"""Tests of the choice of daemons that ask the targets of other sites."""
 
 import random
 import unittest
@@ -14,7 +14,7 @@
     """Targets at four sites, daemons at three of them."""
 
     def setUp(self) -> None:
-        """Two daemons at ``b`` and ``c``, none at ``d``."""
+        """Two daemons each at ``b`` and ``c``, none at ``d``."""
         self.clock = timers.ManualTimers()
         self.targets = forwarding.LiveTargets(self.clock)
         self.peers = forwarding.LiveTargets(self.clock)
@@ -27,7 +27,7 @@
         )
 
     def _shards(self, *places: str) -> list[list[str]]:
-        """Register targets; each place names the sites of one shard."""
+        """Register targets; each place lists the sites of one shard."""
         shards = []
         for number, sites in enumerate(places):
             names = [f's{number}-{site}' for site in sites]
@@ -39,7 +39,7 @@
         return shards
 
     def test_sites_of_many_parts_are_asked_by_order(self) -> None:
-        """What this site has itself crosses nowhere and counts nothing."""
+        """Shards with a target at this site are not counted."""
         shards = self._shards(*['b'] * 4, *['ab'] * 9, *['c'] * 3)
         self.assertEqual(
             ['b'],
@@ -47,7 +47,7 @@
         )
 
     def test_a_shard_of_two_sites_counts_half_at_each(self) -> None:
-        """It is asked at one of them."""
+        """Only one of its targets is asked."""
         shards = self._shards(*['bc'] * 8)
         sites = _merger_assignments.sites_for_orders('a', shards, self.targets)
         self.assertEqual(['b', 'c'], sorted(sites))
@@ -57,7 +57,7 @@
         )
 
     def test_a_site_without_a_daemon_is_asked_directly(self) -> None:
-        """So is one whose daemons cannot be reached."""
+        """So is a site whose daemons are all lost."""
         self._shards('d', 'b')
         for name in ('c-0', 'c-1'):
             self.peers.record(name).on_failure(True, self.clock.now_ms())
@@ -82,7 +82,7 @@
         self.assertEqual('s0-b', assignments.owner('s0-b'))
 
     def test_a_daemon_that_hangs_gets_few_orders(self) -> None:
-        """A frozen one answers nothing, so only its age tells."""
+        """A frozen daemon never fails; only the age of its order shows it."""
         self.loads.record_sent('b-0')
         self.clock.advance(500.0)
         chosen = [
--- a/tests/unit/test_presence.py
+++ b/tests/unit/test_presence.py
@@ -1,4 +1,4 @@
-"""The list of daemons in the store."""
+"""Tests of registering and listing daemons in the store."""
 
 import asyncio
 import unittest
@@ -12,7 +12,7 @@
 
 
 class _Store:
-    """Holds the daemons' objects; counts the lists."""
+    """Holds the daemons' objects, and counts the lists and writes."""
 
     def __init__(self, count: int) -> None:
         self.lists = 0
@@ -28,7 +28,7 @@
     async def put(
         self, key: str, value: bytes, expected_version: int
     ) -> result.Result[int, transport.StoreError]:
-        """Write, unless the store is down or the object is there."""
+        """Write, unless the store is down or the object exists."""
         self.writes += 1
         kind = transport.StoreErrorKind.UNAVAILABLE
         if not self.is_down and key not in self.objects:
@@ -86,7 +86,7 @@
     async def test_one_that_starts_among_others_knows_them_at_once(
         self,
     ) -> None:
-        """By a list that may be stale: it costs the store a tenth."""
+        """One stale list is enough; it costs a tenth of a fresh one."""
         presence, store = self._start(7)
         await asyncio.wait_for(presence.wait_listed(), 5.0)
         self.assertEqual([8], self.listed)
@@ -96,9 +96,9 @@
         self.assertNotIn('samphiredock-daemons/me', store.objects)
 
     async def test_one_that_sees_nobody_asks_for_the_newest(self) -> None:
-        """A stale list may lack those that started with it.
+        """A stale list may lack daemons that started at the same time.
 
-        Taken for alone, it would follow all targets, as each of them.
+        A daemon that takes itself for the only one would follow all targets.
         """
         presence, store = self._start(0)
         await asyncio.wait_for(presence.wait_listed(), 5.0)
@@ -107,10 +107,10 @@
         await presence.leave()
 
     async def test_one_that_was_stopped_registers_again(self) -> None:
-        """Its own object is in a stale list, though it has removed it.
+        """A stale list still shows the object that the daemon has removed.
 
-        Taken for registered, it would be known to nobody: a coordinator that
-        is stopped and started would get no work any more.
+        If it took that for its registration, no other daemon would know it and
+        it would get no work.
         """
         presence, store = self._start(3)
         await self._advance(2)
@@ -132,10 +132,10 @@
         await again.leave()
 
     async def test_a_start_costs_few_calls(self) -> None:
-        """428 starts in a day of 195 daemons were half of all calls.
+        """Restarts must not dominate the calls to the store.
 
-        One that has its object from before writes nothing, and lists that
-        may be stale cost a tenth: 0.4 in its first 10 s, where it was 2.5.
+        A daemon whose object still exists writes nothing, and its first lists
+        are stale reads.
         """
         presence, store = self._start(7)
         await self._advance(2)
@@ -157,7 +157,7 @@
         self.assertLessEqual(len(store.stale), 5)
 
     async def test_many_daemons_list_each_other_less_often(self) -> None:
-        """All together they would read rows by the square."""
+        """Otherwise the rows read grow with the square of their number."""
         counts = {}
         for daemons in (8, 240):
             presence, store = self._start(daemons - 1)
@@ -170,7 +170,7 @@
         self.assertEqual(3, counts[240])
 
     async def test_a_restart_finds_its_own_object(self) -> None:
-        """The name is the same; it is counted once."""
+        """The name is the same, so the daemon is counted once."""
         store = _Store(3)
         store.objects['samphiredock-daemons/me'] = store.objects[
             'samphiredock-daemons/d0'
@@ -189,7 +189,7 @@
         await presence.leave()
 
     async def test_without_the_store_nobody_is_waited_for(self) -> None:
-        """The daemon goes on to read for itself."""
+        """The daemon continues without a list."""
         presence, store = self._start(7)
         store.is_down = True
         await asyncio.wait_for(presence.wait_listed(), 5.0)
--- a/tests/unit/test_report_batcher.py
+++ b/tests/unit/test_report_batcher.py
@@ -1,4 +1,4 @@
-"""What is reported of an order, and when."""
+"""Tests of when the results of a merge order are reported."""
 
 import unittest
 
@@ -26,10 +26,10 @@
 
 
 class ReportBatcherTest(unittest.TestCase):
-    """One order."""
+    """A single order."""
 
     def test_all_parts_make_one_report(self) -> None:
-        """The greatest records of all, greatest first."""
+        """It has the greatest records of all parts, greatest first."""
         batcher = _report_batcher.ReportBatcher(_order(3))
         self.assertIsNone(batcher.on_part(_part(1)))
         self.assertIsNone(batcher.on_part(_part(0)))
@@ -41,7 +41,7 @@
         self.assertIsNone(batcher.on_gather_timeout())
 
     def test_what_is_late_travels_alone(self) -> None:
-        """A merged part cannot be taken apart: later ones are not merged."""
+        """Later parts are not merged, since they could not be separated."""
         batcher = _report_batcher.ReportBatcher(_order(3))
         batcher.on_part(_part(0))
         report = batcher.on_gather_timeout()
@@ -53,7 +53,7 @@
         self.assertTrue(batcher.is_done())
 
     def test_late_records_below_the_merged_ones_are_left_out(self) -> None:
-        """They cannot be in the answer, and each crosses sites alone."""
+        """They cannot be in the answer and would cross sites for nothing."""
         batcher = _report_batcher.ReportBatcher(_order(5))
         for number in (1, 3):
             batcher.on_part(_part(number))
@@ -62,7 +62,7 @@
         self.assertEqual(_part(2).body, batcher.on_part(_part(2)).records)
 
     def test_a_failure_is_told_at_once(self) -> None:
-        """The search asks another target meanwhile."""
+        """The coordinator can ask another target meanwhile."""
         batcher = _report_batcher.ReportBatcher(_order(3))
         batcher.on_part(_part(0))
         report = batcher.on_failure(_failed(1))
@@ -73,14 +73,14 @@
         self.assertTrue(batcher.is_done())
 
     def test_without_gathering_each_part_is_told_at_once(self) -> None:
-        """Hedges and retries."""
+        """Orders for hedges and retries do not gather."""
         batcher = _report_batcher.ReportBatcher(_order(2, 0.0))
         self.assertEqual(1, len(batcher.on_part(_part(0)).merged))
         self.assertIsNone(batcher.on_gather_timeout())
         self.assertEqual(1, len(batcher.on_part(_part(1)).merged))
 
     def test_nothing_in_time_is_told_as_well(self) -> None:
-        """Else the search would take a slow target for a dead daemon."""
+        """Otherwise a slow target would look like a dead daemon."""
         batcher = _report_batcher.ReportBatcher(_order(1))
         report = batcher.on_gather_timeout()
         self.assertEqual(((), ()), (report.merged, report.ended))
--- a/tests/unit/test_roles.py
+++ b/tests/unit/test_roles.py
@@ -1,4 +1,4 @@
-"""Which daemons coordinate, and how a request is handed over."""
+"""Tests of which daemons coordinate, and of handing requests over to them."""
 
 import dataclasses
 import unittest
@@ -9,7 +9,7 @@
 
 
 def daemons(**sites: int) -> list[forwarding.Daemon]:
-    """Return so many daemons a site; the first of each is the largest."""
+    """Return the given number of daemons per site, largest first."""
     return [
         forwarding.Daemon(
             f'{site}-{number}', site, f'10.0.0.{number}:1', 2.0 - number / 50
@@ -20,10 +20,10 @@
 
 
 class RolesTest(unittest.TestCase):
-    """The choice that every daemon makes alike."""
+    """The choice, which must be the same at every daemon."""
 
     def test_daemons_far_from_the_targets_hand_over(self) -> None:
-        """Each part of an answer would cross between sites."""
+        """Otherwise each part of an answer would cross between sites."""
         targets = {'a': 21, 'b': 21, 'c': 2}
         rows = [
             dataclasses.replace(
@@ -36,12 +36,12 @@
         self.assertEqual(6, len(chosen))
 
     def test_the_largest_of_a_site_coordinate(self) -> None:
-        """The others of 60 daemons keep no connections to targets."""
+        """The other daemons keep no connections to targets."""
         chosen = forwarding.coordinators_of(daemons(a=20, b=20), 2)
         self.assertEqual({'a-0', 'a-1', 'b-0', 'b-1'}, chosen)
 
     def test_a_small_host_does_not_coordinate_beside_large_ones(self) -> None:
-        """Its searches would take twice as long as theirs."""
+        """Its searches would take twice as long."""
         rows = [
             forwarding.Daemon(f'd{n}', 'a', '10.0.0.1:1', cores)
             for n, cores in enumerate((2.15, 0.5, 2.15, 0.5))
@@ -52,10 +52,10 @@
         self.assertEqual({'d1', 'd3'}, chosen)
 
     def test_connections_leave_room_for_those_of_a_lost_daemon(self) -> None:
-        """A target resets what is beyond its limit.
+        """A target resets connections beyond its limit.
 
-        One of eight daemons loses power and starts again; the target still
-        counts the connections that it had.
+        One of the daemons loses power and restarts, while the target still
+        counts its old connections.
         """
         for most, count in ((26, 8), (40, 8), (110, 8), (53, 6), (58, 8)):
             each = forwarding.connections_per_daemon(most, count)
@@ -65,7 +65,7 @@
     def test_equal_daemons_are_ranked_the_same_whatever_the_order(
         self,
     ) -> None:
-        """Two daemons that list them differently must choose alike."""
+        """Daemons that list each other in another order must agree."""
         rows = [
             forwarding.Daemon(f'd{n}', 'a', '10.0.0.1:1', 1.0)
             for n in range(9)
@@ -75,12 +75,12 @@
         self.assertEqual(one, other)
 
     def test_a_site_without_daemons_does_not_leave_nobody(self) -> None:
-        """All targets are at a site whose daemons are gone."""
+        """All targets are at a site that has no daemons."""
         rows = [dataclasses.replace(row, near=False) for row in daemons(c=2)]
         self.assertEqual(2, len(forwarding.coordinators_of(rows, 3)))
 
     def test_a_daemon_stands_in_when_no_coordinator_is_left(self) -> None:
-        """Its callers would be refused until the list is mended."""
+        """Otherwise its callers are refused until the list is updated."""
         role = forwarding.Role('c-0', 3)
         rows = [
             dataclasses.replace(row, near=row.site == 'a')
@@ -97,10 +97,10 @@
 
 
 class HandoverTest(unittest.TestCase):
-    """What a hop adds and takes away."""
+    """The headers that a hop adds and removes."""
 
     def setUp(self) -> None:
-        """A daemon that holds version 4."""
+        """Create a daemon with version 4 of the routing table."""
         self.routing = forwarding.RoutingState()
         self.routing.offer(state.RoutingTable(4, (), {}, state.CallerLimits()))
         self.dialect = forwarding.HandoverDialect(self.routing)
@@ -114,7 +114,7 @@
         return forwarding.read_handed_over(sent.headers)
 
     def test_a_request_arrives_as_it_was_handed_over(self) -> None:
-        """Its own headers are kept, those of the hop are taken off."""
+        """Its own headers are kept, those of the hop are removed."""
         handed = self._handed()
         self.assertEqual((('X', 'y'),), handed.headers)
         self.assertEqual('id', handed.request_id)
@@ -122,10 +122,10 @@
         self.assertEqual(4, handed.least_version)
 
     def test_a_version_once_seen_is_the_least_from_then_on(self) -> None:
-        """A caller would see a change undone.
+        """Otherwise a caller could see a change undone.
 
-        One coordinator answers by version 7; the next request goes to
-        another that still holds version 4.
+        One coordinator replies with version 7; the next request may go to one
+        that still has version 4.
         """
         reply = forwarding.coordinator_reply(
             protocol.HttpReply(200, (('K', 'v'),), b'x'), self._handed(), 7
@@ -137,10 +137,10 @@
         self.assertEqual(7, self._handed().least_version)
 
     def test_old_knowledge_is_asked_for_only_at_last(self) -> None:
-        """A coordinator that lost the store would refuse a new route.
+        """An old routing table is allowed only if all have lost the store.
 
-        Another coordinator still hears of changes; only when all have lost
-        the store is old knowledge the best there is.
+        While another coordinator has contact with the store, it may know a
+        newer route.
         """
         self.assertFalse(self._handed().stale_ok)
         stale = forwarding.StaleHandoverDialect(self.dialect)
@@ -150,16 +150,16 @@
         self.assertEqual(4, handed.least_version)
 
     def test_a_coordinators_refusal_is_no_answer(self) -> None:
-        """Another one is asked; nothing has run."""
+        """Nothing has run, so another one is asked."""
         reply = forwarding.refusal_reply(self._handed(), 'behind')
         read = self.dialect.read_reply(self.request, reply)
         self.assertIs(protocol.SubStatus.SHED, read.status)
 
     def test_a_failure_of_its_code_is_not_waited_out(self) -> None:
-        """Its caller would wait for an answer until the deadline.
+        """A reply without the id must not be ignored until the deadline.
 
-        The server behind which the code failed knows nothing of the hop.
-        The request may have been sent on: nobody else is asked.
+        The server reports an internal error without the handover headers.  The
+        request may have been forwarded, so no other coordinator is asked.
         """
         reply = protocol.HttpReply(500, (), b'internal error, see the log')
         self.assertTrue(self.dialect.is_reply_to(self.request, reply))
@@ -169,7 +169,7 @@
         self.assertFalse(self.dialect.is_reply_to(self.request, other))
 
     def test_its_own_503_is_the_callers_answer(self) -> None:
-        """The coordinator has given the request up; it is not tried anew."""
+        """A coordinator's final 503 is not retried elsewhere."""
         reply = forwarding.coordinator_reply(
             protocol.HttpReply(503), self._handed(), 4
         )
@@ -177,7 +177,7 @@
         self.assertIs(protocol.SubStatus.ANSWERED, read.status)
 
     def test_headers_that_are_not_whole(self) -> None:
-        """Not from a daemon, or from another version of one."""
+        """The sender is no daemon, or one of another version."""
         for headers in (
             (),
             (('Samphiredock-Request', 'a'),),
@@ -191,10 +191,10 @@
                 self.assertIsNone(forwarding.read_handed_over(headers))
 
     def test_a_request_is_not_handed_over_a_second_time(self) -> None:
-        """Two coordinators would send it to more targets than allowed.
+        """Two coordinators might send it to more targets than allowed.
 
-        The first one is lost with the request; it may have sent it to two
-        of three targets, and another one would choose again.
+        The first one is lost with the request and may have sent it to two of
+        three targets; another one would choose anew.
         """
         routing = forwarding.HandoverRouting(self.routing)
         self.assertFalse(routing.match('h', '/a').repeatable)
--- a/tests/unit/test_route_plans.py
+++ b/tests/unit/test_route_plans.py
@@ -1,4 +1,4 @@
-"""Routes, and the plans of requests on them."""
+"""Tests of routes and of the plans of requests on them."""
 
 import unittest
 
@@ -31,7 +31,7 @@
 
 
 class PlanTest(unittest.TestCase):
-    """What is fixed when a request comes."""
+    """What is fixed when a request arrives."""
 
     def _plan(
         self, route: state.Route, deadline_ms: float | None = 600.0
@@ -43,7 +43,7 @@
         )  # fmt: skip
 
     def test_least_shards_round_up_and_not_by_a_floating_error(self) -> None:
-        """0.85 of 20 is 17 though 0.85 * 20 is a little more."""
+        """0.85 of 20 is 17, though ``0.85 * 20`` is slightly more."""
         for share, count, expected in (
             (0.89, 20, 18),
             (0.85, 20, 17),
@@ -65,7 +65,7 @@
             )
 
     def test_the_shorter_time_holds(self) -> None:
-        """The route's timeout bounds a caller that would wait longer."""
+        """The route's timeout limits a caller that would wait longer."""
         for deadline_ms, ends_ms in (
             (None, 1_600.0), (5_000.0, 1_600.0), (200.0, 1_200.0),
         ):  # fmt: skip
@@ -73,7 +73,7 @@
             self.assertEqual(ends_ms, plan.scatter.deadline_at_ms)
 
     def test_an_answer_is_due_before_the_aim(self) -> None:
-        """The way back to the caller is part of the caller's aim."""
+        """The way back to the caller is part of the aim."""
         plan = self._plan(gather_route())
         self.assertLess(plan.scatter.answer_by_ms, 1_091.0 + 0.001)
 
@@ -84,26 +84,26 @@
 
 
 class MergeTest(unittest.TestCase):
-    """The greatest records of all parts."""
+    """Merging the greatest records of all parts."""
 
     def test_greatest_first_and_equal_ones_all_count(self) -> None:
-        """Records compare byte by byte."""
+        """Records are compared as bytes."""
         low, high = b'a' * 16, b'b' * 16
         merged = _route_plans.merge_parts([low + high, high], 2)
         self.assertEqual(high + high, merged)
 
     def test_a_remainder_is_no_record(self) -> None:
-        """A part may end with fewer bytes than a record has."""
+        """A part may end in fewer bytes than a record has."""
         self.assertEqual(b'', _route_plans.merge_parts([b'z' * 15], 5))
         part = b'a' * 16 + b'z' * 15
         self.assertEqual(b'a' * 16, _route_plans.merge_parts([part], 5))
 
 
 class MatchTest(unittest.TestCase):
-    """Which route a request is on."""
+    """Which route a request matches."""
 
     def test_the_longest_prefix_of_the_host_wins(self) -> None:
-        """The query is no part of the path, the port none of the host."""
+        """Query strings and ports are ignored."""
         routes = tuple(
             state.Route(
                 name, host, prefix, True, 1.0, 1.0, 1,
--- a/tests/unit/test_window_budget.py
+++ b/tests/unit/test_window_budget.py
@@ -1,4 +1,4 @@
-"""The common retry budget, kept by each daemon on its own."""
+"""Tests of the retry budget that each daemon enforces by itself."""
 
 import unittest
 
@@ -11,14 +11,14 @@
 WINDOW_MS = 10_000.0
 
 SPENT_LIMIT = 10_000
-"""More than any budget here allows: 20 times the largest."""
+"""More than any budget here allows."""
 
 
 class WindowBudgetTest(unittest.TestCase):
     """One shard, several daemons."""
 
     def setUp(self) -> None:
-        """Make one daemon's budget."""
+        """Let eight daemons share the budget."""
         self.clock = timers.ManualTimers()
         self.daemons: int | None = 8
 
@@ -32,7 +32,7 @@
     ) -> int:
         """Spend until the budget refuses; return how often it did not.
 
-        One that never refuses fails the test, and does not hang it.
+        A budget that never refuses fails the test instead of hanging it.
         """
         spend = budget.spend_hedge if hedges else budget.spend_retry
         for spent in range(SPENT_LIMIT):
@@ -41,7 +41,7 @@
         self.fail(f'got {SPENT_LIMIT} spent, expected a refusal before')
 
     def test_all_daemons_together_keep_the_budget(self) -> None:
-        """Each spends all that it may, at the same moment."""
+        """Every daemon spends all it may at the same moment."""
         budgets = [self._budget() for _ in range(8)]
         needed = [100, 0, 3, 40, 7, 250, 1, 60]
         for budget, count in zip(budgets, needed, strict=True):
@@ -51,7 +51,7 @@
         self.assertGreater(spent, 0.7 * (RATIO * sum(needed) + SLACK))
 
     def test_without_a_count_of_daemons_no_slack_is_used(self) -> None:
-        """A daemon that knows less must not assume that it is alone."""
+        """A daemon must not assume that it is the only one."""
         self.daemons = None
         budget = self._budget()
         self.assertEqual(0, self._spend_all(budget))
@@ -59,7 +59,7 @@
         self.assertEqual(int(0.95 * RATIO * 100), self._spend_all(budget))
 
     def test_every_window_keeps_it(self) -> None:
-        """Spending over time is not more than a window's in any window."""
+        """Spending over time stays within the budget in any window."""
         budget = self._budget()
         times = []
         for _ in range(300):
@@ -71,20 +71,20 @@
             self.assertLessEqual(count, SLACK / 8)
 
     def test_shards_do_not_share(self) -> None:
-        """One slow shard does not take the others' hedges."""
+        """One slow shard must not use up the hedges of the others."""
         budget = self._budget()
         self._spend_all(budget)
         self.assertTrue(budget.spend_retry('other'))
 
     def test_the_last_part_is_kept_for_retries(self) -> None:
-        """Hedges stop first: a missing shard is worse than a late one."""
+        """Hedges are refused first: missing is worse than late."""
         budget = self._budget()
         budget.note_needed(['s'] * 100, 0.0)
         self._spend_all(budget, hedges=True)
         self.assertTrue(budget.spend_retry('s'))
 
     def test_a_hedge_that_reached_nobody_is_given_back(self) -> None:
-        """A refused connection is no arrival; a refusal by the target is."""
+        """A refused connection is not charged, a refusal by the target is."""
         budget = self._budget()
         left = budget.left('s')
         budget.spend_hedge('s')
