--- a/samphiredock/coordination/forwarding/_attempt_sender.py
+++ b/samphiredock/coordination/forwarding/_attempt_sender.py
@@ -22,9 +22,9 @@
 
     Parameters
     ----------
-    asker
+    target_client
         Sends to one target.
-    orders
+    order_client
         Sends merge orders to daemons of other sites; None to ask every
         target directly.
     replicas
@@ -36,17 +36,17 @@
     def __init__(
         self,
         target_client: _target_client.TargetClient,
-        orders: _order_client.OrderClient | None,
+        order_client: _order_client.OrderClient | None,
         replicas: _replica_selector.ReplicaSelector,
         clock: timers.Timers,
     ) -> None:
         self._target_client = target_client
-        self._order_client = orders
+        self._order_client = order_client
         self._replicas = replicas
         self._clock = clock
         self._order_tracker = _order_tracker.OrderTracker(
             target_client,
-            orders,
+            order_client,
             clock,
             self._on_results,
             self._hedge_late,
@@ -228,7 +228,7 @@
         exchange = pending.exchanges[item.attempt_id]
         request = pending.plan.request
         left_ms = pending.plan.scatter.deadline_at_ms - self._clock.now_ms()
-        asked = await self._target_client.send(
+        exchange_result = await self._target_client.send(
             request,
             item.target,
             left_ms,
@@ -237,16 +237,20 @@
             lambda: not exchange.is_dropped,
             exchange.mark_sent,
         )
-        reply = asked.reply
-        if reply is not None and asked.status is _Status.ANSWERED:
+        reply = exchange_result.reply
+        if reply is not None and exchange_result.status is _Status.ANSWERED:
             pending.replies[item.attempt_id] = reply
             pending.parts.add(
                 item.shard_id, reply.receipt or '', reply.reply.body
             )
         elif reply is not None and reply.is_forwardable:
             pending.failure = reply
-        self._on_result(pending, item, asked.status, asked.detail)
-        await self._target_client.look_for_crash(request, item.target, asked)
+        self._on_result(
+            pending, item, exchange_result.status, exchange_result.detail
+        )
+        await self._target_client.look_for_crash(
+            request, item.target, exchange_result
+        )
 
     # Results.
 
@@ -280,30 +284,30 @@
     def _on_results(
         self,
         pending: _pending_requests.PendingRequest,
-        ends: list[protocol.SubAnswer],
+        results: list[protocol.SubAnswer],
     ) -> None:
         """Pass results to the scatter, with the key ranges answered."""
-        if pending.done.done() or not ends:
+        if pending.done.done() or not results:
             return
         now_ms = self._clock.now_ms()
         answers = []
-        for end in ends:
-            shard = pending.shard_of[end.attempt_id]
+        for answer in results:
+            shard = pending.shard_of[answer.attempt_id]
             ranges = []
-            if end.status is _Status.ANSWERED:
+            if answer.status is _Status.ANSWERED:
                 pending.answered.add(shard)
                 ranges = [pending.plan.key_ranges[shard]]
             else:
                 pending.trace.add(
                     now_ms,
                     'failed',
-                    attempt=end.attempt_id,
+                    attempt=answer.attempt_id,
                     shard=shard,
-                    target=end.target,
-                    status=end.status.value,
-                    why=end.detail,
+                    target=answer.target,
+                    status=answer.status.value,
+                    why=answer.detail,
                 )
-            answers.append(msgspec.structs.replace(end, ranges=ranges))
+            answers.append(msgspec.structs.replace(answer, ranges=ranges))
         self.apply(pending, pending.scatter.on_answers(answers, now_ms))
 
 
--- a/samphiredock/coordination/forwarding/_forwarder.py
+++ b/samphiredock/coordination/forwarding/_forwarder.py
@@ -32,8 +32,8 @@
 """Share of a route's aim after which to hedge while no latencies are known."""
 
 NO_TARGET_RETRY_MS = 300
-"""``Retry-After`` of a refusal that should clear soon.  A lost target is tried
-again after 200 ms."""
+"""When to retry after a refusal whose cause should pass soon.  A lost target
+is tried again after 200 ms."""
 
 
 class Forwarder:
@@ -46,14 +46,14 @@
     routing, targets
         The routing table in force, and the registered targets.
     tools
-        Target records, latencies and the retry budget, shared by all requests.
+        Replica selector, latencies and retry budget, shared by all requests.
     dialect, links
         The targets' HTTP protocol, and the connections to them.
     clock, counters
         The timers and metrics of this daemon.
     crashes
         Refuses requests whose content crashes targets; None to refuse none.
-    orders
+    order_client
         Sends merge orders to daemons of other sites; None to ask every target
         directly.
     """
@@ -69,19 +69,19 @@
         clock: timers.Timers,
         counters: metrics.Metrics,
         crashes: _crash_guard.CrashGuard | None = None,
-        orders: _order_client.OrderClient | None = None,
+        order_client: _order_client.OrderClient | None = None,
     ) -> None:
         self._crashes = crashes
         self._settings = settings
         self._routing = routing
         self._targets = targets
         self._tools = tools
-        self._order_client = orders
+        self._order_client = order_client
         self.target_client = _target_client.TargetClient(
             targets, dialect, links, clock, settings.once_kept_ms, crashes
         )
         self._sender = _attempt_sender.AttemptSender(
-            self.target_client, orders, tools.replicas, clock
+            self.target_client, order_client, tools.replicas, clock
         )
         self._clock = clock
         self._metrics = counters
--- a/samphiredock/coordination/forwarding/_merger.py
+++ b/samphiredock/coordination/forwarding/_merger.py
@@ -36,7 +36,7 @@
 
     Parameters
     ----------
-    asker
+    target_client
         Sends to one target.
     clock, counters
         The timers and metrics of this daemon.
@@ -139,12 +139,14 @@
                 )
             )
             return
-        asked = await self._target_client.send(request, item.target, left_ms)
+        exchange_result = await self._target_client.send(
+            request, item.target, left_ms
+        )
         took_ms = self._clock.now_ms() - sent_ms
-        if asked.status is protocol.SubStatus.ANSWERED:
-            assert asked.reply is not None
-            receipt = asked.reply.receipt or ''
-            body = asked.reply.reply.body
+        if exchange_result.status is protocol.SubStatus.ANSWERED:
+            assert exchange_result.reply is not None
+            receipt = exchange_result.reply.receipt or ''
+            body = exchange_result.reply.reply.body
             events.put_nowait(
                 _report_batcher.Part(item.number, receipt, took_ms, body)
             )
@@ -152,14 +154,16 @@
         events.put_nowait(
             protocol.EndedItem(
                 item.number,
-                asked.status,
+                exchange_result.status,
                 round(took_ms * 1000.0),
-                asked.detail,
+                exchange_result.detail,
             )
         )
         # In a task of its own, since this one is cancelled with the order.
         background.start(
-            self._target_client.look_for_crash(request, item.target, asked),
+            self._target_client.look_for_crash(
+                request, item.target, exchange_result
+            ),
             'look for a crash',
         )
 
--- a/samphiredock/coordination/forwarding/_order_client.py
+++ b/samphiredock/coordination/forwarding/_order_client.py
@@ -100,7 +100,11 @@
             read = protocol.decode_report(chunk)
             if isinstance(read, result.Failure):
                 broken = True
-                _log.error('report', daemon=merger, why=read.failure())
+                _log.error(
+                    'order report unreadable',
+                    daemon=merger,
+                    why=read.failure(),
+                )
                 return
             on_report(read.unwrap())
 
--- a/samphiredock/coordination/forwarding/_order_tracker.py
+++ b/samphiredock/coordination/forwarding/_order_tracker.py
@@ -36,13 +36,13 @@
 
     Parameters
     ----------
-    asker
+    target_client
         Records the health of targets, also of those that other daemons ask.
-    orders
+    order_client
         Sends one order; None if none is ever sent.
     clock
         The timers of this daemon.
-    take
+    on_results
         Called with the results of a request's attempts.
     on_late
         Called with attempts that the ordered daemon reports as late.
@@ -53,9 +53,9 @@
     def __init__(
         self,
         target_client: _target_client.TargetClient,
-        orders: _order_client.OrderClient | None,
+        order_client: _order_client.OrderClient | None,
         clock: timers.Timers,
-        take: typing.Callable[
+        on_results: typing.Callable[
             [_pending_requests.PendingRequest, list[protocol.SubAnswer]], None
         ],
         on_late: typing.Callable[
@@ -66,9 +66,9 @@
         ],
     ) -> None:
         self._target_client = target_client
-        self._order_client = orders
+        self._order_client = order_client
         self._clock = clock
-        self._on_results = take
+        self._on_results = on_results
         self._on_late = on_late
         self._on_silent = on_silent
 
@@ -81,8 +81,8 @@
     ) -> None:
         """Order a daemon to send these attempts.
 
-        ``gathers`` is true for first attempts, the only ones whose results
-        may come back merged: see :class:`ReportBatcher`.
+        ``is_gathering`` is true for first attempts, the only ones whose
+        results may come back merged: see :class:`ReportBatcher`.
         """
         waiting = {_number_of(item.attempt_id): item for item in items}
         sent_order = _pending_requests.SentOrder(merger, waiting, is_gathering)
@@ -220,10 +220,11 @@
             # The merged part may hold records of an attempt that was not
             # ordered or was reported before.  They cannot be taken out, and
             # later reports are cut against them, so the order is dropped.
-
             sent_order.is_broken = True
             _log.error(
-                'report', daemon=sent_order.merger, unknown=sorted(unknown)
+                'order report invalid',
+                daemon=sent_order.merger,
+                unknown=sorted(unknown),
             )
             self._on_lost(pending, sent_order, _Status.ORDER_LOST)
             return
--- a/samphiredock/coordination/forwarding/_target_client.py
+++ b/samphiredock/coordination/forwarding/_target_client.py
@@ -40,7 +40,7 @@
     Parameters
     ----------
     targets
-        The registered targets and their records.
+        The registered targets and their observed health.
     dialect, links
         The targets' HTTP protocol, and the connections to them.
     clock
@@ -143,13 +143,16 @@
         self,
         request: protocol.ForwardRequest,
         target_id: str,
-        asked: ExchangeResult,
+        exchange_result: ExchangeResult,
     ) -> None:
         """Report a loss if a connection broke because its target died.
 
         A target that has only lost one connection still accepts new ones.
         """
-        lost = asked.status is _Status.BROKEN and asked.reply is None
+        lost = (
+            exchange_result.status is _Status.BROKEN
+            and exchange_result.reply is None
+        )
         target = self._targets.get(target_id)
         if self._crashes is None or not lost or target is None:
             return
--- a/samphiredock/coordination/forwarding/_window_budget.py
+++ b/samphiredock/coordination/forwarding/_window_budget.py
@@ -24,14 +24,14 @@
 class _Window:
     """Times of first and extra requests to one shard."""
 
-    __slots__ = ('needed', 'extra')
+    __slots__ = ('first', 'extra')
 
     def __init__(self) -> None:
-        self.needed: collections.deque[float] = collections.deque()
+        self.first: collections.deque[float] = collections.deque()
         self.extra: collections.deque[float] = collections.deque()
 
     def drop_before(self, before_ms: float) -> None:
-        for times in (self.needed, self.extra):
+        for times in (self.first, self.extra):
             while times and times[0] < before_ms:
                 times.popleft()
 
@@ -85,7 +85,7 @@
         """Count the first request to each shard; ``share`` is not used."""
         now_ms = self._clock.now_ms()
         for shard in shards:
-            self._windows[shard].needed.append(now_ms)
+            self._windows[shard].first.append(now_ms)
 
     def left(self, shard: str, part: float = 1.0) -> float:
         """Return how many more extra requests may be sent to a shard now.
@@ -96,8 +96,8 @@
         window.drop_before(self._clock.now_ms() - self._window_ms)
         daemons = self._daemons()
         slack = self._slack / daemons if daemons else 0.0
-        ours = self._ratio * len(window.needed) + slack
-        return ours * _USED_SHARE * part - len(window.extra)
+        own = self._ratio * len(window.first) + slack
+        return own * _USED_SHARE * part - len(window.extra)
 
     def spend_hedge(self, shard: str = '') -> bool:
         """Count a hedge if the budget allows it; return whether it does."""
--- a/standins/memory_links.py
+++ b/standins/memory_links.py
@@ -193,7 +193,7 @@
             self.links,
             self.clock,
             self.counters,
-            orders=self.make_orders(),
+            order_client=self.make_orders(),
         )
 
     def make_replicas(self) -> coordination.ReplicaSelector:
--- a/tests/failure/test_start_rush.py
+++ b/tests/failure/test_cold_start.py
@@ -19,7 +19,7 @@
 _WORK_MS = 16.5
 
 
-class StartRushTest(unittest.IsolatedAsyncioTestCase):
+class ColdStartTest(unittest.IsolatedAsyncioTestCase):
     """Seven daemons without open connections, 62 searches a second.
 
     Three callers per daemon are already waiting.  Each search asks 20 shards
@@ -61,7 +61,7 @@
         await asyncio.gather(*tasks)
         return took_ms, targets.requests, targets.handshakes
 
-    async def test_answers_are_in_time_again_at_once(self) -> None:
+    async def test_answers_are_soon_in_time(self) -> None:
         """Late first searches must not overload the daemons that run them.
 
         On cold connections every shard is late.  Hedging them all at once
--- a/tests/failure/test_crash_guard.py
+++ b/tests/failure/test_crash_guard.py
@@ -58,7 +58,7 @@
         refusal = self.guards[0].refusal(request())
         self.assertIs(protocol.NotRunReason.QUARANTINED, refusal.reason)
 
-    def test_one_outage_convicts_nobody(self) -> None:
+    def test_one_outage_quarantines_nothing(self) -> None:
         """Many targets fail at once under innocent requests.
 
         Two callers had sent the same content, and both saw the failure.
@@ -69,7 +69,7 @@
             self.clock.advance(10.0)
         self.assertFalse(self._refused(0))
 
-    def test_one_target_that_crashes_again_convicts_nobody(self) -> None:
+    def test_one_target_crashing_twice_quarantines_nothing(self) -> None:
         """The fault is the target's own."""
         self._lose(0, 'r1', 't1')
         self.clock.advance(1_000.0)
@@ -84,7 +84,7 @@
         self.assertTrue(self._refused(0))
         self.assertFalse(self._refused(0, '/a/other'))
 
-    def test_a_conviction_ends(self) -> None:
+    def test_quarantine_expires(self) -> None:
         """The targets may have been fixed meanwhile."""
         self._lose(0, 'r1', 't1')
         self.clock.advance(1_000.0)
--- a/tests/failure/test_merged_crossing.py
+++ b/tests/failure/test_cross_site_orders.py
@@ -84,10 +84,10 @@
             self.assertEqual(len(set(targets)), len(targets), shard)
 
 
-class MergedCrossingTest(_Case):
+class MergeOrderTest(_Case):
     """A search from a site that has targets of two thirds of the shards."""
 
-    async def test_one_order_a_site_brings_all_parts(self) -> None:
+    async def test_one_order_per_site_brings_all_parts(self) -> None:
         """24 shards are asked directly, the others by one order per site."""
         self.assertEqual(36, len(self.desk.links.open))
         orders = self.desk.order_links.seen
@@ -105,7 +105,7 @@
         self.check_whole(outcome)
         self.assertEqual(0, outcome.missing)
 
-    async def test_a_straggler_does_not_hold_the_others(self) -> None:
+    async def test_slow_target_does_not_delay_the_others(self) -> None:
         """One target at another site is slow.
 
         The other parts come merged when the gather time is over; the slow
@@ -125,7 +125,7 @@
         self.assertEqual(0, outcome.missing)
         self.check_bound()
 
-    async def test_a_hedge_gives_way_to_the_merged_part(self) -> None:
+    async def test_merged_part_replaces_hedges(self) -> None:
         """A frozen daemon recovers after its shards were hedged.
 
         Its merged part also has records of shards whose hedges have answered.
@@ -159,7 +159,7 @@
         self.check_whole(await self.outcome())
         self.check_bound()
 
-    async def test_a_caller_that_leaves_stops_ordered_targets(self) -> None:
+    async def test_leaving_caller_cancels_ordered_targets(self) -> None:
         """Targets at other sites must not go on working for nobody."""
         self.task.cancel()
         await memory_links.settle()
@@ -206,7 +206,7 @@
         self.task = self.desk.ask('/all/x')
         await memory_links.settle()
 
-    async def test_one_that_takes_no_connection_costs_nothing(self) -> None:
+    async def test_unreachable_merger_costs_nothing(self) -> None:
         """Its targets are asked directly at once, and none twice."""
         self.links.dead = set(self.desk.mergers)
         await self._ask()
@@ -217,7 +217,7 @@
         self.assertEqual(0, outcome.missing)
         self.check_bound()
 
-    async def test_one_that_does_not_know_orders(self) -> None:
+    async def test_merger_without_support_for_orders(self) -> None:
         """An older daemon refuses; its targets are asked directly."""
         self.links.old = set(self.desk.mergers)
         await self._ask()
@@ -226,7 +226,7 @@
         self.check_whole(outcome)
         self.assertEqual(0, outcome.missing)
 
-    async def test_one_that_lags_behind_on_targets(self) -> None:
+    async def test_merger_that_does_not_know_targets_yet(self) -> None:
         """The daemon does not know the targets of a new index yet.
 
         It refuses them.  If they were ordered from it again, each search would
@@ -247,7 +247,7 @@
         self.assertEqual(0, outcome.missing)
         self.check_bound()
 
-    async def test_one_that_is_frozen_costs_a_hedge(self) -> None:
+    async def test_frozen_merger_costs_a_hedge(self) -> None:
         """The full answer comes within the aim though an order hangs.
 
         The order's shards are hedged at another site when its report is
@@ -265,7 +265,7 @@
         self.assertEqual(0, outcome.missing)
         self.check_bound()
 
-    async def test_a_hedge_does_not_wait_for_the_same_daemon(self) -> None:
+    async def test_hedge_does_not_use_the_frozen_merger(self) -> None:
         """Both targets of each shard are at the site of a frozen daemon.
 
         Latencies have become known, so hedges are due before the order's
@@ -290,7 +290,7 @@
         self.check_whole(await self.outcome())
         self.check_bound()
 
-    async def test_one_that_is_frozen_while_targets_seem_overloaded(
+    async def test_frozen_merger_is_hedged_despite_overload(
         self,
     ) -> None:
         """Overload stops hedges, but not those for a silent daemon.
@@ -313,7 +313,7 @@
         self.assertEqual(0, outcome.missing)
         self.check_bound()
 
-    async def test_one_whose_merged_part_cannot_be_read(self) -> None:
+    async def test_unreadable_merged_part(self) -> None:
         """Its later parts are cut against a merged part that was not read.
 
         They may lack records of the answer, so nothing more of that order may
@@ -338,7 +338,7 @@
             self.check_whole(outcome)
         self.check_bound()
 
-    async def test_one_that_dies_with_an_order_costs_a_retry(self) -> None:
+    async def test_lost_merger_costs_a_retry(self) -> None:
         """Nobody knows which of its targets the lost daemon has asked.
 
         The other replicas are asked at once; no target that may have run the
@@ -366,7 +366,7 @@
         self.assertEqual(0, outcome.missing)
         self.check_bound()
 
-    async def test_one_that_gives_up_costs_a_hedge(self) -> None:
+    async def test_stopping_merger_costs_a_hedge(self) -> None:
         """A daemon reaches the end of its shutdown time with open orders.
 
         It ends its orders at once, and the search asks other targets without
@@ -435,7 +435,7 @@
 class RandomFaultsTest(unittest.IsolatedAsyncioTestCase):
     """Targets and daemons that fail at random."""
 
-    async def test_every_answer_is_true(self) -> None:
+    async def test_every_answer_is_correct(self) -> None:
         """Many searches, each with other faults.
 
         No shard may count twice or run on more targets than allowed, and the
@@ -498,7 +498,7 @@
 class CrashingContentTest(unittest.IsolatedAsyncioTestCase):
     """A content crashes the targets that run it at another site."""
 
-    async def test_the_daemon_that_asked_finds_the_loss(self) -> None:
+    async def test_merger_reports_the_loss(self) -> None:
         """The check for a crash must outlive the order.
 
         The order ends with the loss of its last target.  If the check were
--- a/tests/failure/test_given_up.py
+++ b/tests/failure/test_finish_all.py
@@ -10,7 +10,7 @@
 RECORD = b'0123456789abcdef'
 
 
-class GivenUpTest(unittest.IsolatedAsyncioTestCase):
+class FinishAllTest(unittest.IsolatedAsyncioTestCase):
     """A daemon shuts down while requests wait for silent targets.
 
     Without an outcome, callers would see a closed connection and not know
@@ -36,7 +36,7 @@
         self.assertTrue(task.done())
         return task.result()
 
-    async def test_what_a_target_has_may_have_run(self) -> None:
+    async def test_sent_request_is_unknown(self) -> None:
         """Neither "done" nor "not run" would be true."""
         for path in ('/one/x', '/once/x', '/all/x'):
             with self.subTest(path):
@@ -45,7 +45,7 @@
                 outcome = await self._finish(task)
                 self.assertIsInstance(outcome, protocol.Unknown)
 
-    async def test_what_all_targets_refused_has_not_run(self) -> None:
+    async def test_refused_request_has_not_run(self) -> None:
         """It was waiting for a retry; the caller may go elsewhere at once."""
         task = await self._ask('/once/x')
         while self.desk.links.open:
@@ -55,7 +55,7 @@
         self.assertIsInstance(outcome, protocol.NotRun)
         self.assertGreater(outcome.retry_after_ms, 0)
 
-    async def test_what_waits_for_a_connection_has_not_run(self) -> None:
+    async def test_request_without_connection_has_not_run(self) -> None:
         """No target has seen it, and none will.
 
         All connections to its target are in use when the daemon shuts down.
@@ -70,7 +70,7 @@
                 await self.desk.advance(200.0)
                 self.assertEqual([], self.desk.links.sent)
 
-    async def test_parts_that_are_enough_are_delivered(self) -> None:
+    async def test_sufficient_parts_are_delivered(self) -> None:
         """A sufficient answer is not discarded for one late part."""
         task = await self._ask('/all/x')
         for sent in self.desk.links.open[1:]:
@@ -80,14 +80,14 @@
         self.assertIsInstance(outcome, protocol.Gathered)
         self.assertEqual(1, outcome.missing)
 
-    async def test_its_targets_are_freed(self) -> None:
+    async def test_exchanges_are_cancelled(self) -> None:
         """The targets must not go on working for nobody."""
         task = await self._ask('/one/x')
         await self._finish(task)
         await self.desk.advance(200.0)
         self.assertTrue(all(row.cancelled for row in self.desk.links.sent))
 
-    async def test_what_comes_later_is_sent_nowhere(self) -> None:
+    async def test_later_request_is_refused(self) -> None:
         """It is refused at once; another daemon can run it."""
         self.desk.forwarder.finish_all()
         outcome = await self.desk.ask('/one/x')
@@ -95,13 +95,13 @@
         self.assertIs(protocol.NotRunReason.SHUTTING_DOWN, outcome.reason)
         self.assertEqual([], self.desk.links.sent)
 
-    async def test_a_daemon_that_handed_it_over_may_ask_another(self) -> None:
+    async def test_refused_handover_can_be_retried(self) -> None:
         """The refusal is not passed on as the caller's final answer."""
         self.desk.forwarder.finish_all()
         outcome = await self.desk.ask('/one/x')
         self.assertTrue(forwarding.can_retry_elsewhere(outcome))
 
-    async def test_what_may_have_run_is_not_asked_again_elsewhere(
+    async def test_unknown_outcome_is_not_retried(
         self,
     ) -> None:
         """The daemon that handed it over passes the outcome on."""
@@ -112,7 +112,7 @@
 class PendingSummaryTest(unittest.IsolatedAsyncioTestCase):
     """How requests that delay a shutdown are logged."""
 
-    async def test_a_request_without_a_connection_is_at_no_target(
+    async def test_request_without_connection_names_no_target(
         self,
     ) -> None:
         """A request waiting for a connection must not blame its target.
--- a/tests/failure/test_passed_on.py
+++ b/tests/failure/test_forwarder.py
@@ -30,7 +30,7 @@
         self.assertEqual(0, outcome.missing)
         self.assertEqual(RECORD * 5, outcome.body)
 
-    async def test_a_late_shard_does_not_hold_the_answer_past_the_aim(
+    async def test_late_shard_does_not_delay_the_answer(
         self,
     ) -> None:
         """The caller gets nine of ten shards in time, and is told so.
@@ -48,7 +48,7 @@
         self.assertEqual(1, outcome.missing)
         self.assertNotIn(f'receipt-{silent}', outcome.receipts)
 
-    async def test_too_few_shards_in_time_answer_late(self) -> None:
+    async def test_answer_is_late_if_too_few_shards_are_in_time(self) -> None:
         """After the aim, the answer is sent once enough shards are in."""
         late = self.desk.links.open[:3]
         for sent in self.desk.links.open[3:]:
@@ -59,7 +59,7 @@
         outcome = await self.task
         self.assertEqual(2, outcome.missing)
 
-    async def test_a_hedge_waits_for_no_connection(self) -> None:
+    async def test_hedge_does_not_wait_for_a_connection(self) -> None:
         """A hedge is sent only when a connection is free.
 
         After a start all connections are cold and in use.  A queued hedge
@@ -78,7 +78,7 @@
             {slow.target, other}, {row.target for row in self.desk.links.open}
         )
 
-    async def test_shards_that_are_late_together_are_hedged_in_turn(
+    async def test_many_late_shards_are_hedged_gradually(
         self,
     ) -> None:
         """Hedging all late shards at once would double this daemon's load.
@@ -94,7 +94,7 @@
             counts.append(len(self.desk.links.open))
         self.assertEqual([12, 14, 16, 18, 20, 20], counts)
 
-    async def test_a_loser_that_answers_late_is_not_in_twice(self) -> None:
+    async def test_late_loser_does_not_count_twice(self) -> None:
         """Counting both answers of one shard would double its records."""
         slow = self.desk.links.open[0]
         for sent in self.desk.links.open[1:8]:
@@ -142,13 +142,13 @@
         outcome = await self.task
         self.assertIsInstance(outcome, protocol.Unknown)
 
-    async def test_a_caller_that_leaves_stops_the_targets(self) -> None:
+    async def test_leaving_caller_cancels_the_exchanges(self) -> None:
         """Targets must not go on working for nobody."""
         self.task.cancel()
         await memory_links.settle()
         self.assertTrue(all(row.cancelled for row in self.desk.links.sent))
 
-    async def test_a_caller_that_leaves_is_forgotten(self) -> None:
+    async def test_cancelled_attempts_do_not_count_as_load(self) -> None:
         """Cancelled attempts must not count as in flight for ever.
 
         Otherwise their targets look slower every second, and all work goes to
@@ -161,7 +161,7 @@
         for target in asked:
             self.assertEqual([], list(loads[target].started_ms), target)
 
-    async def test_a_loser_gets_a_moment_then_it_is_cut(self) -> None:
+    async def test_loser_is_cancelled_after_the_grace_time(self) -> None:
         """Its connection is kept if it ends within the grace time."""
         sent = list(self.desk.links.open)
         for row in sent[:9]:
@@ -177,7 +177,7 @@
 class SheddingTest(unittest.IsolatedAsyncioTestCase):
     """Targets that refuse part of their work."""
 
-    async def test_callers_get_whole_answers(self) -> None:
+    async def test_refusing_targets_get_less_work(self) -> None:
         """The retry budget does not cover a retry of every refusal.
 
         One target of each shard refuses four of ten requests at once; the
@@ -224,7 +224,7 @@
         self.assertIs(protocol.NotRunReason.UNKNOWN_ROUTE, outcome.reason)
         self.assertIn('version 1', outcome.detail)
 
-    async def test_an_older_table_never_comes_back(self) -> None:
+    async def test_older_table_is_ignored(self) -> None:
         """A stale read delivers version 1 after version 5."""
         desk = memory_links.ForwardDesk()
         desk.offer(5, shards=('s0', 's1'))
@@ -259,7 +259,7 @@
         self.desk.links.open[0].answer(b'late')
         self.assertEqual(b'late', (await self.task).reply.body)
 
-    async def test_what_may_have_run_is_not_sent_again(self) -> None:
+    async def test_lost_request_is_not_sent_again(self) -> None:
         """The request may have run though its reply is lost.
 
         A second target would run it again, so the outcome is unknown rather
@@ -273,7 +273,7 @@
                 self.assertIsInstance(outcome, protocol.Unknown)
                 self.assertEqual(1, len(self.desk.links.sent))
 
-    async def test_a_refusal_without_a_run_goes_elsewhere(self) -> None:
+    async def test_refused_request_is_sent_to_another_target(self) -> None:
         """The target states that it will not run the request."""
         self.desk.links.open[0].refuse()
         await memory_links.settle()
@@ -283,7 +283,7 @@
         second.answer(b'done')
         self.assertEqual(b'done', (await self.task).reply.body)
 
-    async def test_refused_everywhere_is_truly_not_run(self) -> None:
+    async def test_refused_by_all_targets_is_not_run(self) -> None:
         """The caller may retry; the answer says when."""
         while not self.task.done():
             for sent in self.desk.links.open:
@@ -300,14 +300,14 @@
         self.desk.links.open[0].lose(Kind.BROKEN)
         self.assertIsInstance(await self.task, protocol.Unknown)
 
-    async def test_a_targets_own_failure_is_passed_on(self) -> None:
+    async def test_error_reply_of_a_target_is_passed_on(self) -> None:
         """It ran, and the target reports how it ended."""
         self.desk.links.open[0].fail(500)
         outcome = await self.task
         self.assertEqual(500, outcome.reply.status)
         self.assertEqual(1, len(self.desk.links.sent))
 
-    async def test_the_routes_time_ends_it(self) -> None:
+    async def test_route_timeout_ends_the_request(self) -> None:
         """At the route's timeout the outcome is a timeout, not a refusal."""
         await self.desk.advance(599.0)
         self.assertFalse(self.task.done())
--- a/tests/unit/test_caller_time.py
+++ b/tests/unit/test_caller_time.py
@@ -16,28 +16,28 @@
     def _spent(self, left_ms: float | None, route: str = 'r') -> float:
         return self.times.spent_ms(route, left_ms, 100.0)
 
-    def test_connecting_takes_from_the_time(self) -> None:
+    def test_connecting_counts_as_spent(self) -> None:
         """A caller on a new connection states less than 600 ms."""
         self.assertEqual(7.0, self._spent(593.0))
         self.assertEqual(0.0, self._spent(600.0))
 
-    def test_routes_are_told_apart(self) -> None:
+    def test_routes_are_estimated_separately(self) -> None:
         """Callers of another route may have other times."""
         self.assertEqual(0.0, self._spent(300.0, 'other'))
 
-    def test_a_large_difference_tells_nothing(self) -> None:
+    def test_a_large_difference_is_ignored(self) -> None:
         """Such a caller is late anyway, or always allows less time."""
         self.assertEqual(0.0, self._spent(500.0))
         self.assertEqual(0.0, self._spent(None))
 
-    def test_what_was_stated_long_ago_is_forgotten(self) -> None:
+    def test_old_samples_are_dropped(self) -> None:
         """One caller that allows more must not make all others look late."""
         self._spent(640.0)
         for _ in range(_caller_time.MAX_SAMPLES):
             self._spent(600.0)
         self.assertEqual(0.0, self._spent(600.0))
 
-    def test_routes_that_are_gone_are_forgotten(self) -> None:
+    def test_number_of_routes_is_bounded(self) -> None:
         """Renamed routes must not use memory without bound."""
         for number in range(2_000):
             self._spent(600.0, f'r-{number}')
--- a/tests/unit/test_collected_parts.py
+++ b/tests/unit/test_collected_parts.py
@@ -22,7 +22,7 @@
         """Start without parts."""
         self.parts = _collected_parts.CollectedParts(3)
 
-    def test_a_merged_part_displaces_another_of_its_shards(self) -> None:
+    def test_merged_part_replaces_parts_of_its_shards(self) -> None:
         """A hedge's part comes before the merged part of the same shard."""
         self.parts.expect_merged(['a', 'b'])
         self.parts.add('a', 'hedge', _body(9, 8))
@@ -32,14 +32,14 @@
         self.assertEqual({'ra', 'rb'}, set(self.parts.receipts()))
         self.assertEqual(_body(7, 6, 5), self.parts.body())
 
-    def test_the_first_part_of_a_shard_stays(self) -> None:
+    def test_first_part_of_a_shard_is_kept(self) -> None:
         """Both parts together would count its records twice."""
         self.parts.add('a', 'one', _body(9))
         self.parts.add('a', 'two', _body(9))
         self.assertEqual(('one',), self.parts.receipts())
         self.assertEqual(_body(9), self.parts.body())
 
-    def test_the_floor_is_of_records_that_stay(self) -> None:
+    def test_floor_ignores_replaceable_parts(self) -> None:
         """A replaceable part must not keep other records out of the answer."""
         self.parts.expect_merged(['a'])
         self.parts.add('a', 'hedge', _body(9, 8, 7))
--- a/tests/unit/test_introduce.py
+++ b/tests/unit/test_introduce.py
@@ -17,7 +17,7 @@
             _daemon(site, number) for number in (1, 2) for site in ('b', 'a')
         ]
 
-    def test_each_daemon_is_told_by_one_other(self) -> None:
+    def test_each_daemon_is_a_first_successor(self) -> None:
         """On the ring every daemon is the first successor of another one."""
         first = [
             forwarding.successors(self.daemons, row.name)[0].name
@@ -25,31 +25,31 @@
         ]
         self.assertEqual({row.name for row in self.daemons}, set(first))
 
-    def test_most_are_told_within_their_site(self) -> None:
+    def test_successor_is_at_the_same_site(self) -> None:
         self.assertEqual(
             'a-2', forwarding.successors(self.daemons, 'a-1')[0].name
         )
 
-    def test_a_daemon_never_tells_itself(self) -> None:
+    def test_a_daemon_is_not_its_own_successor(self) -> None:
         for row in self.daemons:
             tried = forwarding.successors(self.daemons, row.name)
             self.assertNotIn(row, tried)
             self.assertEqual(3, len(tried))
 
-    def test_one_that_is_not_listed_tells_nobody(self) -> None:
+    def test_unlisted_daemon_has_no_successors(self) -> None:
         self.assertEqual([], forwarding.successors(self.daemons, 'c-1'))
 
-    def test_what_is_told_is_read(self) -> None:
+    def test_introduction_round_trip(self) -> None:
         told = forwarding.introduction_request(self.daemons)
         self.assertEqual(
             tuple(self.daemons), forwarding.read_introduction(told.body)
         )
 
-    def test_bytes_that_are_no_introduction(self) -> None:
+    def test_malformed_introduction(self) -> None:
         for body in (b'', b'{}', b'[{"name": 1}]', b'\xff'):
             self.assertIsNone(forwarding.read_introduction(body))
 
-    def test_the_pace_falls_with_the_size(self) -> None:
+    def test_traffic_is_bounded_in_large_systems(self) -> None:
         """The list grows with the system; its traffic must stay bounded."""
         self.assertEqual(1_000.0, forwarding.introduction_interval_ms(8))
         for daemons, sites in ((8, 3), (195, 5), (490, 8)):
@@ -64,7 +64,7 @@
             # A sixth of a daemon's 6 KB/s for control traffic.
             self.assertLess(len(body) / seconds, 1_000.0, daemons)
 
-    def test_one_that_starts_is_told_soon(self) -> None:
+    def test_interval_stays_short(self) -> None:
         """A daemon that starts refuses its callers until it is told."""
         self.assertLess(forwarding.introduction_interval_ms(195), 2_000.0)
         self.assertLess(forwarding.introduction_interval_ms(490), 5_000.0)
--- a/tests/unit/test_live_targets.py
+++ b/tests/unit/test_live_targets.py
@@ -37,7 +37,7 @@
         self.assertEqual([], self.live.of_service('s'))
         self.assertEqual([], self.gone)
 
-    def test_many_are_indexed_once(self) -> None:
+    def test_many_targets_are_indexed_once(self) -> None:
         """A daemon that starts reads many entries while callers wait."""
         rows = [target(f't{number}', service='b') for number in range(5)]
         seen: list[list[str]] = []
@@ -49,13 +49,13 @@
         self.live.put_all(rows)
         self.assertEqual(5, len(seen))
 
-    def test_a_removed_entry_is_gone_at_once(self) -> None:
+    def test_removed_entry_is_dropped_at_once(self) -> None:
         """The store was reachable throughout, so the target has left."""
         self.live.remove('a')
         self.assertFalse(self.live.is_usable('a'))
         self.assertEqual(['a'], self.gone)
 
-    def test_entries_that_lapse_in_an_outage_are_awaited(self) -> None:
+    def test_entries_that_expire_in_an_outage_are_kept(self) -> None:
         """An outage of the store must not lose all targets.
 
         Entries expire since nobody can renew them.  The store returns without
@@ -69,7 +69,7 @@
         self.clock.advance(5_000.0)
         self.assertTrue(self.live.is_usable('a'))
 
-    def test_what_is_not_back_after_the_wait_is_gone(self) -> None:
+    def test_missing_entry_is_dropped_after_the_grace_time(self) -> None:
         """A target that ended during the outage is removed."""
         self.live.on_store_unavailable()
         self.live.remove('a')
@@ -78,7 +78,7 @@
         self.clock.advance(2.0)
         self.assertEqual(['a'], self.gone)
 
-    def test_a_second_outage_begins_the_wait_anew(self) -> None:
+    def test_second_outage_extends_the_grace_time(self) -> None:
         """An entry must not be removed while nobody can renew it."""
         self.live.on_store_unavailable()
         self.live.remove('a')
@@ -89,7 +89,7 @@
         self.clock.advance(600.0)
         self.assertEqual(['a'], self.gone)
 
-    def test_a_misdirected_address_is_not_used_again(self) -> None:
+    def test_misdirected_target_is_not_used(self) -> None:
         """Another target has the address, though the entry still exists."""
         self.live.mark_misdirected('a')
         self.assertFalse(self.live.is_usable('a'))
@@ -101,7 +101,7 @@
         self.clock.advance(300.0)
         self.assertTrue(self.live.is_usable('a'))
 
-    def test_a_target_that_starts_again_under_its_id_is_another(self) -> None:
+    def test_restarted_target_starts_with_new_health(self) -> None:
         """Its old health must not count for the new process.
 
         The target was lost and returns under the same id with a later
@@ -117,7 +117,7 @@
         self.live.put(target('b', started_at_ms=6, leaving=True))
         self.assertEqual(['b'], self.gone)
 
-    def test_an_entry_that_cannot_be_read_names_no_target(self) -> None:
+    def test_target_with_unreadable_entry_is_removed(self) -> None:
         """An entry was overwritten with malformed bytes."""
         self.live.put(target('b'))
         self.live.remove_unreadable('a')
@@ -148,7 +148,7 @@
             self.assertAlmostEqual(0.7 * number, counts['s0'], delta=1.0)
             self.assertAlmostEqual(0.1 * number, counts['s2'], delta=1.0)
 
-    def test_new_weights_hold_from_the_next_request(self) -> None:
+    def test_new_weights_apply_at_once(self) -> None:
         """Credit from the old weights is dropped."""
         splitter = forwarding.Splitter()
         for _ in range(5):
--- a/tests/unit/test_logs.py
+++ b/tests/unit/test_logs.py
@@ -32,7 +32,7 @@
                 return found
             found += part
 
-    def test_a_reader_that_does_not_read_costs_lines_not_time(self) -> None:
+    def test_slow_reader_loses_lines_but_does_not_block(self) -> None:
         """Lines left out are counted and reported when the reader goes on."""
         stream = logs.BoundedStream(self.writer, 10_000)
         self.addCleanup(os.close, self.writer)
@@ -50,7 +50,7 @@
         written = len([row for row in rows if 'count' not in row])
         self.assertEqual(5_001, written + stream.left_out)
 
-    def test_a_reader_that_is_gone_is_no_error(self) -> None:
+    def test_closed_reader_is_no_error(self) -> None:
         """The daemon continues without its log."""
         reader, writer = os.pipe()
         os.close(reader)
@@ -78,7 +78,7 @@
         trace.add(self.clock.now_ms(), 'sent', target='t')
         self.log.end('id', trace, good, outcome='x')
 
-    def test_good_requests_do_not_take_the_place_of_bad_ones(self) -> None:
+    def test_successes_do_not_crowd_out_failures(self) -> None:
         """Thousands succeed within a second, then one fails."""
         for _ in range(10_000):
             self._end(True)
@@ -87,14 +87,14 @@
         self._end(False)
         self.assertEqual(before, self._left_out())
 
-    def test_the_volume_is_bounded(self) -> None:
+    def test_line_rate_is_bounded(self) -> None:
         """The limit holds even if every request fails."""
         for _ in range(10_000):
             self._end(False)
         written = 20_000 - self._left_out()
         self.assertLessEqual(written, _request_log.FAILURE_LINES_PER_S)
 
-    def test_lines_are_written_a_few_at_a_time(self) -> None:
+    def test_lines_are_written_in_small_batches(self) -> None:
         """Hundreds of lines at once would delay other requests.
 
         Each line has the time at which its decision was made.
--- a/tests/unit/test_merger_assignments.py
+++ b/tests/unit/test_merger_assignments.py
@@ -38,7 +38,7 @@
             shards.append(names)
         return shards
 
-    def test_sites_of_many_parts_are_asked_by_order(self) -> None:
+    def test_sites_with_many_parts_get_orders(self) -> None:
         """Shards with a target at this site are not counted."""
         shards = self._shards(*['b'] * 4, *['ab'] * 9, *['c'] * 3)
         self.assertEqual(
@@ -46,7 +46,7 @@
             _merger_assignments.sites_for_orders('a', shards, self.targets),
         )
 
-    def test_a_shard_of_two_sites_counts_half_at_each(self) -> None:
+    def test_shard_at_two_sites_counts_half_for_each(self) -> None:
         """Only one of its targets is asked."""
         shards = self._shards(*['bc'] * 8)
         sites = _merger_assignments.sites_for_orders('a', shards, self.targets)
@@ -72,7 +72,7 @@
         self.assertEqual(found['b'], assignments.owner('s1-b'))
         self.assertIsNone(assignments.owner('unknown'))
 
-    def test_a_daemon_that_is_given_up_is_not_used_again(self) -> None:
+    def test_dropped_merger_is_not_used_again(self) -> None:
         """The rest of the search asks its targets directly."""
         self._shards('b')
         assignments = _merger_assignments.MergerAssignments(
@@ -81,7 +81,7 @@
         assignments.drop_merger('b-0')
         self.assertEqual('s0-b', assignments.owner('s0-b'))
 
-    def test_a_daemon_that_hangs_gets_few_orders(self) -> None:
+    def test_hanging_daemon_gets_few_orders(self) -> None:
         """A frozen daemon never fails; only the age of its order shows it."""
         self.loads.record_sent('b-0')
         self.clock.advance(500.0)
--- a/tests/unit/test_presence.py
+++ b/tests/unit/test_presence.py
@@ -83,7 +83,7 @@
             self.clock.advance(500.0)
         await memory_links.settle()
 
-    async def test_one_that_starts_among_others_knows_them_at_once(
+    async def test_starting_daemon_knows_the_others_at_once(
         self,
     ) -> None:
         """One stale list is enough; it costs a tenth of a fresh one."""
@@ -95,7 +95,7 @@
         await presence.leave()
         self.assertNotIn('samphiredock-daemons/me', store.objects)
 
-    async def test_one_that_sees_nobody_asks_for_the_newest(self) -> None:
+    async def test_empty_stale_list_is_read_again_fresh(self) -> None:
         """A stale list may lack daemons that started at the same time.
 
         A daemon that takes itself for the only one would follow all targets.
@@ -106,7 +106,7 @@
         self.assertEqual(1, self.listed[-1])
         await presence.leave()
 
-    async def test_one_that_was_stopped_registers_again(self) -> None:
+    async def test_restarted_daemon_registers_again(self) -> None:
         """A stale list still shows the object that the daemon has removed.
 
         If it took that for its registration, no other daemon would know it and
@@ -131,7 +131,7 @@
         self.assertIn('samphiredock-daemons/me', store.objects)
         await again.leave()
 
-    async def test_a_start_costs_few_calls(self) -> None:
+    async def test_restart_costs_few_calls(self) -> None:
         """Restarts must not dominate the calls to the store.
 
         A daemon whose object still exists writes nothing, and its first lists
@@ -188,7 +188,7 @@
         self.assertEqual([4], listed)
         await presence.leave()
 
-    async def test_without_the_store_nobody_is_waited_for(self) -> None:
+    async def test_unreachable_store_does_not_block_the_start(self) -> None:
         """The daemon continues without a list."""
         presence, store = self._start(7)
         store.is_down = True
--- a/tests/unit/test_report_batcher.py
+++ b/tests/unit/test_report_batcher.py
@@ -40,7 +40,7 @@
         self.assertTrue(batcher.is_done())
         self.assertIsNone(batcher.on_gather_timeout())
 
-    def test_what_is_late_travels_alone(self) -> None:
+    def test_late_parts_are_reported_one_by_one(self) -> None:
         """Later parts are not merged, since they could not be separated."""
         batcher = _report_batcher.ReportBatcher(_order(3))
         batcher.on_part(_part(0))
@@ -52,7 +52,7 @@
             self.assertEqual([number], [row.number for row in report.merged])
         self.assertTrue(batcher.is_done())
 
-    def test_late_records_below_the_merged_ones_are_left_out(self) -> None:
+    def test_late_records_below_the_floor_are_left_out(self) -> None:
         """They cannot be in the answer and would cross sites for nothing."""
         batcher = _report_batcher.ReportBatcher(_order(5))
         for number in (1, 3):
@@ -61,7 +61,7 @@
         self.assertEqual(b'', batcher.on_part(_part(0)).records)
         self.assertEqual(_part(2).body, batcher.on_part(_part(2)).records)
 
-    def test_a_failure_is_told_at_once(self) -> None:
+    def test_failure_is_reported_at_once(self) -> None:
         """The coordinator can ask another target meanwhile."""
         batcher = _report_batcher.ReportBatcher(_order(3))
         batcher.on_part(_part(0))
@@ -72,14 +72,14 @@
         self.assertEqual([0], [row.number for row in report.merged])
         self.assertTrue(batcher.is_done())
 
-    def test_without_gathering_each_part_is_told_at_once(self) -> None:
+    def test_without_gathering_parts_are_reported_at_once(self) -> None:
         """Orders for hedges and retries do not gather."""
         batcher = _report_batcher.ReportBatcher(_order(2, 0.0))
         self.assertEqual(1, len(batcher.on_part(_part(0)).merged))
         self.assertIsNone(batcher.on_gather_timeout())
         self.assertEqual(1, len(batcher.on_part(_part(1)).merged))
 
-    def test_nothing_in_time_is_told_as_well(self) -> None:
+    def test_gather_timeout_without_parts_is_reported(self) -> None:
         """Otherwise a slow target would look like a dead daemon."""
         batcher = _report_batcher.ReportBatcher(_order(1))
         report = batcher.on_gather_timeout()
--- a/tests/unit/test_roles.py
+++ b/tests/unit/test_roles.py
@@ -22,7 +22,7 @@
 class RolesTest(unittest.TestCase):
     """The choice, which must be the same at every daemon."""
 
-    def test_daemons_far_from_the_targets_hand_over(self) -> None:
+    def test_daemons_far_from_targets_do_not_coordinate(self) -> None:
         """Otherwise each part of an answer would cross between sites."""
         targets = {'a': 21, 'b': 21, 'c': 2}
         rows = [
@@ -35,7 +35,7 @@
         self.assertEqual({'a', 'b'}, {name[0] for name in chosen})
         self.assertEqual(6, len(chosen))
 
-    def test_the_largest_of_a_site_coordinate(self) -> None:
+    def test_largest_daemons_of_a_site_coordinate(self) -> None:
         """The other daemons keep no connections to targets."""
         chosen = forwarding.coordinators_of(daemons(a=20, b=20), 2)
         self.assertEqual({'a-0', 'a-1', 'b-0', 'b-1'}, chosen)
@@ -62,7 +62,7 @@
             self.assertLessEqual(each * (count + 1), most)
         self.assertEqual(1, forwarding.connections_per_daemon(26, 100))
 
-    def test_equal_daemons_are_ranked_the_same_whatever_the_order(
+    def test_ranking_does_not_depend_on_list_order(
         self,
     ) -> None:
         """Daemons that list each other in another order must agree."""
@@ -74,12 +74,12 @@
         other = forwarding.coordinators_of(rows[::-1], 3)
         self.assertEqual(one, other)
 
-    def test_a_site_without_daemons_does_not_leave_nobody(self) -> None:
+    def test_someone_coordinates_if_no_daemon_is_near(self) -> None:
         """All targets are at a site that has no daemons."""
         rows = [dataclasses.replace(row, near=False) for row in daemons(c=2)]
         self.assertEqual(2, len(forwarding.coordinators_of(rows, 3)))
 
-    def test_a_daemon_stands_in_when_no_coordinator_is_left(self) -> None:
+    def test_daemon_coordinates_temporarily(self) -> None:
         """Otherwise its callers are refused until the list is updated."""
         role = forwarding.Role('c-0', 3)
         rows = [
@@ -113,7 +113,7 @@
         sent = self.dialect.target_request(self.request, self.target, 321.5)
         return forwarding.read_handed_over(sent.headers)
 
-    def test_a_request_arrives_as_it_was_handed_over(self) -> None:
+    def test_handover_round_trip(self) -> None:
         """Its own headers are kept, those of the hop are removed."""
         handed = self._handed()
         self.assertEqual((('X', 'y'),), handed.headers)
@@ -121,7 +121,7 @@
         self.assertEqual(321.5, handed.left_ms)
         self.assertEqual(4, handed.least_version)
 
-    def test_a_version_once_seen_is_the_least_from_then_on(self) -> None:
+    def test_least_version_never_decreases(self) -> None:
         """Otherwise a caller could see a change undone.
 
         One coordinator replies with version 7; the next request may go to one
@@ -136,7 +136,7 @@
         self.assertEqual((('K', 'v'),), read.reply.headers)
         self.assertEqual(7, self._handed().least_version)
 
-    def test_old_knowledge_is_asked_for_only_at_last(self) -> None:
+    def test_stale_table_is_allowed_only_on_request(self) -> None:
         """An old routing table is allowed only if all have lost the store.
 
         While another coordinator has contact with the store, it may know a
@@ -149,13 +149,13 @@
         self.assertTrue(handed.stale_ok)
         self.assertEqual(4, handed.least_version)
 
-    def test_a_coordinators_refusal_is_no_answer(self) -> None:
+    def test_refusal_is_not_passed_on(self) -> None:
         """Nothing has run, so another one is asked."""
         reply = forwarding.refusal_reply(self._handed(), 'behind')
         read = self.dialect.read_reply(self.request, reply)
         self.assertIs(protocol.SubStatus.SHED, read.status)
 
-    def test_a_failure_of_its_code_is_not_waited_out(self) -> None:
+    def test_internal_error_without_id_ends_the_wait(self) -> None:
         """A reply without the id must not be ignored until the deadline.
 
         The server reports an internal error without the handover headers.  The
@@ -168,7 +168,7 @@
         other = protocol.HttpReply(200, (), b'')
         self.assertFalse(self.dialect.is_reply_to(self.request, other))
 
-    def test_its_own_503_is_the_callers_answer(self) -> None:
+    def test_coordinators_own_503_is_passed_on(self) -> None:
         """A coordinator's final 503 is not retried elsewhere."""
         reply = forwarding.coordinator_reply(
             protocol.HttpReply(503), self._handed(), 4
@@ -176,7 +176,7 @@
         read = self.dialect.read_reply(self.request, reply)
         self.assertIs(protocol.SubStatus.ANSWERED, read.status)
 
-    def test_headers_that_are_not_whole(self) -> None:
+    def test_incomplete_headers(self) -> None:
         """The sender is no daemon, or one of another version."""
         for headers in (
             (),
@@ -190,7 +190,7 @@
             with self.subTest(headers):
                 self.assertIsNone(forwarding.read_handed_over(headers))
 
-    def test_a_request_is_not_handed_over_a_second_time(self) -> None:
+    def test_handover_is_not_repeatable(self) -> None:
         """Two coordinators might send it to more targets than allowed.
 
         The first one is lost with the request and may have sent it to two of
--- a/tests/unit/test_route_plans.py
+++ b/tests/unit/test_route_plans.py
@@ -42,7 +42,7 @@
             'here', 1_000.0, 9.0, 30.0,
         )  # fmt: skip
 
-    def test_least_shards_round_up_and_not_by_a_floating_error(self) -> None:
+    def test_least_shards_rounds_up_despite_float_error(self) -> None:
         """0.85 of 20 is 17, though ``0.85 * 20`` is slightly more."""
         for share, count, expected in (
             (0.89, 20, 18),
@@ -64,7 +64,7 @@
                 [], state.check_snapshot(index, _Everything()), count
             )
 
-    def test_the_shorter_time_holds(self) -> None:
+    def test_shorter_of_timeout_and_deadline_applies(self) -> None:
         """The route's timeout limits a caller that would wait longer."""
         for deadline_ms, ends_ms in (
             (None, 1_600.0), (5_000.0, 1_600.0), (200.0, 1_200.0),
@@ -86,13 +86,13 @@
 class MergeTest(unittest.TestCase):
     """Merging the greatest records of all parts."""
 
-    def test_greatest_first_and_equal_ones_all_count(self) -> None:
+    def test_greatest_first_and_equal_records_are_kept(self) -> None:
         """Records are compared as bytes."""
         low, high = b'a' * 16, b'b' * 16
         merged = _route_plans.merge_parts([low + high, high], 2)
         self.assertEqual(high + high, merged)
 
-    def test_a_remainder_is_no_record(self) -> None:
+    def test_trailing_bytes_are_ignored(self) -> None:
         """A part may end in fewer bytes than a record has."""
         self.assertEqual(b'', _route_plans.merge_parts([b'z' * 15], 5))
         part = b'a' * 16 + b'z' * 15
@@ -102,7 +102,7 @@
 class MatchTest(unittest.TestCase):
     """Which route a request matches."""
 
-    def test_the_longest_prefix_of_the_host_wins(self) -> None:
+    def test_longest_matching_prefix_wins(self) -> None:
         """Query strings and ports are ignored."""
         routes = tuple(
             state.Route(
--- a/tests/unit/test_window_budget.py
+++ b/tests/unit/test_window_budget.py
@@ -58,7 +58,7 @@
         budget.note_needed(['s'] * 100, 0.0)
         self.assertEqual(int(0.95 * RATIO * 100), self._spend_all(budget))
 
-    def test_every_window_keeps_it(self) -> None:
+    def test_budget_holds_in_every_window(self) -> None:
         """Spending over time stays within the budget in any window."""
         budget = self._budget()
         times = []
@@ -70,20 +70,20 @@
             count = sum(begin <= at < begin + WINDOW_MS for at in times)
             self.assertLessEqual(count, SLACK / 8)
 
-    def test_shards_do_not_share(self) -> None:
+    def test_shards_have_separate_budgets(self) -> None:
         """One slow shard must not use up the hedges of the others."""
         budget = self._budget()
         self._spend_all(budget)
         self.assertTrue(budget.spend_retry('other'))
 
-    def test_the_last_part_is_kept_for_retries(self) -> None:
+    def test_part_of_the_budget_is_kept_for_retries(self) -> None:
         """Hedges are refused first: missing is worse than late."""
         budget = self._budget()
         budget.note_needed(['s'] * 100, 0.0)
         self._spend_all(budget, hedges=True)
         self.assertTrue(budget.spend_retry('s'))
 
-    def test_a_hedge_that_reached_nobody_is_given_back(self) -> None:
+    def test_hedge_that_reached_no_target_is_refunded(self) -> None:
         """A refused connection is not charged, a refusal by the target is."""
         budget = self._budget()
         left = budget.left('s')
