--- a/samphiredock/coordination/targets/_exchanges.py
+++ b/samphiredock/coordination/targets/_exchanges.py
@@ -1,4 +1,4 @@
-"""The exchanges of one dispatcher with its targets."""
+"""One exchange with a target: send the jobs, report how each ended."""
 
 import dataclasses
 import typing
@@ -17,7 +17,7 @@
 
 _PROBE_TIMEOUT_MS = 300.0
 _SAMPLE_EVERY = 8
-"""Of the exchanges one in so many is recorded in the histogram."""
+"""One exchange in this many is recorded in ``target_service_ms``."""
 
 Answer = typing.Callable[
     [_scheduler_types.Job, protocol.SubAnswer | protocol.RunReport], None
@@ -26,7 +26,10 @@
 
 @dataclasses.dataclass(slots=True)
 class ManagedTarget:
-    """One target's lane, its link and the timer that wakes the lane."""
+    """One target's scheduler, its link and the timer that pumps it.
+
+    ``wake_at_ms`` is when ``timer`` is due.
+    """
 
     scheduler: _scheduler.TargetScheduler
     link: transport.TargetLink
@@ -36,18 +39,18 @@
 
 
 class Exchanges:
-    """Send what lanes decided and take in what targets answer.
+    """Runs the exchanges that schedulers start, and probes targets.
 
     Parameters
     ----------
     clock, counters
         The timer service and the metrics.
     signs
-        Where a target's own word that it leaves goes, if anywhere.
+        Gets a target's report that it is draining; None to drop reports.
     answer
-        Tells the origin of some work how it ended.
+        Sends a job's origin how the job ended.
     silent_after_ms
-        Reads after how long without an answer a connection is silent.
+        Returns how long to wait for the answer to a batch.
     """
 
     def __init__(
@@ -68,20 +71,20 @@
     async def run(
         self, managed: ManagedTarget, start: _scheduler_types.StartExchange
     ) -> _scheduler_types.ExchangeEnd:
-        """Do one exchange and answer its work; return what became of it."""
+        """Run one exchange, answer its jobs and return how it ended."""
         if start.jobs[0].item is None:
-            exchange_end = await self._run(managed, start)
+            exchange_end = await self._send_run(managed, start)
         else:
-            exchange_end = await self._batch(managed, start)
+            exchange_end = await self._send_batch(managed, start)
         if exchange_end is _scheduler_types.ExchangeEnd.LOST:
             self._metrics.add('slots_held_after_loss')
         return exchange_end
 
     async def probe(self, managed: ManagedTarget) -> None:
-        """Ask a target, by an empty batch, what runs there and if it drains.
+        """Ask a target how many exchanges it runs and whether it drains.
 
-        An empty batch takes no slot, and unlike the health endpoint it goes
-        the way that work goes.
+        Sends an empty batch, which takes no slot and, unlike a request to
+        the health endpoint, takes the same path as queries.
         """
         asked_at_ms = self._clock.wall_ms()
         reply = await managed.link.batch(
@@ -96,7 +99,7 @@
                 managed.target.name, answer.draining, asked_at_ms
             )
 
-    async def _batch(
+    async def _send_batch(
         self, managed: ManagedTarget, start: _scheduler_types.StartExchange
     ) -> _scheduler_types.ExchangeEnd:
         started_ms = self._clock.now_ms()
@@ -109,7 +112,9 @@
             min(start.deadline_at_ms - started_ms, self._silent_after_ms()),
         )
         if isinstance(reply, result.Failure):
-            return await self._batch_failed(managed, jobs, reply.failure())
+            return await self._answer_failed_batch(
+                managed, jobs, reply.failure()
+            )
         answers = reply.unwrap().answers
         for job, answer in zip(jobs, answers):
             self._answer(
@@ -119,15 +124,15 @@
                 ),
             )
         self._sample(jobs[0], started_ms)
-        return self._learn(managed, reply.unwrap(), answers)
+        return self._update_target(managed, reply.unwrap(), answers)
 
-    def _learn(
+    def _update_target(
         self,
         managed: ManagedTarget,
         reply: protocol.TargetBatchAnswer,
         answers: list[protocol.TargetAnswer],
     ) -> _scheduler_types.ExchangeEnd:
-        """Take in what a batch's answer says of the target itself."""
+        """Update the target's state from the answer to a batch."""
         statuses = {answer.status for answer in answers}
         if managed.scheduler.foreign_slots(self._clock.now_ms()):
             managed.scheduler.observe_running(reply.running)
@@ -137,12 +142,12 @@
         if protocol.TargetStatus.OK in statuses:
             return _scheduler_types.ExchangeEnd.ANSWERED
         if statuses == {protocol.TargetStatus.NOT_LOADED}:
-            managed.scheduler.record.on_unloaded(self._clock.now_ms())
+            managed.scheduler.health.on_unloaded(self._clock.now_ms())
         elif statuses == {protocol.TargetStatus.SHED}:
-            managed.scheduler.record.on_shed(self._clock.now_ms())
+            managed.scheduler.health.on_shed(self._clock.now_ms())
         return _scheduler_types.ExchangeEnd.FREE
 
-    async def _batch_failed(
+    async def _answer_failed_batch(
         self,
         managed: ManagedTarget,
         jobs: tuple[_scheduler_types.Job, ...],
@@ -160,13 +165,13 @@
             self._answer(job, answer)
         return _exchange_end_of(error)
 
-    async def _run(
+    async def _send_run(
         self, managed: ManagedTarget, start: _scheduler_types.StartExchange
     ) -> _scheduler_types.ExchangeEnd:
         job = start.jobs[0]
         order = typing.cast(protocol.RunOrder, job.request)
-        # A run waits for its whole budget: giving up earlier would only
-        # turn an outcome that is still to come into an unknown one.
+        # Wait for the whole budget, not silent_after_ms: giving up earlier
+        # would only make an outcome unknown that is still to come.
         left_ms = job.expires_at_ms - self._clock.now_ms()
         reply = await managed.link.run(
             _target_answers.target_run(order, left_ms), left_ms
@@ -191,22 +196,23 @@
     async def _record_failure(
         self, managed: ManagedTarget, error: transport.LinkError
     ) -> bool:
-        """Return whether the target was lost under the exchange.
+        """Record a failure; return whether the target was lost during it.
 
-        A new connection tells. A target that could not be reached in the
-        first place began nothing: if it counted, the loss of a site would
-        put every search that was tried at two of its targets in quarantine.
+        After a broken connection, a health request on a new connection
+        decides.  A target that could not be reached started nothing and
+        does not count as lost during the exchange: otherwise the loss of a
+        site would quarantine every search tried at two of its targets.
         """
         self._metrics.add('target_errors', kind=error.kind.value)
-        lost_under = False
+        lost_during = False
         if error.kind is transport.LinkErrorKind.BROKEN and not error.ended:
             health = await managed.link.health(_PROBE_TIMEOUT_MS)
-            lost_under = isinstance(health, result.Failure)
+            lost_during = isinstance(health, result.Failure)
         unreachable = error.kind is transport.LinkErrorKind.UNREACHABLE
-        managed.scheduler.record.on_failure(
-            unreachable or lost_under, self._clock.now_ms()
+        managed.scheduler.health.on_failure(
+            unreachable or lost_during, self._clock.now_ms()
         )
-        return lost_under
+        return lost_during
 
     def _sample(self, job: _scheduler_types.Job, started_ms: float) -> None:
         self._count += 1
