--- a/samphiredock/coordination/forwarding/_forwarder.py
+++ b/samphiredock/coordination/forwarding/_forwarder.py
@@ -1,7 +1,7 @@
-"""The task that passes requests on: one scatter a request.
+"""Runs one scatter for each forwarded request.
 
-The decisions are those of :class:`coordination.Scatter`; a
-:class:`FlightSender` carries them out.
+:class:`coordination.Scatter` decides which targets to ask; an
+:class:`AttemptSender` sends the requests.
 """
 
 import asyncio
@@ -29,34 +29,33 @@
 from samphiredock import timers
 
 FIRST_HEDGE_SHARE = 0.3
-"""Part of a route's aim after which a daemon hedges that knows no latencies
-yet.  Work takes some 15 % of the aim, and the hedge needs as much again."""
+"""Share of a route's aim after which to hedge while no latencies are known."""
 
 NO_TARGET_RETRY_MS = 300
-"""When to come back if too few shards have a target that can be reached.
-A target that was given up is tried again after 200 ms."""
+"""When to retry after a refusal whose cause should pass soon.  A lost target
+is tried again after 200 ms."""
 
 
 class Forwarder:
-    """Pass requests on to targets and merge what comes back.
+    """Forwards requests to targets and merges the replies.
 
     Parameters
     ----------
     settings
-        Its bounds.
+        Site, limits and time allowances.
     routing, targets
-        What is known of routes and targets.
+        The routing table in force, and the registered targets.
     tools
-        Records, latencies and the budget that all requests share.
+        Replica selector, latencies and retry budget, shared by all requests.
     dialect, links
-        The targets' protocol, and the connections to them.
+        The targets' HTTP protocol, and the connections to them.
     clock, counters
         The timers and metrics of this daemon.
     crashes
-        Which contents crash targets; None if nothing is to be refused.
-    orders
-        Has the targets of other sites asked by daemons there; None: each
-        target is asked from here.
+        Refuses requests whose content crashes targets; None to refuse none.
+    order_client
+        Sends merge orders to daemons of other sites; None to ask every target
+        directly.
     """
 
     def __init__(
@@ -70,52 +69,51 @@
         clock: timers.Timers,
         counters: metrics.Metrics,
         crashes: _crash_guard.CrashGuard | None = None,
-        orders: _order_client.OrderClient | None = None,
+        order_client: _order_client.OrderClient | None = None,
     ) -> None:
         self._crashes = crashes
         self._settings = settings
         self._routing = routing
         self._targets = targets
         self._tools = tools
-        self._order_client = orders
+        self._order_client = order_client
         self.target_client = _target_client.TargetClient(
             targets, dialect, links, clock, settings.once_kept_ms, crashes
         )
         self._sender = _attempt_sender.AttemptSender(
-            self.target_client, orders, tools.replicas, clock
+            self.target_client, order_client, tools.replicas, clock
         )
         self._clock = clock
         self._metrics = counters
         self._splitter = _splitter.Splitter()
-        self._notes = _outcome_log.OutcomeLog(clock, counters)
-        self._times = _caller_time.CallerTimes()
-        self._numbers = itertools.count(1)
-        self._under_way: dict[str, _pending_requests.PendingRequest] = {}
-        self._has_given_up = False
+        self._outcome_log = _outcome_log.OutcomeLog(clock, counters)
+        self._caller_times = _caller_time.CallerTimeEstimator()
+        self._query_numbers = itertools.count(1)
+        self._pending: dict[str, _pending_requests.PendingRequest] = {}
+        self._is_stopping = False
 
     def close(self) -> None:
-        """Write the lines that wait."""
-        self._notes.close()
+        """Write the pending log lines."""
+        self._outcome_log.close()
 
     def pending_requests(self) -> list[_pending_requests.PendingSummary]:
-        """Return the requests that have no outcome yet."""
+        """Return a summary of each request that has no outcome yet."""
         now_ms = self._clock.now_ms()
         return [
             _pending_requests.summarize(pending, now_ms)
-            for pending in self._under_way.values()
+            for pending in self._pending.values()
         ]
 
     def finish_all(self) -> None:
-        """End every request now, and refuse those that still come.
+        """End every pending request now, and refuse new ones.
 
-        A daemon that stops has no more time: a request that is open when
-        the process ends loses its connection, and its caller learns neither
-        that it may have run nor that it has not.  So each gets the outcome
-        that is true now, in the same turn.
+        Called when the shutdown time is used up.  If the process ended with
+        open requests, their callers would see a closed connection and not know
+        whether the request has run, so each one gets its outcome right away.
         """
-        self._has_given_up = True
+        self._is_stopping = True
         now_ms = self._clock.now_ms()
-        for pending in list(self._under_way.values()):
+        for pending in list(self._pending.values()):
             if not pending.done.done():
                 pending.trace.add(now_ms, 'given up', why='stopping')
                 self._sender.finish_now(pending)
@@ -125,24 +123,24 @@
         request: protocol.ForwardRequest,
         hop_ms: float = 0.0,
     ) -> protocol.ForwardOutcome:
-        """Pass one request on; cancelling this cancels its sub-queries.
+        """Forward one request; cancelling this cancels its attempts.
 
         Parameters
         ----------
         request
-            The caller's.
+            The caller's request.
         hop_ms
-            What the way over another daemon takes of the route's aim.
+            Part of the route's aim that the hop over another daemon takes.
         """
         started_ms = self._clock.now_ms()
         planned = self._plan(request, started_ms, hop_ms)
         if isinstance(planned, result.Failure):
-            return self._notes.log_refused(
+            return self._outcome_log.log_refused(
                 request, planned.failure(), started_ms
             )
         return await self._run(planned.unwrap(), started_ms)
 
-    # Before anything is sent.
+    # Planning and refusals.
 
     def _plan(
         self,
@@ -150,7 +148,7 @@
         now_ms: float,
         hop_ms: float,
     ) -> result.Result[_route_plans.ForwardPlan, protocol.NotRun]:
-        if self._has_given_up:
+        if self._is_stopping:
             return _refused(
                 protocol.NotRunReason.SHUTTING_DOWN,
                 'this daemon is stopping; ask another one',
@@ -179,22 +177,22 @@
         targets = {
             service: self._targets.of_service(service) for service in services
         }
-        open_to = sum(
+        usable = sum(
             any(map(self._targets.is_usable, names))
             for names in targets.values()
         )
         least = _route_plans.least_shards(route) if route.shards else 1
-        if open_to < least:
-            # Waiting would end in the same refusal, only later.
+        if usable < least:
+            # Sending would end in the same refusal, only later.
             return _refused(
                 protocol.NotRunReason.NO_TARGET,
-                f'got {open_to} services of {len(services)} with a target '
+                f'got {usable} services of {len(services)} with a target '
                 f'that can be reached, expected at least {least}',
                 NO_TARGET_RETRY_MS,
             )
         spent_ms = 0.0
         if route.shards:
-            spent_ms = self._times.spent_ms(
+            spent_ms = self._caller_times.spent_ms(
                 route.name, request.deadline_ms, route.aim_ms
             )
         return result.Success(
@@ -204,7 +202,7 @@
                 table.version,
                 services,
                 targets,
-                str(next(self._numbers)),
+                str(next(self._query_numbers)),
                 self._settings.site,
                 now_ms,
                 self._settings.caller_way_ms + spent_ms + hop_ms,
@@ -212,7 +210,7 @@
             )
         )
 
-    # One request.
+    # Running.
 
     async def _run(
         self, plan: _route_plans.ForwardPlan, started_ms: float
@@ -229,11 +227,11 @@
             plan,
             scatter,
             done,
-            _request_log.Trail(started_ms),
+            _request_log.RequestTrace(started_ms),
             assignments=assignments,
         )
         query_id = plan.scatter.query_id
-        self._under_way[query_id] = pending
+        self._pending[query_id] = pending
         try:
             self._sender.apply(pending, scatter.start(started_ms))
             finish: _scatter_types.Finish = await done
@@ -241,16 +239,16 @@
             scatter.abandon()
             self._sender.cancel(pending)
             self._metrics.add('requests_left', route=plan.route.name)
-            self._notes.log_ended(pending, None)
+            self._outcome_log.log_ended(pending, None)
             raise
         finally:
-            del self._under_way[query_id]
+            del self._pending[query_id]
             if pending.timer is not None:
                 pending.timer.cancel()
         outcome = _pending_requests.outcome_of(
             pending, finish, self._clock.now_ms()
         )
-        self._notes.log_ended(pending, outcome)
+        self._outcome_log.log_ended(pending, outcome)
         return outcome
 
 
--- a/samphiredock/coordination/forwarding/_merger.py
+++ b/samphiredock/coordination/forwarding/_merger.py
@@ -1,4 +1,4 @@
-"""Carry out orders of other daemons: ask targets of this site, and merge."""
+"""Executes merge orders: asks targets of this site and merges their parts."""
 
 import asyncio
 import dataclasses
@@ -13,26 +13,26 @@
 from samphiredock import protocol
 from samphiredock import timers
 
-_End = _report_batcher.Part | protocol.EndedItem
+_Result = _report_batcher.Part | protocol.EndedItem
 
 
-class _Gathered:
-    """The end of the time to gather."""
+class _GatherTimeout:
+    """Event: the time to gather parts is over."""
 
 
-class _GivenUp:
-    """The end of this daemon's time."""
+class _Aborted:
+    """Event: this daemon's shutdown time is over."""
 
 
-_Event = _End | _Gathered | _GivenUp
+_Event = _Result | _GatherTimeout | _Aborted
 
 
 class Merger:
-    """Asks the targets that orders name.
+    """Executes merge orders.
 
-    Which targets, how many and when is decided by the daemon that has the
-    search: this one sends to those that are named and to no other, so that
-    the bound on targets that run a request holds whatever becomes of it.
+    The coordinating daemon decides which targets are asked, and when.  A
+    merger sends to the ordered targets only, so the limit on how many targets
+    may run a request holds whatever happens to the order.
 
     Parameters
     ----------
@@ -55,29 +55,28 @@
         self._events: set[asyncio.Queue[_Event]] = set()
 
     def finish_all(self) -> None:
-        """End every order now: this daemon stops.
+        """End every order now, since this daemon is shutting down.
 
-        The daemon that has the search learns at once that nothing more will
-        come, and asks others; it would learn it only from the end of the
-        process else.
+        The coordinating daemons see their orders end and ask other targets,
+        instead of waiting for this process to exit.
         """
         for events in self._events:
-            events.put_nowait(_GivenUp())
+            events.put_nowait(_Aborted())
 
     def close(self) -> None:
-        """Write the lines that wait."""
+        """Write the pending log lines."""
         self._log.write()
 
     async def reports(
         self, order: protocol.MergeOrder
     ) -> typing.AsyncGenerator[protocol.MergeReport, None]:
-        """Yield what comes of an order; closing this ends its exchanges."""
+        """Yield an order's reports; closing this cancels its exchanges."""
         batcher = _report_batcher.ReportBatcher(order)
         events: asyncio.Queue[_Event] = asyncio.Queue()
         request = order.request()
         tasks = [
             asyncio.create_task(
-                self._ask(request, item, order.left_ms, events)
+                self._send(request, item, order.left_ms, events)
             )
             for item in order.items
         ]
@@ -85,42 +84,42 @@
         self._metrics.add('order_items', len(tasks))
         timer = self._clock.after(
             order.gather_ms,
-            functools.partial(events.put_nowait, _Gathered()),
+            functools.partial(events.put_nowait, _GatherTimeout()),
         )
-        told = _Told(self._clock.now_ms())
+        totals = _Totals(self._clock.now_ms())
         self._events.add(events)
         try:
             while not batcher.is_done():
                 event = await events.get()
-                if isinstance(event, _GivenUp):
+                if isinstance(event, _Aborted):
                     return
-                report = _take(batcher, event)
+                report = _handle(batcher, event)
                 if report is not None:
-                    told.add(report)
+                    totals.add(report)
                     yield report
         finally:
             self._events.discard(events)
             timer.cancel()
             for task in tasks:
                 task.cancel()
-            self._note_end(order, told)
+            self._log_end(order, totals)
 
-    def _note_end(self, order: protocol.MergeOrder, told: '_Told') -> None:
-        silent = len(order.items) - told.parts - told.failed
+    def _log_end(self, order: protocol.MergeOrder, totals: '_Totals') -> None:
+        silent = len(order.items) - totals.parts - totals.failed
         self._log.end(
             order.request_id,
-            _request_log.Trail(told.began_ms),
-            not silent and not told.failed,
+            _request_log.RequestTrace(totals.began_ms),
+            not silent and not totals.failed,
             event='order ended',
             targets=len(order.items),
-            parts=told.parts,
-            failed=told.failed,
+            parts=totals.parts,
+            failed=totals.failed,
             silent=silent,
-            late=told.late,
+            late=totals.late,
             gather_ms=round(order.gather_ms, 1),
         )
 
-    async def _ask(
+    async def _send(
         self,
         request: protocol.ForwardRequest,
         item: protocol.OrderedItem,
@@ -140,12 +139,14 @@
                 )
             )
             return
-        asked = await self._target_client.send(request, item.target, left_ms)
+        exchange_result = await self._target_client.send(
+            request, item.target, left_ms
+        )
         took_ms = self._clock.now_ms() - sent_ms
-        if asked.status is protocol.SubStatus.ANSWERED:
-            assert asked.reply is not None
-            receipt = asked.reply.receipt or ''
-            body = asked.reply.reply.body
+        if exchange_result.status is protocol.SubStatus.ANSWERED:
+            assert exchange_result.reply is not None
+            receipt = exchange_result.reply.receipt or ''
+            body = exchange_result.reply.reply.body
             events.put_nowait(
                 _report_batcher.Part(item.number, receipt, took_ms, body)
             )
@@ -153,21 +154,23 @@
         events.put_nowait(
             protocol.EndedItem(
                 item.number,
-                asked.status,
+                exchange_result.status,
                 round(took_ms * 1000.0),
-                asked.detail,
+                exchange_result.detail,
             )
         )
-        # Not in this task, which ends with the order.
+        # In a task of its own, since this one is cancelled with the order.
         background.start(
-            self._target_client.look_for_crash(request, item.target, asked),
+            self._target_client.look_for_crash(
+                request, item.target, exchange_result
+            ),
             'look for a crash',
         )
 
 
 @dataclasses.dataclass(slots=True)
-class _Told:
-    """What was reported of an order."""
+class _Totals:
+    """What has been reported of an order."""
 
     began_ms: float
     parts: int = 0
@@ -180,11 +183,11 @@
         self.late = self.late or report.is_late
 
 
-def _take(
-    batcher: _report_batcher.ReportBatcher, event: _End | _Gathered
+def _handle(
+    batcher: _report_batcher.ReportBatcher, event: _Result | _GatherTimeout
 ) -> protocol.MergeReport | None:
-    """Give an event to the batcher; return what is to be reported."""
-    if isinstance(event, _Gathered):
+    """Pass an event to the batcher; return the report to send, if any."""
+    if isinstance(event, _GatherTimeout):
         return batcher.on_gather_timeout()
     if isinstance(event, protocol.EndedItem):
         return batcher.on_failure(event)
--- a/tests/unit/test_logs.py
+++ b/tests/unit/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines never hold up the program."""
+"""Tests that writing log lines never blocks the program."""
 
 import json
 import os
@@ -32,8 +32,8 @@
                 return found
             found += part
 
-    def test_a_reader_that_does_not_read_costs_lines_not_time(self) -> None:
-        """The lines left out are counted, and said so when it reads on."""
+    def test_slow_reader_loses_lines_but_does_not_block(self) -> None:
+        """Lines left out are counted and reported when the reader goes on."""
         stream = logs.BoundedStream(self.writer, 10_000)
         self.addCleanup(os.close, self.writer)
         line = json.dumps({'event': 'x' * 90}) + '\n'
@@ -50,8 +50,8 @@
         written = len([row for row in rows if 'count' not in row])
         self.assertEqual(5_001, written + stream.left_out)
 
-    def test_a_reader_that_is_gone_is_no_error(self) -> None:
-        """The daemon serves on without its log."""
+    def test_closed_reader_is_no_error(self) -> None:
+        """The daemon continues without its log."""
         reader, writer = os.pipe()
         os.close(reader)
         self.addCleanup(os.close, writer)
@@ -64,7 +64,7 @@
     """Which requests leave which lines."""
 
     def setUp(self) -> None:
-        """Make a log whose lines are counted by what is left out."""
+        """Make a log; its counter tells how many lines were left out."""
         self.clock = timers.ManualTimers()
         self.counters = metrics.Metrics('test')
         self.addCleanup(self.counters.close)
@@ -74,12 +74,12 @@
         return self.counters.total('request_lines_left_out')
 
     def _end(self, good: bool) -> None:
-        trail = _request_log.Trail(self.clock.now_ms())
-        trail.add(self.clock.now_ms(), 'sent', target='t')
-        self.log.end('id', trail, good, outcome='x')
+        trace = _request_log.RequestTrace(self.clock.now_ms())
+        trace.add(self.clock.now_ms(), 'sent', target='t')
+        self.log.end('id', trace, good, outcome='x')
 
-    def test_good_requests_do_not_take_the_place_of_bad_ones(self) -> None:
-        """Ten thousand good ones in a second, then one that failed."""
+    def test_successes_do_not_crowd_out_failures(self) -> None:
+        """Thousands succeed within a second, then one fails."""
         for _ in range(10_000):
             self._end(True)
         before = self._left_out()
@@ -87,26 +87,25 @@
         self._end(False)
         self.assertEqual(before, self._left_out())
 
-    def test_the_volume_is_bounded(self) -> None:
-        """Also if every request fails."""
+    def test_line_rate_is_bounded(self) -> None:
+        """The limit holds even if every request fails."""
         for _ in range(10_000):
             self._end(False)
         written = 20_000 - self._left_out()
-        self.assertLessEqual(written, _request_log.BAD_LINES_PER_S)
+        self.assertLessEqual(written, _request_log.FAILURE_LINES_PER_S)
 
-    def test_lines_are_written_a_few_at_a_time(self) -> None:
-        """A late search of 90 shards leaves 200 lines, 12 ms of work.
+    def test_lines_are_written_in_small_batches(self) -> None:
+        """Hundreds of lines at once would delay other requests.
 
-        Written at once, they would hold up the requests that are under
-        way; each line bears the time at which its decision was made.
+        Each line has the time at which its decision was made.
         """
         began_ms = self.clock.wall_ms()
         with logbook.TestHandler() as seen:
-            trail = _request_log.Trail(self.clock.now_ms())
+            trace = _request_log.RequestTrace(self.clock.now_ms())
             for _ in range(100):
                 self.clock.advance(1.0)
-                trail.add(self.clock.now_ms(), 'sent', target='t')
-            self.log.end('id', trail, False, outcome='x')
+                trace.add(self.clock.now_ms(), 'sent', target='t')
+            self.log.end('id', trace, False, outcome='x')
             self.assertEqual(0, len(seen.records))
             self.clock.advance(20.0)
             self.assertEqual(12, len(seen.records))
