--- a/samphiredock/protocol/_merge_orders.py
+++ b/samphiredock/protocol/_merge_orders.py
@@ -12,12 +12,12 @@
 from samphiredock.protocol import _forwarding
 from samphiredock.protocol import _queries
 
-ITEM_LIMIT = 4_096
+MAX_ITEMS = 4_096
 """Targets that one order may name.  The largest search planned for asks 55
 shards; a broken length must not make a daemon send thousands of requests."""
 
 
-TIME_LIMIT_MS = 3_600_000.0
+MAX_DURATION_MS = 3_600_000.0
 """Longest time that an order may state; a timer takes no other number."""
 
 
@@ -115,22 +115,22 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return result.Failure(f'the order cannot be read: {error}')
     numbers = {item.number for item in order.items}
-    if not 0 < len(order.items) <= ITEM_LIMIT:
+    if not 0 < len(order.items) <= MAX_ITEMS:
         return result.Failure(
             f'got an order of {len(order.items)} items, '
-            f'expected 1 to {ITEM_LIMIT}'
+            f'expected 1 to {MAX_ITEMS}'
         )
     if len(numbers) < len(order.items):
         return result.Failure('got two items of one number in an order')
-    if not 0.0 < order.left_ms <= TIME_LIMIT_MS or order.top < 0:
+    if not 0.0 < order.left_ms <= MAX_DURATION_MS or order.top < 0:
         return result.Failure(
             f'got left_ms {order.left_ms} and top {order.top}, '
-            f'expected more than 0 up to {TIME_LIMIT_MS:.0f}, and 0 or more'
+            f'expected more than 0 up to {MAX_DURATION_MS:.0f}, and 0 or more'
         )
-    if not 0.0 <= order.gather_ms <= TIME_LIMIT_MS:
+    if not 0.0 <= order.gather_ms <= MAX_DURATION_MS:
         return result.Failure(
             f'got gather_ms {order.gather_ms}, '
-            f'expected 0 to {TIME_LIMIT_MS:.0f}'
+            f'expected 0 to {MAX_DURATION_MS:.0f}'
         )
     return result.Success(order)
 
--- a/samphiredock/state/_claims.py
+++ b/samphiredock/state/_claims.py
@@ -22,7 +22,7 @@
 change of the setting cannot make a key acceptable whose claim is gone.  The
 hour is much more than clocks differ and than the longest deadline."""
 
-FULL_BYTES = 900_000
+BUCKET_LIMIT_BYTES = 900_000
 OUTCOME_LIMIT_BYTES = 4_096
 """An open claim reserves this much, so that its outcome always fits."""
 
@@ -78,12 +78,12 @@
     claim: Claim | None = None
 
 
-class _Stored(msgspec.Struct, frozen=True):
+class _StoredBucket(msgspec.Struct, frozen=True):
     format: int
     claims: dict[str, Claim]
 
 
-_DECODER = msgspec.json.Decoder(_Stored)
+_DECODER = msgspec.json.Decoder(_StoredBucket)
 
 
 class Bucket:
@@ -147,14 +147,14 @@
 
     def encode(self) -> bytes:
         """Return the object's value."""
-        return msgspec.json.encode(_Stored(_FORMAT, self.claims))
+        return msgspec.json.encode(_StoredBucket(_FORMAT, self.claims))
 
     def _add(self, digest: str, wanted: Claim) -> OpenDecision:
         open_claims = sum(
             claim.state is ClaimState.OPEN for claim in self.claims.values()
         )
         reserved_bytes = (open_claims + 1) * OUTCOME_LIMIT_BYTES
-        if self._size_bytes + reserved_bytes > FULL_BYTES:
+        if self._size_bytes + reserved_bytes > BUCKET_LIMIT_BYTES:
             return OpenDecision(OpenStatus.FULL)
         self._set(digest, wanted)
         return OpenDecision(OpenStatus.GRANTED)
--- a/samphiredock/state/_compiler.py
+++ b/samphiredock/state/_compiler.py
@@ -11,9 +11,9 @@
 from samphiredock.state import _configuration
 from samphiredock.state import _overlay
 
-_ROUNDING = 1e-9
+_ROUNDING_TOLERANCE = 1e-9
 
-_LIMITS = _checks.rules_for(
+_LIMITS_RULES = _checks.rules_for(
     _configuration.Limits,
     {
         'deadline_limit_ms': _checks.integer(1, 600_000, 'ms'),
@@ -36,14 +36,14 @@
         'silent_after_ms': _checks.integer(1, 600_000, 'ms'),
     },
 )
-_REQUEST = {
+_REQUEST_RULES = {
     'deadline_ms': _checks.integer(1, 600_000, 'ms'),
     'request_class': _checks.choice(_configuration.REQUEST_CLASSES),
 }
-_SEARCH = _checks.rules_for(
+_SEARCH_RULES = _checks.rules_for(
     _configuration.Search,
     {
-        **_REQUEST,
+        **_REQUEST_RULES,
         'index': _checks.name(),
         'least_coverage': _checks.number(0.0, 1.0),
         'merge': _checks.choice([m.value for m in _configuration.MergeKind]),
@@ -52,12 +52,12 @@
     },
     without=frozenset(['name']),
 )
-_OPERATION = _checks.rules_for(
+_OPERATION_RULES = _checks.rules_for(
     _configuration.Operation,
-    {**_REQUEST, 'targets': _checks.unique_names(least=1)},
+    {**_REQUEST_RULES, 'targets': _checks.unique_names(least=1)},
     without=frozenset(['name']),
 )
-_SERVICE = _checks.rules_for(
+_SERVICE_RULES = _checks.rules_for(
     _configuration.Service,
     {
         'searches': _checks.json_object().optional({}),
@@ -67,7 +67,7 @@
     },
     without=frozenset(['name']),
 )
-_SITE = _checks.rules_for(
+_SITE_RULES = _checks.rules_for(
     _configuration.Site,
     {
         'region': _checks.name(),
@@ -76,7 +76,7 @@
     },
     without=frozenset(['name', 'service_caps']),
 )
-_TARGET = _checks.rules_for(
+_TARGET_RULES = _checks.rules_for(
     _configuration.Target,
     {
         'site': _checks.name(),
@@ -87,7 +87,7 @@
     },
     without=frozenset(['name']),
 )
-_BASE = {
+_BASE_RULES = {
     'services': _checks.json_object(),
     'sites': _checks.json_object(),
     'indexes': _checks.unique_names(),
@@ -114,7 +114,7 @@
     recent: list[protocol.ChangeSummary] = []
 
 
-Compiled = result.Result[
+CompileResult = result.Result[
     _configuration.Configuration, tuple[_checks.Problem, ...]
 ]
 
@@ -123,7 +123,7 @@
     source: ConfigurationSource,
     base_file: str = 'base',
     overlay_files: typing.Mapping[str, str] | None = None,
-) -> Compiled:
+) -> CompileResult:
     """Return the configuration in force under ``source``, or all mistakes.
 
     Parameters
@@ -135,24 +135,24 @@
     """
     files = overlay_files or {}
     report = _checks.ProblemReport(base_file)
-    parts = _Parts(report, source.base)
+    parts = _BaseReader(report, source.base)
     problems = list(report.problems)
     for site, raw in source.overlays.items():
         overlay = _checks.ProblemReport(files.get(site, f'overlay {site}'))
         # A site that is wrong in the base has its mistake already.
-        if parts.is_named('sites', site) and site not in parts.sites:
+        if parts.has_entry('sites', site) and site not in parts.sites:
             continue
         _overlay.apply_overlay(overlay, site, raw, parts)
         problems += overlay.problems
     if problems:
         return result.Failure(tuple(problems))
-    shared = _shared_url(parts.targets)
+    shared = _find_shared_url(parts.targets)
     if shared is not None:
         return result.Failure((shared,))
-    return result.Success(parts.configuration(source.revision))
+    return result.Success(parts.make_configuration(source.revision))
 
 
-class _Parts:
+class _BaseReader:
     """The rows of a base file, checked one by one and then together."""
 
     def __init__(self, report: _checks.ProblemReport, base: object) -> None:
@@ -165,7 +165,7 @@
         self._base = base if isinstance(base, dict) else {}
         # Parts that are sound are read even if others are not, so that
         # one run shows all mistakes.
-        top = report.read_object('$', base, _BASE)
+        top = report.read_object('$', base, _BASE_RULES)
         if top is not None:
             self._indexes = top['indexes']
         if not isinstance(base, dict):
@@ -175,7 +175,9 @@
         self._read_targets()
         self._read_services()
 
-    def configuration(self, revision: int) -> _configuration.Configuration:
+    def make_configuration(
+        self, revision: int
+    ) -> _configuration.Configuration:
         """Return the configuration; only for rows without mistakes."""
         sites = {
             name: _configuration.Site(name=name, **row)
@@ -194,23 +196,25 @@
             self.limits,
         )
 
-    def is_named(self, part: str, name: str) -> bool:
+    def has_entry(self, part: str, name: str) -> bool:
         """Whether the base states a row, be it sound or not."""
-        return name in self._part(part)
+        return name in self._section(part)
 
-    def _part(self, name: str) -> dict:
+    def _section(self, name: str) -> dict:
         # A part of the wrong type is already reported with the base.
         part = self._base.get(name, {})
         return part if isinstance(part, dict) else {}
 
     def _read_limits(self) -> None:
-        row = self._report.read_object('limits', self._part('limits'), _LIMITS)
+        row = self._report.read_object(
+            'limits', self._section('limits'), _LIMITS_RULES
+        )
         if row is not None:
             self.limits = _configuration.Limits(**row)
 
     def _read_sites(self) -> None:
         self.sites = self._report.read_objects(
-            'sites', self._part('sites'), _SITE
+            'sites', self._section('sites'), _SITE_RULES
         )
         for name, row in self.sites.items():
             row['service_caps'] = {}
@@ -221,20 +225,20 @@
                     f"at most the site's share_cap {row['share_cap']}",
                 )
         total = sum(row['share'] for row in self.sites.values())
-        if total > 1.0 + _ROUNDING:
+        if total > 1.0 + _ROUNDING_TOLERANCE:
             self._report.add_described(
                 'sites', f'shares that sum to {total:g}', 'a sum of at most 1'
             )
 
     def _read_targets(self) -> None:
-        raw = self._part('targets')
-        self.targets = self._report.read_objects('targets', raw, _TARGET)
+        raw = self._section('targets')
+        self.targets = self._report.read_objects('targets', raw, _TARGET_RULES)
         for name, row in self.targets.items():
-            self._known(
-                f'targets.{name}.site', row['site'], self._part('sites')
+            self._check_defined(
+                f'targets.{name}.site', row['site'], self._section('sites')
             )
 
-    def _known(
+    def _check_defined(
         self, path: str, name: str, known: typing.Collection[str]
     ) -> None:
         if name not in known:
@@ -242,46 +246,52 @@
             self._report.add(path, name, f'one of those defined: {listed}')
 
     def _read_services(self) -> None:
-        raw = self._part('services')
+        raw = self._section('services')
         for name, row in self._report.read_objects(
-            'services', raw, _SERVICE
+            'services', raw, _SERVICE_RULES
         ).items():
             path = f'services.{name}'
             searches = {
-                key: self._search(f'{path}.searches.{key}', key, each)
+                key: self._make_search(f'{path}.searches.{key}', key, each)
                 for key, each in self._report.read_objects(
-                    f'{path}.searches', row.pop('searches'), _SEARCH
+                    f'{path}.searches', row.pop('searches'), _SEARCH_RULES
                 ).items()
             }
             operations = {
-                key: self._operation(f'{path}.operations.{key}', key, each)
+                key: self._make_operation(
+                    f'{path}.operations.{key}', key, each
+                )
                 for key, each in self._report.read_objects(
-                    f'{path}.operations', row.pop('operations'), _OPERATION
+                    f'{path}.operations',
+                    row.pop('operations'),
+                    _OPERATION_RULES,
                 ).items()
             }
             self.services[name] = _configuration.Service(
                 name=name, searches=searches, operations=operations, **row
             )
 
-    def _search(
+    def _make_search(
         self, path: str, name: str, row: dict[str, typing.Any]
     ) -> _configuration.Search:
-        self._deadline(path, row['deadline_ms'])
+        self._check_deadline(path, row['deadline_ms'])
         indexes = self._base.get('indexes')
         if isinstance(indexes, list):
-            self._known(f'{path}.index', row['index'], indexes)
+            self._check_defined(f'{path}.index', row['index'], indexes)
         row['merge'] = _configuration.MergeKind(row['merge'])
         return _configuration.Search(name=name, **row)
 
-    def _operation(
+    def _make_operation(
         self, path: str, name: str, row: dict[str, typing.Any]
     ) -> _configuration.Operation:
-        self._deadline(path, row['deadline_ms'])
+        self._check_deadline(path, row['deadline_ms'])
         for target in row['targets']:
-            self._known(f'{path}.targets', target, self._part('targets'))
+            self._check_defined(
+                f'{path}.targets', target, self._section('targets')
+            )
         return _configuration.Operation(name=name, **row)
 
-    def _deadline(self, path: str, deadline_ms: int) -> None:
+    def _check_deadline(self, path: str, deadline_ms: int) -> None:
         limit_ms = self.limits.deadline_limit_ms
         if deadline_ms > limit_ms:
             self._report.add(
@@ -291,7 +301,7 @@
             )
 
 
-def _shared_url(targets: _overlay.Rows) -> _checks.Problem | None:
+def _find_shared_url(targets: _overlay.Rows) -> _checks.Problem | None:
     # Slots are counted by target name: two names for one server would let
     # it be given twice the work that it allows.
     seen: dict[str, str] = {}
--- a/samphiredock/state/_entry_settings.py
+++ b/samphiredock/state/_entry_settings.py
@@ -12,7 +12,7 @@
 from samphiredock.state import _checks
 from samphiredock.state import _json5
 
-_LONGEST_S = 3_600
+_DURATION_LIMIT_S = 3_600
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
     other_site_factor: float = 3.0
 
 
-_SETTINGS = _checks.rules_for(
+_SETTINGS_RULES = _checks.rules_for(
     EntrySettings,
     {
         'name': _checks.name(),
@@ -79,8 +79,8 @@
         'log_level': _checks.choice(logs.LEVELS),
         'retry_ratio': _checks.number(0.0, 10.0),
         'retry_slack': _checks.number(0.0, 1e6),
-        'retry_window_s': _checks.number(0.1, _LONGEST_S, 's'),
-        'stop_limit_s': _checks.number(0.5, _LONGEST_S, 's'),
+        'retry_window_s': _checks.number(0.1, _DURATION_LIMIT_S, 's'),
+        'stop_limit_s': _checks.number(0.5, _DURATION_LIMIT_S, 's'),
         'balancer_lag_ms': _checks.integer(0, 600_000, 'ms'),
         'watch_ms': _checks.integer(100, 30_000, 'ms'),
         'collect_ms': _checks.integer(0, 10_000, 'ms'),
@@ -99,7 +99,7 @@
     if isinstance(read, result.Failure):
         return result.Failure((read.failure(),))
     report = _checks.ProblemReport(str(path))
-    row = report.read_object('$', read.unwrap(), _SETTINGS)
+    row = report.read_object('$', read.unwrap(), _SETTINGS_RULES)
     if report.problems or row is None:
         return result.Failure(tuple(report.problems))
     return result.Success(EntrySettings(**row))
--- a/samphiredock/state/_json5.py
+++ b/samphiredock/state/_json5.py
@@ -26,13 +26,13 @@
             f'a file of at most {_SIZE_LIMIT_BYTES} bytes',
         )
     try:
-        return result.Success(parse_text(data.decode('utf-8')))
+        return result.Success(parse_json5(data.decode('utf-8')))
     except (ValueError, RecursionError) as error:
         why = ' '.join(str(error).split()) or type(error).__name__
         return _failure(path, why, 'JSON with comments')
 
 
-def parse_text(text: str) -> typing.Any:
+def parse_json5(text: str) -> typing.Any:
     """Return the value of a text; ``ValueError`` says what is wrong.
 
     A field that is stated twice is refused: one of the two would be lost
--- a/samphiredock/state/_keys.py
+++ b/samphiredock/state/_keys.py
@@ -10,10 +10,10 @@
 from samphiredock.state import _checks
 from samphiredock.state import _json5
 
-TOKEN_LEAST_LENGTH = 16
+TOKEN_MIN_LENGTH = 16
 
 _CURVE_KEY_LENGTH = 40
-_READ_BY_OTHERS = stat.S_IROTH | stat.S_IWOTH
+_OTHERS_READ_WRITE = stat.S_IROTH | stat.S_IWOTH
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -49,26 +49,28 @@
     )
 
 
-_CURVE_KEY = _checks.Rule('a CURVE key of 40 Z85 characters', _is_curve_key)
-_TOKEN = _checks.Rule(
-    f'a token of {TOKEN_LEAST_LENGTH} or more visible ASCII characters',
+_CURVE_KEY_RULE = _checks.Rule(
+    'a CURVE key of 40 Z85 characters', _is_curve_key
+)
+_TOKEN_RULE = _checks.Rule(
+    f'a token of {TOKEN_MIN_LENGTH} or more visible ASCII characters',
     lambda value: (
         isinstance(value, str)
-        and len(value) >= TOKEN_LEAST_LENGTH
+        and len(value) >= TOKEN_MIN_LENGTH
         and value.isascii()
         and value.isprintable()
         and ' ' not in value
     ),
 )
-_KEYS = {
-    'operator_token': _TOKEN.optional(),
+_KEYS_RULES = {
+    'operator_token': _TOKEN_RULE.optional(),
     'curve': _checks.json_object().optional(),
     'admitted': _checks.json_object().optional({}),
 }
-_PAIR = {'public': _CURVE_KEY, 'secret': _CURVE_KEY}
+_CURVE_PAIR_RULES = {'public': _CURVE_KEY_RULE, 'secret': _CURVE_KEY_RULE}
 
 
-class _SecretReport(_checks.ProblemReport):
+class _RedactedReport(_checks.ProblemReport):
     """A report that never shows a value: it may be a secret."""
 
     def add(self, path: str, got: object, expected: str) -> None:
@@ -87,17 +89,17 @@
     leaked token lets anybody change the configuration, and a warning in
     a log would be seen too late.
     """
-    report = _SecretReport(str(path))
+    report = _RedactedReport(str(path))
     read = _json5.read_json5(path)
     if isinstance(read, result.Failure):
         return result.Failure((read.failure(),))
     mode = stat.S_IMODE(path.stat().st_mode)
-    if mode & _READ_BY_OTHERS:
+    if mode & _OTHERS_READ_WRITE:
         report.add_described(
             '$', f'mode {mode:o}', 'no access for others (chmod 600)'
         )
     raw = read.unwrap()
-    row = report.read_object('$', raw, _KEYS)
+    row = report.read_object('$', raw, _KEYS_RULES)
     stated = raw if isinstance(raw, dict) else {}
     curve = _read_pair(report, stated.get('curve'))
     admitted = stated.get('admitted')
@@ -113,7 +115,7 @@
 def _read_pair(report: _checks.ProblemReport, raw: object) -> CurvePair | None:
     if not isinstance(raw, dict):
         return None
-    pair = report.read_object('curve', raw, _PAIR)
+    pair = report.read_object('curve', raw, _CURVE_PAIR_RULES)
     return CurvePair(**pair) if pair else None
 
 
@@ -122,7 +124,7 @@
 ) -> None:
     for name, key in admitted.items():
         if not _is_curve_key(key):
-            report.add(f'admitted.{name}', key, _CURVE_KEY.expected)
+            report.add(f'admitted.{name}', key, _CURVE_KEY_RULE.expected)
     if admitted and not has_pair:
         report.add_described(
             'curve', 'nothing', 'a key pair, as keys are admitted'
--- a/samphiredock/state/_overlay.py
+++ b/samphiredock/state/_overlay.py
@@ -9,18 +9,20 @@
 
 from samphiredock.state import _checks
 
-_SERVICE = {'cap': _checks.number(0.0, 1.0, "part of the site's capacity")}
-_TARGET = {
+_SERVICE_RULES = {
+    'cap': _checks.number(0.0, 1.0, "part of the site's capacity")
+}
+_TARGET_RULES = {
     'url': _checks.url().optional(),
     'slots': _checks.integer(1, 10_000).optional(),
     'connections': _checks.integer(1, 100_000).optional(),
 }
-_OVERLAY = {
+_OVERLAY_RULES = {
     'share_cap': _checks.number(0.0, 1.0).optional(),
     'services': _checks.json_object().optional({}),
     'targets': _checks.json_object().optional({}),
 }
-_COMMON = {
+_BASE_ONLY_FIELDS = {
     'limits': 'limits in the base file only: they are common to all sites',
     'share': 'share in the base file only: it is promised capacity',
     'region': 'region in the base file only',
@@ -31,18 +33,18 @@
 Rows = dict[str, dict[str, typing.Any]]
 
 
-class Base(typing.Protocol):
+class BaseRows(typing.Protocol):
     """The base's rows, of which an overlay changes its own site's."""
 
     sites: Rows
     targets: Rows
 
-    def is_named(self, part: str, name: str) -> bool:
+    def has_entry(self, part: str, name: str) -> bool:
         """Whether the base states a row, be it sound or not."""
 
 
 def apply_overlay(
-    report: _checks.ProblemReport, site: str, raw: object, base: Base
+    report: _checks.ProblemReport, site: str, raw: object, base: BaseRows
 ) -> None:
     """Change the rows of ``base`` by one overlay.
 
@@ -57,10 +59,12 @@
         return
     if isinstance(raw, dict):
         for key in raw:
-            if key in _COMMON:
-                report.add_described(key, 'a common field', _COMMON[key])
-        raw = {key: raw[key] for key in raw if key not in _COMMON}
-    row = report.read_object('$', raw, _OVERLAY)
+            if key in _BASE_ONLY_FIELDS:
+                report.add_described(
+                    key, 'a common field', _BASE_ONLY_FIELDS[key]
+                )
+        raw = {key: raw[key] for key in raw if key not in _BASE_ONLY_FIELDS}
+    row = report.read_object('$', raw, _OVERLAY_RULES)
     if row is None:
         return
     _lower_share_cap(report, base.sites[site], row['share_cap'])
@@ -77,7 +81,7 @@
         return
     common = site['share_cap']
     if share_cap > common:
-        report.add('share_cap', share_cap, _common_limit(common))
+        report.add('share_cap', share_cap, _expected_limit(common))
     elif share_cap < site['share']:
         report.add(
             'share_cap',
@@ -90,31 +94,35 @@
 
 def _apply_services(
     report: _checks.ProblemReport,
-    base: Base,
+    base: BaseRows,
     site: dict[str, typing.Any],
     raw: dict,
 ) -> None:
-    for name, row in report.read_objects('services', raw, _SERVICE).items():
+    for name, row in report.read_objects(
+        'services', raw, _SERVICE_RULES
+    ).items():
         path = f'services.{name}'
-        if not base.is_named('services', name):
+        if not base.has_entry('services', name):
             report.add_described(
                 path, f'service {name!r}', 'a service of the base'
             )
         elif row['cap'] > site['share_cap']:
             report.add(
-                f'{path}.cap', row['cap'], _common_limit(site['share_cap'])
+                f'{path}.cap', row['cap'], _expected_limit(site['share_cap'])
             )
         else:
             site['service_caps'][name] = row['cap']
 
 
 def _apply_targets(
-    report: _checks.ProblemReport, base: Base, site: str, raw: dict
+    report: _checks.ProblemReport, base: BaseRows, site: str, raw: dict
 ) -> None:
-    for name, row in report.read_objects('targets', raw, _TARGET).items():
+    for name, row in report.read_objects(
+        'targets', raw, _TARGET_RULES
+    ).items():
         path = f'targets.{name}'
         target = base.targets.get(name)
-        if not base.is_named('targets', name):
+        if not base.has_entry('targets', name):
             report.add_described(
                 path, f'target {name!r}', 'a target of the base'
             )
@@ -127,10 +135,10 @@
                 f'a target of this site {site!r}',
             )
         else:
-            _change_target(report, path, target, row)
+            _apply_target(report, path, target, row)
 
 
-def _change_target(
+def _apply_target(
     report: _checks.ProblemReport,
     path: str,
     target: dict[str, typing.Any],
@@ -142,10 +150,10 @@
         if row[key] is None:
             continue
         if row[key] > target[key]:
-            report.add(f'{path}.{key}', row[key], _common_limit(target[key]))
+            report.add(f'{path}.{key}', row[key], _expected_limit(target[key]))
         else:
             target[key] = row[key]
 
 
-def _common_limit(limit: float) -> str:
+def _expected_limit(limit: float) -> str:
     return f'at most {limit}: an overlay cannot raise the common limit'
--- a/samphiredock/state/_settings.py
+++ b/samphiredock/state/_settings.py
@@ -48,7 +48,7 @@
     shutdown_limit_ms: int = 30_000
 
 
-_SETTINGS = _checks.rules_for(
+_SETTINGS_RULES = _checks.rules_for(
     Settings,
     {
         'name': _checks.name(),
@@ -66,7 +66,7 @@
         'shutdown_limit_ms': _checks.integer(0, _DAY_MS, 'ms'),
     },
 )
-_TLS = _checks.rules_for(TlsSettings, {})
+_TLS_RULES = _checks.rules_for(TlsSettings, {})
 
 
 def load_settings(
@@ -78,12 +78,12 @@
         return result.Failure((read.failure(),))
     raw = read.unwrap()
     report = _checks.ProblemReport(str(path))
-    row = report.read_object('$', raw, _SETTINGS)
+    row = report.read_object('$', raw, _SETTINGS_RULES)
     # Other mistakes do not hide those in the files that are named.
     stated = raw if isinstance(raw, dict) else {}
     tls = _read_tls(report, path.parent, stated.get('tls'))
     keys_file = _read_keys(report, path.parent, stated.get('keys_file'))
-    _check_distinct(report, stated)
+    _check_distinct_addresses(report, stated)
     if report.problems or row is None:
         return result.Failure(tuple(report.problems))
     return result.Success(
@@ -108,7 +108,7 @@
 ) -> TlsSettings | None:
     if not isinstance(raw, dict):
         return None
-    row = report.read_object('tls', raw, _TLS)
+    row = report.read_object('tls', raw, _TLS_RULES)
     if row is None:
         return None
     tls = TlsSettings(*(str(folder / name) for name in row.values()))
@@ -122,7 +122,7 @@
     return tls
 
 
-def _check_distinct(
+def _check_distinct_addresses(
     report: _checks.ProblemReport, raw: dict[str, typing.Any]
 ) -> None:
     seen: dict[str, str] = {}
--- a/tests/unit/test_wire_names.py
+++ b/tests/unit/test_wire_names.py
@@ -356,7 +356,7 @@
         name: kind
         for package in (protocol, state)
         for name, kind in _defined(package, msgspec.Struct).items()
-        if kind not in (*_NOT_SENT, _claims._Stored)
+        if kind not in (*_NOT_SENT, _claims._StoredBucket)
     }
 
 
@@ -627,13 +627,13 @@
     def test_parts_of_the_configuration_are_pinned(self) -> None:
         """The base, the overlays and the keys file, and their parts."""
         cases = (
-            ('services sites indexes targets limits', _compiler._BASE),
-            ('share_cap services targets', _overlay._OVERLAY),
-            ('cap', _overlay._SERVICE),
-            ('url slots connections', _overlay._TARGET),
-            ('limits share region indexes sites', _overlay._COMMON),
-            ('operator_token curve admitted', _keys._KEYS),
-            ('public secret', _keys._PAIR),
+            ('services sites indexes targets limits', _compiler._BASE_RULES),
+            ('share_cap services targets', _overlay._OVERLAY_RULES),
+            ('cap', _overlay._SERVICE_RULES),
+            ('url slots connections', _overlay._TARGET_RULES),
+            ('limits share region indexes sites', _overlay._BASE_ONLY_FIELDS),
+            ('operator_token curve admitted', _keys._KEYS_RULES),
+            ('public secret', _keys._CURVE_PAIR_RULES),
         )
         for keys, rules in cases:
             self.assertEqual(keys, ' '.join(rules))
