--- a/samphiredock/__init__.py
+++ b/samphiredock/__init__.py
@@ -1,8 +1,8 @@
-"""A query tier over many shards.
+"""A query tier that scatters searches over many shards.
 
-``samphiredockd`` (:mod:`samphiredock.daemon`) serves callers;
-``samphiredock`` (:mod:`samphiredock.cli`) is for operators.  The types of
-requests and outcomes are in :mod:`samphiredock.protocol`.
+The daemon ``samphiredockd`` (:mod:`samphiredock.daemon`) serves callers; the
+command ``samphiredock`` (:mod:`samphiredock.cli`) is for operators.  The
+types of requests and outcomes are in :mod:`samphiredock.protocol`.
 """
 
 from samphiredock import lazy
--- a/samphiredock/protocol/__init__.py
+++ b/samphiredock/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""Messages, outcomes and their encoding."""
+"""Messages between daemons, callers and targets, and their encoding."""
 
 from samphiredock import lazy
 
--- a/samphiredock/protocol/_claims.py
+++ b/samphiredock/protocol/_claims.py
@@ -1,4 +1,7 @@
-"""What daemons ask each other about claims of unrepeatable requests."""
+"""Messages between daemons about claims of unrepeatable requests.
+
+The holder of a claim is the daemon that wrote it to the store.
+"""
 
 import enum
 
@@ -8,11 +11,12 @@
 
 
 class ClaimStatus(enum.Enum):
-    """A holder's word on one of its claims.
+    """What a holder reports about one of its claims.
 
-    ``NEVER_SENT`` is final: the holder did not send the request and never
-    will.  ``UNSETTLED`` was sent and its end is not known.  ``UNTRACKED``
-    says nothing: the holder has restarted or has forgotten the claim.
+    ``NEVER_SENT`` is final: the holder did not send the request to a target
+    and never will.  ``UNSETTLED``: the request was sent and its outcome is
+    not known.  ``UNTRACKED``: the holder has no record of the claim, because
+    it has restarted or has dropped the record; the request may have run.
     """
 
     RUNNING = 'running'
@@ -23,13 +27,19 @@
 
 
 class ClaimAsk(msgspec.Struct, frozen=True):
-    """Ask a claim's holder for its status, and for the end when it comes."""
+    """Asks a holder for a claim's status, now and whenever it changes.
+
+    ``token`` is the text of a :class:`ClaimToken`.
+    """
 
     token: str
 
 
 class ClaimAnswer(msgspec.Struct, frozen=True):
-    """The holder's answer; sent again when the status changes."""
+    """The holder's answer; sent again when the status changes.
+
+    ``outcome`` is set only with the status ``DONE``.
+    """
 
     token: str
     status: ClaimStatus
@@ -37,7 +47,11 @@
 
 
 class ClaimToken(msgspec.Struct, frozen=True):
-    """The unique name of one claimant's one claim."""
+    """The unique identifier of a claim; sent and stored as its text.
+
+    ``holder`` is the daemon's name, ``incarnation`` the one of its start,
+    and ``number`` counts its claims since then.
+    """
 
     holder: str
     incarnation: int
@@ -48,7 +62,7 @@
 
 
 def parse_token(text: str) -> ClaimToken | None:
-    """Return the parts of a token, None if it cannot be read."""
+    """Return the token written as ``text``, None if it is malformed."""
     parts = text.rsplit('/', 2)
     if len(parts) != 3 or not (parts[1] + parts[2]).isdecimal():
         return None
--- a/samphiredock/protocol/_codec.py
+++ b/samphiredock/protocol/_codec.py
@@ -1,8 +1,9 @@
 """Encoding of the messages between daemons.
 
-A message travels as two frames: the name of its type and its body.  The
-table of types is closed: a frame whose name or body cannot be read gives a
-:class:`CodecError` value, which the receiver counts and drops.
+A message is sent as two frames: the name of its type and its MessagePack
+body.  Only a fixed set of types is accepted.  Decoding any other name, or a
+malformed body, returns a :class:`CodecError`, which the receiver counts and
+drops.
 """
 
 import dataclasses
@@ -13,18 +14,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CodecError:
-    """Why a message could not be read."""
+    """Why a message could not be decoded."""
 
     detail: str
 
 
 class Codec:
-    """Encode and decode a closed set of message types.
+    """Encodes and decodes a fixed set of message types.
 
     Parameters
     ----------
     types
-        The struct types that may cross the wire; their names are the tags.
+        The struct types that may be sent; each is identified by its name.
     """
 
     def __init__(self, types: typing.Iterable[type]) -> None:
@@ -36,18 +37,19 @@
         }
 
     def encode(self, message: msgspec.Struct) -> tuple[bytes, bytes]:
-        """Return the two frames of ``message``.
+        """Return the two frames of ``message``: type name and body.
 
-        Raises ``KeyError`` for a type outside the table, which is a
-        programming error.
+        Raises ``KeyError`` for a type that the codec was not made for.
         """
         return self._names[type(message)], self._encoder.encode(message)
 
     def decode(self, name: bytes, body: bytes) -> msgspec.Struct | CodecError:
-        """Return the message, or why it cannot be read."""
+        """Return the message, or why it could not be decoded."""
         decoder = self._decoders.get(name)
         if decoder is None:
-            return CodecError(f'got message type {name[:40]!r}, not known')
+            return CodecError(
+                f'got message type {name[:40]!r}, expected a known one'
+            )
         try:
             return decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/samphiredock/protocol/_dispatch_messages.py
+++ b/samphiredock/protocol/_dispatch_messages.py
@@ -1,14 +1,18 @@
-"""Messages between daemons about targets and who dispatches for them."""
+"""Messages between daemons about targets and which daemon owns them.
+
+The owner of a target is the one daemon that sends new work to it.
+"""
 
 import msgspec
 
 
 class TargetSign(msgspec.Struct, frozen=True):
-    """A sign that a target leaves or is back, as one daemon saw it.
+    """Reports that a target is leaving or is back, as one daemon saw it.
 
-    ``at_ms`` orders the signs of one target: the highest holds.  A sign is
-    the target's own word, or what a watcher of its site read in the
-    platform's host list.
+    ``at_ms`` is the wall-clock time in ms since the epoch at which the sign
+    was seen; of two signs of one source, the later one applies.  The source
+    is the target itself or, with ``from_host_list``, the platform's host
+    list as read by a daemon of the target's site.
     """
 
     target: str
@@ -18,25 +22,25 @@
 
 
 class TargetSignsWanted(msgspec.Struct, frozen=True):
-    """Ask a peer for every sign that it knows, unless its digest is equal.
+    """Asks a peer for all its target signs unless its digest is the same.
 
-    Without a digest (0) the peer answers in any case.
+    ``digest`` is that of the sender's signs; with 0 the peer always answers.
     """
 
     digest: int = 0
 
 
 class Release(msgspec.Struct, frozen=True):
-    """The sender owns the target now; the receiver is to let go of it."""
+    """Asks the receiver to give up a target that the sender now owns."""
 
     target: str
 
 
 class Released(msgspec.Struct, frozen=True):
-    """The sender sends nothing new to the target.
+    """Confirms that the sender sends no new work to the target.
 
-    ``busy`` of its slots are still taken by the sender's work, for at most
-    ``busy_for_ms`` more.
+    ``busy`` counts the target's slots that work of the sender still
+    occupies, ``busy_for_ms`` bounds how much longer it may.
     """
 
     target: str
--- a/samphiredock/protocol/_forwarding.py
+++ b/samphiredock/protocol/_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests that are passed on as they are, and what comes back."""
+"""Requests that are passed on to targets unchanged, and their outcomes."""
 
 import dataclasses
 import typing
@@ -7,14 +7,14 @@
 from samphiredock.protocol import _queries
 
 Headers = tuple[tuple[str, str], ...]
-"""Names and values in the order in which they came."""
+"""Header names and values in the order received."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """One HTTP request as it goes out on a connection.
+    """One HTTP request to be sent on a connection.
 
-    ``path`` is the raw path with its query.
+    ``path`` is the undecoded path with its query string.
     """
 
     method: str
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpReply:
-    """One whole HTTP answer."""
+    """One complete HTTP response."""
 
     status: int
     headers: Headers = ()
@@ -42,10 +42,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamedReply:
-    """An answer whose body goes out in pieces while it is made.
+    """An HTTP response whose body is sent while it is produced.
 
-    One chunk a piece.  An answer that is cut short has no last chunk, so
-    that it does not look whole.
+    Each of ``pieces`` is sent as one chunk.  If the generator fails, the
+    terminating chunk is not sent, so that the client sees the response as
+    incomplete.
     """
 
     status: int
@@ -55,11 +56,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForwardRequest:
-    """A caller's request that targets get unchanged.
+    """A caller's request that is passed on to targets unchanged.
 
-    ``headers`` are those that concern both ends, without the ones that
-    this system sets.  ``deadline_ms`` is what the caller still waits, None
-    if it does not say.
+    ``headers`` are the end-to-end headers, without those that this system
+    sets itself.  ``path`` is undecoded, with its query string.
+    ``deadline_ms`` is how much longer the caller waits, None if the caller
+    did not state it.
     """
 
     request_id: str
@@ -73,12 +75,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetReply:
-    """What a target's answer means.
+    """A target's HTTP response and how it is interpreted.
 
-    ``receipt`` proves that the target ran this request; only an answer
-    with status ``ANSWERED`` may be merged.  ``is_forwardable`` says that a
-    failure may be shown to the caller as it is: its status promises
-    nothing that is not known.
+    Only a reply with status ``ANSWERED`` may be merged.  ``receipt`` is the
+    target's proof that it ran this request.  ``is_forwardable`` says that
+    the response, if it is a failure, may be passed on to the caller: its
+    HTTP status states nothing about the request that is not known to be
+    true, such as that it has not run.
     """
 
     status: _queries.SubStatus
@@ -90,17 +93,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Passed:
-    """A target's own answer, a success or not, passed on unchanged."""
+    """A target's own response, a success or not, passed on unchanged."""
 
     reply: HttpReply
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Gathered:
-    """The answer merged from the shards' parts.
+    """A response merged from the parts of several shards.
 
-    ``receipts`` name the parts that are in, ``missing`` counts the shards
-    that are not, ``body`` holds the greatest records, greatest first.
+    ``receipts`` are those of the parts that were merged, ``missing`` counts
+    the shards whose part was not.  ``body`` holds the greatest records of
+    all merged parts, the greatest first.
     """
 
     receipts: tuple[str, ...]
@@ -110,7 +114,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TimedOut:
-    """No answer in the caller's or the route's time; it may have run."""
+    """No response before the caller's or the route's deadline.
+
+    The request may have run.
+    """
 
     detail: str
 
--- a/samphiredock/protocol/_idempotency.py
+++ b/samphiredock/protocol/_idempotency.py
@@ -1,9 +1,9 @@
 """Idempotency keys: UUIDs of version 7 (RFC 9562).
 
-Such a key carries the time at which it was made.  A claim is kept for a
-bounded time only, so a request must tell how old its key is; a time beside
-the key could be set anew by a caller that retries, and after the claim is
-gone the same key would run a second time.  The time in the key cannot.
+Claims are kept for a limited time, so a key that is older must be refused:
+its claim may be gone, and the request would run a second time.  A UUID of
+version 7 contains the time of its creation, which, unlike a separate
+timestamp, a caller cannot change between retries with the same key.
 """
 
 import random
@@ -17,7 +17,7 @@
 
 
 def new_idempotency_key(wall_ms: int, rng: random.Random) -> str:
-    """Return a new key made at ``wall_ms`` (ms since the epoch).
+    """Return a new key created at ``wall_ms`` (ms since the epoch).
 
     >>> key = new_idempotency_key(1_700_000_000_000, random.Random(1))
     >>> issue_time_ms(key)
@@ -32,10 +32,10 @@
 
 
 def canonical_key(text: str) -> str | None:
-    """Return the one spelling of a key, None if it is not one.
+    """Return a key in its canonical form, None if it is not a valid key.
 
-    The same UUID may be written in several ways; as different texts they
-    would be claimed, and run, apart.
+    The same UUID can be written in several ways.  Claims compare keys as
+    text, so two spellings would run the same request twice.
     """
     try:
         key = uuid.UUID(text)
@@ -47,5 +47,5 @@
 
 
 def issue_time_ms(key: str) -> int:
-    """Return when a canonical key was made (ms since the epoch)."""
+    """Return when a canonical key was created (ms since the epoch)."""
     return uuid.UUID(key).int >> (128 - _TIME_BITS)
--- a/samphiredock/protocol/_membership.py
+++ b/samphiredock/protocol/_membership.py
@@ -1,7 +1,7 @@
-"""Messages by which daemons keep membership and spread objects.
+"""Gossip messages: membership and the distribution of stored objects.
 
-Rows and probes are sent all the time, so they are encoded as arrays: the
-names of their fields would be half of their bytes.
+Member rows and probes are sent continuously, so they are encoded as arrays:
+field names would make up half of their bytes.
 """
 
 import enum
@@ -10,7 +10,7 @@
 
 
 class MemberState(enum.IntEnum):
-    """What a member is held to be; a higher one wins a tie."""
+    """The state of a member; of two rows otherwise equal the higher wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -19,10 +19,11 @@
 
 
 class MemberRow(msgspec.Struct, frozen=True, array_like=True):
-    """What is said of one member.
+    """One member's addresses and state.
 
-    ``incarnation`` grows with each start, ``refutation`` each time that
-    the member contradicts a report of its own death within one start.
+    ``incarnation`` is higher after each restart of the member.
+    ``refutation`` is higher each time that the member refutes, within one
+    incarnation, a report that it is suspect, dead or gone.
     """
 
     name: str
@@ -44,7 +45,10 @@
 
 
 class Probe(msgspec.Struct, frozen=True, array_like=True):
-    """Ask a member whether it lives."""
+    """Asks a member whether it is alive; ``number`` is echoed in the answer.
+
+    ``rows`` are piggybacked membership updates, here and in the following.
+    """
 
     number: int
     versions: HeldVersions
@@ -52,7 +56,7 @@
 
 
 class ProbeAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """The member that was probed lives."""
+    """Answers the probe of the same ``number``: the member is alive."""
 
     number: int
     versions: HeldVersions
@@ -60,7 +64,7 @@
 
 
 class ProbeAsk(msgspec.Struct, frozen=True, array_like=True):
-    """Ask another member to probe ``target`` on the sender's behalf."""
+    """Asks another member to probe ``target``, a member, for the sender."""
 
     number: int
     target: str
@@ -69,10 +73,11 @@
 
 
 class StateAsk(msgspec.Struct, frozen=True, array_like=True):
-    """Ask for every row that differs; without digests, for all rows.
+    """Asks for every member row that differs; without digests, for all.
 
-    Sent by a joining daemon, by one that was frozen, and now and then by
-    each to a random peer.
+    ``digests`` holds one digest for each bucket of member names.  Sent by a
+    daemon that joins, by one that was suspended, and periodically by every
+    daemon to a random peer.
     """
 
     number: int
@@ -82,9 +87,10 @@
 
 
 class StateAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """The answerer's rows in the buckets that differ.
+    """The sender's member rows in the buckets that differ.
 
-    ``settled`` says that the answerer's own versions can be relied on.
+    ``settled`` says that the sender's ``versions`` are up to date, so that
+    the receiver may rely on them.
     """
 
     number: int
@@ -95,13 +101,17 @@
 
 
 class StatePush(msgspec.Struct, frozen=True, array_like=True):
-    """Rows that the receiver lacks, or that must be known at once."""
+    """Member rows that the receiver lacks or that must not wait for gossip."""
 
     rows: list[MemberRow]
 
 
 class ObjectVersion(msgspec.Struct, frozen=True):
-    """A version of an object exists; who lacks it may ask the sender."""
+    """Announces a version of a stored object.
+
+    A receiver that lacks it asks the sender of the message, which is the
+    daemon that relayed it; ``origin`` is the daemon that announced it first.
+    """
 
     key: str
     version: int
@@ -109,14 +119,14 @@
 
 
 class ObjectAsk(msgspec.Struct, frozen=True):
-    """Ask for an object at ``version`` or newer."""
+    """Asks for a stored object at ``version`` or newer."""
 
     key: str
     version: int
 
 
 class ObjectChanged(msgspec.Struct, frozen=True):
-    """An object's value at one version."""
+    """The value of a stored object at one version."""
 
     key: str
     version: int
@@ -124,15 +134,17 @@
 
 
 class RevisionHeld(msgspec.Struct, frozen=True):
-    """Confirms to the accepting daemon that a revision is in force."""
+    """Confirms to the daemon that accepted a revision that it is in force."""
 
     revision: int
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """A message on its way to every member of a site.
+    """A message that is relayed to every member of a site.
 
-    ``message_id`` lets a receiver drop a repeat; ``hops`` bounds the way.
+    Receivers drop a repeated ``message_id``.  ``origin`` is the daemon that
+    sent the message first, ``hops`` how often it may still be relayed.  ``kind``
+    and ``body`` are the two frames of the message as encoded by the codec.
     """
 
     message_id: str
@@ -155,4 +167,4 @@
     RevisionHeld,
     Envelope,
 )
-"""The control messages, for the table of a codec."""
+"""The types above, to be given to a :class:`Codec`."""
