--- a/samphiredock/protocol/_membership.py
+++ b/samphiredock/protocol/_membership.py
@@ -143,8 +143,8 @@
     """A message that is relayed to every member of a site.
 
     Receivers drop a repeated ``message_id``.  ``origin`` is the daemon that
-    sent the message first, ``hops`` how often it may still be relayed.  ``kind``
-    and ``body`` are the two frames of the message as encoded by the codec.
+    sent the message first, ``hops`` how often it may still be relayed.
+    ``kind`` and ``body`` are the message's two frames; see :class:`Codec`.
     """
 
     message_id: str
--- a/samphiredock/protocol/_merge_orders.py
+++ b/samphiredock/protocol/_merge_orders.py
@@ -1,9 +1,9 @@
-"""Orders between daemons: ask targets of your site and merge their parts.
+"""Merge orders: a daemon asks targets of its site and merges their parts.
 
-A search that asks many targets of another site sends that site one order
-in place of a request to each of them, and gets one merged part back in place
-of an answer from each.  An order travels as the body of a request, its
-reports as the chunks of the answer.
+A search over many shards whose targets are at another site sends one order
+to a daemon there instead of a request to each target, and receives merged
+parts instead of a response from each.  The order is the body of an HTTP
+request; each chunk of the response is one report.
 """
 
 import msgspec
@@ -13,19 +13,20 @@
 from samphiredock.protocol import _queries
 
 MAX_ITEMS = 4_096
-"""Targets that one order may name.  The largest search planned for asks 55
-shards; a broken length must not make a daemon send thousands of requests."""
+"""Most targets of one order, so that a corrupt one cannot start an unlimited
+number of requests."""
 
 
 MAX_DURATION_MS = 3_600_000.0
-"""Longest time that an order may state; a timer takes no other number."""
+"""Longest duration in an order; excludes infinity, which no timer takes."""
 
 
 class OrderedItem(msgspec.Struct, frozen=True, array_like=True):
-    """One target to ask; ``number`` tells the attempts of a search apart.
+    """One attempt of an order: the target to ask.
 
-    ``service`` is what the sender takes the target for: an address, and
-    perhaps an id, may come to belong to another one.
+    ``number`` identifies the attempt within its search.  ``target`` is the
+    target's id and ``service`` the service that the sender expects there:
+    another target may have taken over the id since.
     """
 
     number: int
@@ -34,12 +35,14 @@
 
 
 class MergeOrder(msgspec.Struct, frozen=True, array_like=True):
-    """Ask these targets for a caller's request, which they get unchanged.
-
-    ``left_ms`` is what was left of the deadline when this was sent.  Parts
-    that come within ``gather_ms`` are merged to their greatest ``top``
-    records; later ones, and all if it is 0, are reported one by one.
-    Records that are not greater than ``floor`` cannot be in the answer.
+    """Asks the receiver to pass a caller's request on to targets of its site.
+
+    The first six fields are the request; see :class:`ForwardRequest`.
+    ``left_ms`` is the time left until the deadline when the order was sent.
+    Parts that arrive within ``gather_ms`` of the receipt are merged to their
+    greatest ``top`` records; later parts, and all parts if ``gather_ms`` is
+    0, are reported one by one.  Records not greater than ``floor`` cannot be
+    in the search's answer and may be dropped.
     """
 
     request_id: str
@@ -55,7 +58,7 @@
     items: tuple[OrderedItem, ...]
 
     def request(self) -> _forwarding.ForwardRequest:
-        """Return the caller's request."""
+        """Return the caller's request, with ``left_ms`` as its deadline."""
         return _forwarding.ForwardRequest(
             self.request_id,
             self.method,
@@ -68,7 +71,11 @@
 
 
 class MergedItem(msgspec.Struct, frozen=True, array_like=True):
-    """An attempt whose part is among the records of its report."""
+    """An attempt whose part is merged into the records of its report.
+
+    ``receipt`` is the target's proof that it ran the request; ``took_us``
+    is the duration of the attempt in microseconds.
+    """
 
     number: int
     receipt: str
@@ -76,7 +83,10 @@
 
 
 class EndedItem(msgspec.Struct, frozen=True, array_like=True):
-    """An attempt that gave no part, and how it ended."""
+    """An attempt that gave no part, and how it ended.
+
+    ``took_us`` is the duration of the attempt in microseconds.
+    """
 
     number: int
     status: _queries.SubStatus
@@ -85,11 +95,11 @@
 
 
 class MergeReport(msgspec.Struct, frozen=True, array_like=True):
-    """What has come of an order since the report before.
+    """The results of an order's attempts since the previous report.
 
-    ``records`` are the greatest of the parts in ``merged``, greatest first.
-    ``is_late`` says that the time to gather is over: whatever no report has
-    named yet is late.
+    ``records`` are the greatest records of the parts in ``merged``, the
+    greatest first.  ``is_late`` says that ``gather_ms`` of the order has
+    passed, so attempts that no report has listed yet are late.
     """
 
     merged: tuple[MergedItem, ...] = ()
@@ -104,16 +114,16 @@
 
 
 def encode_merge_message(message: MergeOrder | MergeReport) -> bytes:
-    """Return an order or a report as it travels."""
+    """Return the MessagePack encoding of an order or a report."""
     return _encoder.encode(message)
 
 
 def decode_order(body: bytes) -> result.Result[MergeOrder, str]:
-    """Return an order, or what is wrong with it."""
+    """Return the order, or a text that says what is wrong with it."""
     try:
         order = _order_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return result.Failure(f'the order cannot be read: {error}')
+        return result.Failure(f'merge order cannot be decoded: {error}')
     numbers = {item.number for item in order.items}
     if not 0 < len(order.items) <= MAX_ITEMS:
         return result.Failure(
@@ -121,7 +131,10 @@
             f'expected 1 to {MAX_ITEMS}'
         )
     if len(numbers) < len(order.items):
-        return result.Failure('got two items of one number in an order')
+        return result.Failure(
+            'got two items of one number in an order, '
+            'expected different numbers'
+        )
     if not 0.0 < order.left_ms <= MAX_DURATION_MS or order.top < 0:
         return result.Failure(
             f'got left_ms {order.left_ms} and top {order.top}, '
@@ -136,8 +149,8 @@
 
 
 def decode_report(chunk: bytes) -> result.Result[MergeReport, str]:
-    """Return a report, or what is wrong with it."""
+    """Return the report, or a text that says what is wrong with it."""
     try:
         return result.Success(_report_decoder.decode(chunk))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return result.Failure(f'the report cannot be read: {error}')
+        return result.Failure(f'merge report cannot be decoded: {error}')
--- a/samphiredock/protocol/_operator_api.py
+++ b/samphiredock/protocol/_operator_api.py
@@ -1,4 +1,4 @@
-"""Bodies of the operators' HTTP interface beside the change outcomes."""
+"""Bodies of the operators' HTTP interface other than change outcomes."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class OperatorErrorKind(enum.Enum):
-    """Why an operator's call gave no value; part of the public API."""
+    """Why an operator's call failed; the values are part of the public API."""
 
     BAD_REQUEST = 'bad-request'
     WRONG_TOKEN = 'wrong-token'
@@ -22,8 +22,8 @@
 class OperatorError(msgspec.Struct, frozen=True, tag='error'):
     """A call that was refused or failed.
 
-    After ``UNKNOWN`` and ``INTERNAL`` the call may have taken effect;
-    after any other kind it has not.
+    With the kinds ``UNKNOWN`` and ``INTERNAL`` the call may have taken
+    effect; with any other kind it has not.
     """
 
     kind: OperatorErrorKind
@@ -38,7 +38,7 @@
 
 
 class DaemonRevision(msgspec.Struct, frozen=True):
-    """The revision that one live daemon has in force."""
+    """The configuration revision that one live daemon has in force."""
 
     name: str
     site: str
@@ -46,17 +46,21 @@
 
 
 class Confirmations(msgspec.Struct, frozen=True):
-    """What the live daemons last reported to the daemon asked."""
+    """The revisions that live daemons last reported to the daemon asked.
+
+    ``revision`` is the one in force at the daemon asked.
+    """
 
     revision: int
     daemons: list[DaemonRevision]
 
 
 class TargetRow(msgspec.Struct, frozen=True):
-    """One target as ``status`` shows it.
+    """One target in the body of ``status``.
 
-    ``dispatcher`` is None while no live daemon owns the target; an
-    unusable target gets no new work, for example while it drains.
+    ``dispatcher`` is the daemon that owns the target, None while no live
+    daemon does.  A target that is not ``usable`` gets no new work, for
+    example because it drains.
     """
 
     name: str
--- a/samphiredock/protocol/_operator_changes.py
+++ b/samphiredock/protocol/_operator_changes.py
@@ -1,4 +1,8 @@
-"""What operators ask of a daemon, and the outcomes they are told."""
+"""Configuration changes by operators and what operators are shown.
+
+Bodies of the operators' HTTP interface.  ``retry_after_ms`` is how long the
+client should wait before it tries again.
+"""
 
 import msgspec
 
@@ -6,14 +10,15 @@
 class ConfigurationChange(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True
 ):
-    """A base file and overlays to bring into force.
+    """A base file and overlays that replace those in force.
 
     ``base_revision`` is the revision that the change was made from; the
     change is refused if another one has been accepted since.  ``change_id``
-    recognises the change when the store's answer to its write was lost.
-    ``repeated`` says that an earlier sending of it had an unknown outcome:
-    a daemon that can't read the store then can't say that nothing was
-    changed.
+    identifies the change, so that a daemon can tell whether its write has
+    succeeded when the store's response to it was lost.  ``repeated`` says
+    that the same change was sent before with an unknown outcome: a daemon
+    that cannot read the store then cannot say that nothing was changed.
+    ``overlays`` maps the names of sites to their overlays.
     """
 
     base_revision: int
@@ -25,26 +30,29 @@
 
 
 class ChangeAccepted(msgspec.Struct, frozen=True, tag='accepted'):
-    """The change is in the store and will be in force everywhere."""
+    """The change is stored as ``revision`` and will be in force everywhere."""
 
     revision: int
 
 
 class ChangeConflict(msgspec.Struct, frozen=True, tag='conflict'):
-    """Another change was accepted first; nothing was changed."""
+    """Another change was accepted first; nothing was changed.
+
+    ``revision`` and ``author`` are those of the other change.
+    """
 
     revision: int
     author: str
 
 
 class ChangeInvalid(msgspec.Struct, frozen=True, tag='invalid'):
-    """The change does not compile; every mistake is listed."""
+    """The change does not compile; every problem is listed."""
 
     problems: list[str]
 
 
 class ChangeUnavailable(msgspec.Struct, frozen=True, tag='unavailable'):
-    """The store did not take the change; nothing was changed."""
+    """The store did not accept the change; nothing was changed."""
 
     detail: str
     retry_after_ms: int
@@ -70,7 +78,10 @@
 
 
 class ChangeSummary(msgspec.Struct, frozen=True):
-    """One accepted change, as the history lists it."""
+    """One accepted change in the history.
+
+    ``accepted_at_ms`` is the wall-clock time in ms since the epoch.
+    """
 
     revision: int
     author: str
@@ -79,7 +90,12 @@
 
 
 class QuarantineEntry(msgspec.Struct, frozen=True):
-    """A request content that crashed targets and is refused."""
+    """A request content that crashed targets and is refused.
+
+    ``fingerprint`` is the digest of the content, ``targets`` are those that
+    were lost to it.  The entry holds from ``since_ms`` to ``until_ms``, both
+    wall-clock times in ms since the epoch.
+    """
 
     fingerprint: str
     service: str
--- a/samphiredock/protocol/_outcomes.py
+++ b/samphiredock/protocol/_outcomes.py
@@ -1,7 +1,7 @@
-"""What a caller is told: exactly one outcome for each request.
+"""Outcomes of requests; a caller gets exactly one for each request.
 
-The outcome types cross the wire, so they are frozen ``msgspec`` structs
-(the nearest kin of frozen data classes that the codec can tag).
+``detail`` is an explanation for people, ``retry_after_ms`` how long the
+caller should wait before it tries again.
 """
 
 import enum
@@ -17,7 +17,7 @@
 
 
 class Record(msgspec.Struct, frozen=True):
-    """One record found; ``key`` is unique within its index."""
+    """One record of a search result; ``key`` is unique within its index."""
 
     key: str
     score: float
@@ -25,7 +25,7 @@
 
 
 class NotRunReason(enum.Enum):
-    """Why a request was not run; the value is part of the public API."""
+    """Why a request was not run; the values are part of the public API."""
 
     BAD_REQUEST = 'bad-request'
     UNKNOWN_SERVICE = 'unknown-service'
@@ -46,9 +46,9 @@
 
 
 class Answered(msgspec.Struct, frozen=True, tag='answered'):
-    """The whole answer, read from one snapshot.
+    """The complete answer of a search, read from one snapshot.
 
-    ``coverage`` is the covered part of the key space, 0.0 to 1.0.
+    ``coverage`` is the fraction of the key space searched, 0.0 to 1.0.
     """
 
     records: list[Record]
@@ -57,10 +57,12 @@
 
 
 class Partial(msgspec.Struct, frozen=True, tag='partial'):
-    """An answer that lacks some key ranges, and says which.
+    """The answer of a search that lacks the key ranges in ``missing``.
 
-    ``records`` are all of the covered ranges (up to the limit), and may
-    hold some of a missing one, read by a target that stopped early.
+    ``coverage`` is the fraction of the key space searched, 0.0 to 1.0.
+    ``records`` holds the records found in the covered ranges, up to the
+    search's limit.  It may also hold records of a missing range, from a
+    target that stopped before the end of the range.
     """
 
     records: list[Record]
@@ -71,9 +73,11 @@
 
 
 class Completed(msgspec.Struct, frozen=True, tag='completed'):
-    """An unrepeatable request ran; ``replayed`` marks a recorded outcome.
+    """An unrepeatable request ran to its end at a target.
 
-    ``accepted`` is the target's own verdict on the business request.
+    ``accepted`` says whether the target's application accepted the request,
+    and ``result`` is what it returned.  ``replayed`` says that this is the
+    stored outcome of an earlier request with the same idempotency key.
     """
 
     result: dict[str, str]
@@ -82,7 +86,7 @@
 
 
 class NotRun(msgspec.Struct, frozen=True, tag='not-run'):
-    """The request was not run and will not be: no target started it."""
+    """The request was not run and will not be; no target has started it."""
 
     reason: NotRunReason
     detail: str
@@ -90,7 +94,7 @@
 
 
 class Unknown(msgspec.Struct, frozen=True, tag='unknown'):
-    """The request may or may not have run, or a search gave no answer."""
+    """The request may or may not have run, or a search has no answer."""
 
     detail: str
     retry_after_ms: int
--- a/samphiredock/protocol/_quarantine.py
+++ b/samphiredock/protocol/_quarantine.py
@@ -1,4 +1,7 @@
-"""What daemons tell each other of contents that crash targets."""
+"""Messages between daemons about request contents that crash targets.
+
+``fingerprint`` is the digest of a content.
+"""
 
 import msgspec
 
@@ -6,10 +9,10 @@
 
 
 class SuspectNotice(msgspec.Struct, frozen=True):
-    """Targets were lost while they ran this content alone.
+    """Targets were lost while they ran this content and nothing else.
 
-    The sender tries the content alone for up to ``trial_ms`` from now;
-    until then the others refuse it.
+    The sender tests the content on its own for up to ``trial_ms`` after the
+    receipt; until then the receiver refuses it.
     """
 
     fingerprint: str
@@ -19,16 +22,16 @@
 
 
 class QuarantineNotice(msgspec.Struct, frozen=True):
-    """This content is refused everywhere until ``entry.until_ms``."""
+    """The content is refused by every daemon until ``entry.until_ms``."""
 
     entry: _operator_changes.QuarantineEntry
 
 
 class ClearedNotice(msgspec.Struct, frozen=True):
-    """The content is no suspect any more.
+    """The content is no longer suspected.
 
-    ``released`` says that an operator ended its quarantine; without it
-    the content succeeded, which does not end a quarantine.
+    ``released`` says that an operator ended its quarantine.  Otherwise the
+    content has run without a crash, which does not end a quarantine.
     """
 
     fingerprint: str
@@ -36,7 +39,10 @@
 
 
 class StoredQuarantine(msgspec.Struct, frozen=True):
-    """The object below ``quarantine/``; a released one stays as a mark."""
+    """The stored object ``quarantine/FINGERPRINT``.
+
+    A ``released`` one is kept, so that daemons that read it drop the entry.
+    """
 
     entry: _operator_changes.QuarantineEntry
     released: bool = False
--- a/samphiredock/protocol/_queries.py
+++ b/samphiredock/protocol/_queries.py
@@ -1,4 +1,9 @@
-"""Requests of callers, and the sub-queries that a search is split into."""
+"""Requests of callers, and the attempts that daemons make for them.
+
+A search is split into sub-queries, one for each shard; a sub-query may take
+several attempts.  The coordinator of a request plans them, and the
+dispatcher of a target, the daemon that owns it, makes them.
+"""
 
 import enum
 
@@ -10,8 +15,11 @@
 class SearchRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A search as a caller sends it.
 
-    ``deadline_ms`` is the time the caller gives, 0 for the search's own;
-    ``at_least_snapshot`` refuses an older snapshot than one already seen.
+    ``deadline_ms`` is how long the caller waits, None for the search's
+    configured deadline.  ``limit`` is the largest number of records, at most
+    and by default the search's configured one.  The search is not run on a
+    snapshot with an id below ``at_least_snapshot``, so that a caller never
+    reads older data than it has already seen.
     """
 
     service: str
@@ -25,7 +33,9 @@
 class RunBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """An unrepeatable request as a caller sends it.
 
-    The idempotency key comes in the ``Idempotency-Key`` header.
+    The idempotency key is in the ``Idempotency-Key`` header.
+    ``deadline_ms`` is how long the caller waits, None for the operation's
+    configured deadline.
     """
 
     service: str
@@ -35,9 +45,10 @@
 
 
 class RunRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An unrepeatable request with the time that its key carries.
+    """An unrepeatable request with the creation time of its key.
 
-    ``issued_at_ms`` is the wall-clock time at which the key was made.
+    ``issued_at_ms`` is that time in ms since the epoch; ``deadline_ms`` is
+    as in :class:`RunBody`.
     """
 
     service: str
@@ -48,9 +59,10 @@
 
 
 class SubQuery(msgspec.Struct, frozen=True):
-    """One attempt to read one shard at one target.
+    """One attempt to search one shard at one target.
 
-    A ``hedge`` takes only an idle slot; it is never queued.
+    A ``hedge`` is sent only if the target has an idle slot; it is never
+    queued.
     """
 
     attempt_id: str
@@ -63,11 +75,13 @@
 
 
 class SubQueryBatch(msgspec.Struct, frozen=True):
-    """Sub-queries of one query for the targets one dispatcher owns.
+    """Sub-queries of one search, for targets of one dispatcher.
 
-    ``budget_ms`` is what was left of the deadline when this was sent;
-    each hop subtracts its own time on its own monotonic clock.  With
-    ``alone`` each item goes to its target in an exchange of its own.
+    ``budget_ms`` is the time left until the deadline when the batch was
+    sent; each daemon subtracts the time it takes, by its monotonic clock.
+    ``site`` is the coordinator's.  ``fingerprint`` is the digest of the
+    search's content.  With ``alone`` each item is sent to its target
+    without any other request in the same exchange.
     """
 
     query_id: str
@@ -86,9 +100,9 @@
 class SubStatus(enum.Enum):
     """How one attempt ended.
 
-    ``NOT_ORDERED`` and ``ORDER_LOST`` are ends of attempts that another
-    daemon was to make: it has not asked the target, or was lost with the
-    order and may have.
+    ``NOT_ORDERED`` and ``ORDER_LOST`` are for attempts of a merge order.
+    With the first, the daemon that got the order has not asked the target.
+    With the second, that daemon was lost and may have asked it.
     """
 
     ANSWERED = 'answered'
@@ -124,19 +138,21 @@
         SubStatus.NOT_ORDERED,
     }
 )
-"""The endings that prove that no target began the attempt."""
+"""The statuses that prove that no target has begun the attempt."""
 
 
 class SubAnswer(msgspec.Struct, frozen=True):
-    """The end of one attempt, as the dispatcher reports it.
+    """The result of one attempt, as the dispatcher reports it.
 
     ``ranges`` are the key ranges that the target says it searched;
-    ``truncated`` means that it stopped early within them.  ``waited_ms``
-    is the time in the dispatcher's queue.  ``ran_alone`` says that no other
-    request was in the same exchange, and ``target_lost`` that the target
-    could not be reached afterwards: together they make a crash suspect.
-    ``took_ms`` is what the target took as seen where it was asked, 0 if
-    that is where this is read.
+    ``truncated`` means that it stopped before their end.  ``service_ms`` is
+    the service time that the target reports, ``waited_ms`` the time in the
+    dispatcher's queue.  ``ran_alone`` says that no other request was in the
+    same exchange, ``target_lost`` that the target could not be reached
+    afterwards; if both are set, the request's content is suspected of
+    crashing the target.  ``took_ms`` is the duration of the attempt as
+    measured by the daemon that asked the target, 0 if the coordinator
+    measures it itself.
     """
 
     attempt_id: str
@@ -156,18 +172,18 @@
 
 
 class SubAnswerBatch(msgspec.Struct, frozen=True):
-    """Ended attempts, from a dispatcher to the query's coordinator."""
+    """Results of attempts, from a dispatcher to the search's coordinator."""
 
     query_id: str
     answers: list[SubAnswer]
 
 
 class CancelAttempts(msgspec.Struct, frozen=True):
-    """The sender no longer wants these attempts.
+    """Cancels attempts of the sender at a dispatcher.
 
-    For an unrepeatable request the dispatcher answers with a
-    :class:`RunReport` whose status is ``CANCELLED`` only when it is proved
-    that the target has not begun and never will.
+    An attempt to run an unrepeatable request is answered by a
+    :class:`RunReport` with the status ``CANCELLED`` only if it is certain
+    that the target has not begun it and never will.
     """
 
     query_id: str
@@ -175,7 +191,12 @@
 
 
 class RunOrder(msgspec.Struct, frozen=True):
-    """Ask a dispatcher to run an unrepeatable request at a target, once."""
+    """Asks a dispatcher to run an unrepeatable request at a target, once.
+
+    ``budget_ms`` is the time left until the deadline when the order was
+    sent; ``site`` is the coordinator's.  ``fingerprint`` is the digest of
+    the request's content.
+    """
 
     attempt_id: str
     service: str
@@ -190,7 +211,12 @@
 
 
 class RunReport(msgspec.Struct, frozen=True):
-    """How a :class:`RunOrder` ended."""
+    """How a :class:`RunOrder` ended.
+
+    ``accepted`` and ``result`` are the target's, with the status
+    ``ANSWERED``.  ``target_lost`` says that the target could not be reached
+    afterwards.
+    """
 
     attempt_id: str
     target: str
--- a/samphiredock/protocol/_target_api.py
+++ b/samphiredock/protocol/_target_api.py
@@ -1,4 +1,8 @@
-"""Bodies of the HTTP protocol between a dispatcher and a target."""
+"""Bodies of the HTTP protocol between a dispatcher and a target.
+
+``deadline_ms`` is the time left when the request was sent;
+``retry_after_ms`` how long the target asks to be left without new work.
+"""
 
 import enum
 
@@ -8,7 +12,7 @@
 
 
 class TargetStatus(enum.Enum):
-    """A target's own word on one item."""
+    """How an item ended, as the target reports it."""
 
     OK = 'ok'
     SNAPSHOT_GONE = 'snapshot-gone'
@@ -20,11 +24,11 @@
 
 
 class TargetQuery(msgspec.Struct, frozen=True):
-    """One item of ``POST /batch``.
+    """One item of ``POST /batch``: a sub-query for one shard.
 
-    The target echoes ``fingerprint``, a digest of the request's content,
-    beside the attempt: a target that mixes up two attempts of one batch is
-    seen by it.
+    ``fingerprint`` is a digest of the search's content.  The target echoes
+    it with the attempt id, so that a target that mixes up two attempts of
+    one batch is detected.
     """
 
     attempt_id: str
@@ -41,9 +45,10 @@
 
 
 class TargetBatch(msgspec.Struct, frozen=True):
-    """Body of ``POST /batch``; it takes one slot and runs in order.
+    """Body of ``POST /batch``: items that run one after another in one slot.
 
-    An empty one takes no slot; its answer shows the target's own signs.
+    A batch without items takes no slot; it asks for ``draining`` and
+    ``running`` only.
     """
 
     items: list[TargetQuery]
@@ -52,7 +57,9 @@
 class TargetAnswer(msgspec.Struct, frozen=True):
     """The answer to one item.
 
-    It echoes the attempt, the snapshot and the request's fingerprint.
+    It echoes the attempt id, the snapshot id and the fingerprint.
+    ``ranges`` are the key ranges searched; ``truncated`` means that the
+    target stopped before their end.  ``service_ms`` is how long it worked.
     """
 
     attempt_id: str
@@ -69,8 +76,9 @@
 class TargetBatchAnswer(msgspec.Struct, frozen=True):
     """Answer of ``POST /batch``.
 
-    The answers are in the order of the items.  ``running`` is the target's
-    count of busy slots, ``draining`` its own sign that it is leaving.
+    The answers are in the order of the items.  ``running`` is how many
+    slots of the target are busy; ``draining`` says that it takes no new
+    work because it is about to stop.
     """
 
     answers: list[TargetAnswer]
@@ -79,7 +87,7 @@
 
 
 class TargetRun(msgspec.Struct, frozen=True):
-    """Body of ``POST /run``."""
+    """Body of ``POST /run``: an unrepeatable request."""
 
     attempt_id: str
     service: str
@@ -90,7 +98,11 @@
 
 
 class TargetRunAnswer(msgspec.Struct, frozen=True):
-    """Answer of ``POST /run``."""
+    """Answer of ``POST /run``.
+
+    ``accepted`` says whether the target's application accepted the request,
+    and ``result`` is what it returned.
+    """
 
     attempt_id: str
     status: TargetStatus
@@ -101,16 +113,16 @@
 
 
 class TargetCancel(msgspec.Struct, frozen=True):
-    """Body of ``POST /cancel``."""
+    """Body of ``POST /cancel``: attempts that are no longer wanted."""
 
     attempt_ids: list[str]
 
 
 class TargetCancelAnswer(msgspec.Struct, frozen=True):
-    """What the target will not run any more.
+    """Answer of ``POST /cancel``: the attempts that were cancelled.
 
-    ``never_started`` had not begun and now never will; ``stopped`` had
-    begun and takes no slot any longer.
+    Those in ``never_started`` had not begun and never will; those in
+    ``stopped`` had begun and no longer occupy a slot.
     """
 
     never_started: list[str]
@@ -118,7 +130,10 @@
 
 
 class TargetHealth(msgspec.Struct, frozen=True):
-    """Answer of ``GET /health``; it may lag or mislead."""
+    """Answer of ``GET /health``.
+
+    A hint only: it may be out of date, or wrong about requests that fail.
+    """
 
     healthy: bool
     draining: bool
