--- a/samphiredock/state/__init__.py
+++ b/samphiredock/state/__init__.py
@@ -1,4 +1,4 @@
-"""Snapshots, configuration and other state that daemons hold."""
+"""Configuration, settings, routes, snapshots and stored claims."""
 
 from samphiredock import lazy
 
--- a/samphiredock/state/_checks.py
+++ b/samphiredock/state/_checks.py
@@ -1,8 +1,8 @@
-"""Checks of hand-written files, with every mistake reported at once.
+"""Checks of files that operators write; all problems are reported at once.
 
-A file's objects are described by tables of :class:`Rule`; reading one adds
-a :class:`Problem` for each mistake and goes on, so that an operator need
-not mend a file one mistake at a time.
+The objects of a file are described by mappings of field names to
+:class:`Rule`.  Reading an object adds a :class:`Problem` for each mistake
+and continues, so that an operator sees all mistakes in one run.
 """
 
 import dataclasses
@@ -14,7 +14,7 @@
 import urllib.parse
 
 REQUIRED = object()
-"""Default of a field that must be stated."""
+"""Default of a rule whose field must be present."""
 
 _SHOWN_LIMIT_CHARS = 80
 _NAME_PATTERN = re.compile(r'[A-Za-z0-9][A-Za-z0-9._-]{0,99}')
@@ -23,7 +23,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """One mistake in a file: where, what was got, what was expected."""
+    """One mistake in a file.
+
+    ``path`` is the field's path within the file, ``$`` for its top level.
+    ``got`` and ``expected`` are texts for the operator.
+    """
 
     file: str
     path: str
@@ -39,7 +43,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rule:
-    """What one field may hold; ``default`` stands when it is absent."""
+    """Which values one field accepts, and how they are converted.
+
+    ``expected`` describes the accepted values.  ``default`` is used, without
+    conversion, for a field that is absent.
+    """
 
     expected: str
     accepts: typing.Callable[[typing.Any], bool]
@@ -47,7 +55,7 @@
     convert: typing.Callable[[typing.Any], typing.Any] = lambda value: value
 
     def optional(self, default: typing.Any = None) -> 'Rule':
-        """Return the same rule for a field that may be absent."""
+        """Return the same rule with a default: the field may be absent."""
         return dataclasses.replace(self, default=default)
 
 
@@ -57,7 +65,7 @@
 def _is_number(value: object) -> bool:
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         return False
-    # JSON5 knows NaN and Infinity; a huge integer overflows a float.
+    # JSON5 has NaN and Infinity; isfinite() raises on a huge integer.
     return isinstance(value, int) or math.isfinite(value)
 
 
@@ -94,20 +102,20 @@
 
 
 def text() -> Rule:
-    """Return a rule for a text that is not empty."""
+    """Return a rule for a string that is not empty."""
     return Rule(
-        'a text that is not empty',
+        'a string that is not empty',
         lambda value: isinstance(value, str) and bool(value),
     )
 
 
 def boolean() -> Rule:
-    """Return a rule for true or false."""
+    """Return a rule for a boolean."""
     return Rule('true or false', lambda value: isinstance(value, bool))
 
 
 def choice(values: typing.Sequence[str]) -> Rule:
-    """Return a rule for one of some texts."""
+    """Return a rule for one of the given strings."""
     return Rule(
         'one of ' + ', '.join(values),
         lambda value: isinstance(value, str) and value in values,
@@ -115,24 +123,24 @@
 
 
 def is_name(value: object) -> bool:
-    """Whether a value can name a service, site, target and the like."""
+    """Whether a value is a valid name of a service, site, target etc."""
     return (
         isinstance(value, str) and _NAME_PATTERN.fullmatch(value) is not None
     )
 
 
 def name() -> Rule:
-    """Return a rule for a name."""
+    """Return a rule for a name; see :func:`is_name`."""
     return Rule('a name of letters, digits, ".", "_" and "-"', is_name)
 
 
-def unique_names(least: int = 0) -> Rule:
-    """Return a rule for a list of different names."""
+def unique_names(min_count: int = 0) -> Rule:
+    """Return a rule for a list of ``min_count`` or more different names."""
     return Rule(
-        f'a list of {least} or more different names',
+        f'a list of {min_count} or more different names',
         lambda value: (
             isinstance(value, list)
-            and len(value) >= least
+            and len(value) >= min_count
             and all(is_name(each) for each in value)
             and len(set(value)) == len(value)
         ),
@@ -141,7 +149,7 @@
 
 
 def list_of(rule: Rule) -> Rule:
-    """Return a rule for a list whose items all keep ``rule``."""
+    """Return a rule for a list whose items are all accepted by ``rule``."""
     return Rule(
         f'a list, each item {rule.expected}',
         lambda value: (
@@ -153,7 +161,7 @@
 
 
 def json_object() -> Rule:
-    """Return a rule for an object."""
+    """Return a rule for a JSON object."""
     return Rule('an object', lambda value: isinstance(value, dict))
 
 
@@ -173,7 +181,7 @@
 
 
 def address() -> Rule:
-    """Return a rule for ``IP:port``."""
+    """Return a rule for ``IP:port``, an IPv6 address in brackets."""
     return Rule('IP:port, for example 10.0.0.7:7200', _is_address)
 
 
@@ -207,7 +215,7 @@
 
 
 def url() -> Rule:
-    """Return a rule for the base of an HTTP address."""
+    """Return a rule for an HTTP URL without query and fragment."""
     return Rule('an http:// or https:// URL without a query', _is_url)
 
 
@@ -220,24 +228,26 @@
 
 
 def rules_for(
-    kind: type, special: Rules, without: frozenset[str] = frozenset()
+    dataclass_type: type,
+    overrides: Rules,
+    exclude: frozenset[str] = frozenset(),
 ) -> Rules:
-    """Return the rules of a data class's fields, in its order.
+    """Return a rule for each field of a dataclass, in field order.
 
     Parameters
     ----------
-    kind
-        The data class; its defaults become the rules' defaults.
-    special
-        Rules by field; any other field is checked by its type alone.
-    without
-        Fields that the file does not state.
+    dataclass_type
+        The dataclass; its defaults become the rules' defaults.
+    overrides
+        Rules by field name; any other field is checked by its type only.
+    exclude
+        Fields that are not part of the file.
     """
     rules = {}
-    for field in dataclasses.fields(kind):
-        if field.name in without:
+    for field in dataclasses.fields(dataclass_type):
+        if field.name in exclude:
             continue
-        rule = special.get(field.name) or _RULES_BY_TYPE[field.type]
+        rule = overrides.get(field.name) or _RULES_BY_TYPE[field.type]
         if field.default is not dataclasses.MISSING:
             rule = rule.optional(field.default)
         rules[field.name] = rule
@@ -245,30 +255,30 @@
 
 
 class ProblemReport:
-    """The mistakes found in one file."""
+    """Collects the problems found in one file."""
 
     def __init__(self, file: str) -> None:
         self.file = file
         self.problems: list[Problem] = []
 
     def add(self, path: str, got: object, expected: str) -> None:
-        """Note one mistake."""
+        """Add a problem; ``got`` is the value that was read."""
         self.problems.append(
             Problem(self.file, path, format_value(got), expected)
         )
 
     def add_described(self, path: str, got: str, expected: str) -> None:
-        """Note one mistake whose ``got`` is words, not a value."""
+        """Add a problem; ``got`` is a description in words."""
         self.problems.append(Problem(self.file, path, got, expected))
 
     def read_object(
         self, path: str, raw: object, rules: Rules
     ) -> dict[str, typing.Any] | None:
-        """Return an object's fields, or None if any is wrong."""
+        """Return an object's converted fields, None if any is invalid."""
         if not isinstance(raw, dict):
             self.add(path, raw, 'an object')
             return None
-        before = len(self.problems)
+        count_before = len(self.problems)
         self._add_unknown_fields(path, raw, rules)
         values = {}
         for key, rule in rules.items():
@@ -282,14 +292,14 @@
                 values[key] = rule.convert(raw[key])
             else:
                 self.add(join_path(path, key), raw[key], rule.expected)
-        return values if len(self.problems) == before else None
+        return values if len(self.problems) == count_before else None
 
     def _add_unknown_fields(self, path: str, raw: dict, rules: Rules) -> None:
         for key in raw:
             if key in rules:
                 continue
-            near = difflib.get_close_matches(str(key), rules, 1)
-            hint = f' (did you mean {near[0]!r}?)' if near else ''
+            matches = difflib.get_close_matches(str(key), rules, 1)
+            hint = f' (did you mean {matches[0]!r}?)' if matches else ''
             self.add_described(
                 join_path(path, key),
                 f'an unknown field{hint}',
@@ -299,28 +309,28 @@
     def read_objects(
         self, path: str, raw: object, rules: Rules
     ) -> dict[str, dict[str, typing.Any]]:
-        """Return the sound objects of an object that maps names to them."""
+        """Return the valid objects of an object that maps names to objects."""
         if not isinstance(raw, dict):
-            self.add(path, raw, 'an object of names')
+            self.add(path, raw, 'an object that maps names to objects')
             return {}
-        found = {}
+        valid = {}
         for key, value in raw.items():
             if not is_name(key):
                 self.add(join_path(path, key), key, name().expected)
                 continue
             row = self.read_object(join_path(path, key), value, rules)
             if row is not None:
-                found[key] = row
-        return found
+                valid[key] = row
+        return valid
 
 
 def join_path(path: str, key: object) -> str:
-    """Return the path of a field within an object."""
+    """Return the path of the field ``key`` of the object at ``path``."""
     return f'{path}.{key}' if path != '$' else str(key)
 
 
 def format_value(value: object) -> str:
-    """Return a value as a mistake shows it, cut if it is long."""
+    """Return the text for a value in a problem, truncated if it is long."""
     if isinstance(value, dict):
         return f'an object of {len(value)} fields'
     written = repr(value)
--- a/samphiredock/state/_claims.py
+++ b/samphiredock/state/_claims.py
@@ -1,7 +1,10 @@
-"""Claims of unrepeatable requests, and the bucket objects that hold them.
+"""Claims of unrepeatable requests, and the stored buckets that hold them.
 
-Pure functions and types: a bucket is read, changed and encoded here; the
-calls to the platform's store are made in :mod:`samphiredock.coordination`.
+A daemon that wants to send an unrepeatable request first opens a claim for
+its idempotency key, so that no other daemon sends it too, and later closes
+the claim with the outcome.  Claims are stored in a fixed number of bucket
+objects.  This module decodes, changes and encodes buckets; the calls to the
+store are made in :mod:`samphiredock.coordination`.
 """
 
 import enum
@@ -12,19 +15,22 @@
 
 CLAIMS_PREFIX = 'claims/'
 BUCKET_COUNT = 2**18
-"""Why this number: docs/design/claims.md, section 3."""
+"""Number of bucket objects; docs/design/claims.md, section 3, derives it."""
 
 KEY_RETENTION_LIMIT_MS = 24 * 3_600_000
-"""No key is older than this; ``key_retention_ms`` may not exceed it."""
+"""Upper bound of the setting ``key_retention_ms``, the age up to which
+idempotency keys are accepted."""
 
 CLAIM_RETENTION_MS = KEY_RETENTION_LIMIT_MS + 3_600_000
-"""A claim is dropped when it is older, never by a setting, so that a
-change of the setting cannot make a key acceptable whose claim is gone.  The
-hour is much more than clocks differ and than the longest deadline."""
+"""Age at which claims are dropped.  It does not depend on the setting, so
+that raising the setting cannot make a key acceptable whose claim is gone.
+The additional hour exceeds clock differences and every deadline."""
 
 BUCKET_LIMIT_BYTES = 900_000
+"""Size above which a bucket opens no further claims."""
+
 OUTCOME_LIMIT_BYTES = 4_096
-"""An open claim reserves this much, so that its outcome always fits."""
+"""Space that an open claim reserves, so that its outcome always fits."""
 
 _FORMAT = 1
 _DIGEST_BYTES = 16
@@ -32,7 +38,12 @@
 
 
 class ClaimState(enum.Enum):
-    """What the store knows of a claimed request."""
+    """The stored state of a claim.
+
+    ``OPEN``: the request may have been sent, its outcome is not recorded.
+    ``DONE``: it ran and its outcome is recorded.  ``NOT_RUN``: it was not
+    run, so another claim may replace this one.
+    """
 
     OPEN = 'open'
     DONE = 'done'
@@ -40,10 +51,14 @@
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True):
-    """One claim; ``content`` is the digest of the request it was made for.
-
-    ``since_ms`` is the later of the claim's and the key's wall time;
-    ``result_dropped`` marks an outcome that was too large to be kept.
+    """One stored claim.
+
+    ``token`` is the text of a :class:`samphiredock.protocol.ClaimToken`.
+    ``content`` is the digest of the request that the claim was made for.
+    ``since_ms`` is the wall-clock time, in ms since the epoch, at which the
+    claim was made or the key was created, whichever is later.  ``accepted``
+    and ``result`` are those of :class:`samphiredock.protocol.Completed`;
+    ``result_dropped`` says that the result was too large to be stored.
     """
 
     token: str
@@ -56,14 +71,23 @@
 
 
 class ClaimLocation(msgspec.Struct, frozen=True):
-    """Where a key's claim lives: the bucket object and the entry in it."""
+    """Where a key's claim is stored.
+
+    ``path`` is the key of the bucket object in the store, ``digest`` the key
+    of the claim within the bucket.
+    """
 
     path: str
     digest: str
 
 
 class OpenStatus(enum.Enum):
-    """What became of an attempt to open a claim."""
+    """Result of an attempt to open a claim.
+
+    ``MET``: another claim for the same request exists.  ``KEY_REUSED``: the
+    key has been claimed for a request with other content.  ``FULL``: the
+    bucket has no space left.
+    """
 
     GRANTED = 'granted'
     MET = 'met'
@@ -72,7 +96,7 @@
 
 
 class OpenDecision(msgspec.Struct, frozen=True):
-    """The verdict and, for ``MET``, the claim that is in the way."""
+    """The status; for ``MET`` and ``KEY_REUSED`` also the existing claim."""
 
     status: OpenStatus
     claim: Claim | None = None
@@ -87,7 +111,17 @@
 
 
 class Bucket:
-    """A working copy of one bucket object."""
+    """A decoded copy of one bucket object, to be changed and encoded.
+
+    ``changed`` is set once a claim has been written to the copy.
+
+    Parameters
+    ----------
+    claims
+        The claims by digest.
+    size_bytes
+        Size of the stored object.
+    """
 
     def __init__(
         self, claims: dict[str, Claim] | None = None, size_bytes: int = 0
@@ -97,10 +131,10 @@
         self._size_bytes = size_bytes
 
     def expire(self, wall_ms: int) -> None:
-        """Drop the claims of keys that nobody accepts any more.
+        """Drop claims whose keys are too old to be accepted.
 
-        They go with the next write, so that no object grows for ever and
-        none needs a write of its own.
+        This alone does not set ``changed``: the claims are removed from the
+        store with the next write of the bucket.
         """
         self.claims = {
             digest: claim
@@ -111,42 +145,48 @@
     def open(
         self, digest: str, wanted: Claim, replaces: str | None
     ) -> OpenDecision:
-        """Write an open claim unless another's is in the way.
+        """Write the open claim ``wanted`` unless another claim prevents it.
 
-        ``replaces`` is the token of an open claim whose holder has said
-        that it never sent the request and never will.  Opening again with
-        a token that already holds the claim changes nothing, so a change
-        whose answer was lost is tried again safely.
+        ``replaces`` is the token of an open claim whose holder has reported
+        that it never sent the request and never will.  Opening a claim again
+        with the same token changes nothing, so a write whose response was
+        lost can be repeated.
         """
-        held = self.claims.get(digest)
-        if held is None:
+        existing = self.claims.get(digest)
+        if existing is None:
             return self._add(digest, wanted)
-        if held.token == wanted.token and held.state is ClaimState.OPEN:
+        if (
+            existing.token == wanted.token
+            and existing.state is ClaimState.OPEN
+        ):
             return OpenDecision(OpenStatus.GRANTED)
-        if held.content != wanted.content:
-            return OpenDecision(OpenStatus.KEY_REUSED, held)
-        given_up = held.state is ClaimState.OPEN and held.token == replaces
-        if held.state is ClaimState.NOT_RUN or given_up:
+        if existing.content != wanted.content:
+            return OpenDecision(OpenStatus.KEY_REUSED, existing)
+        is_replaceable = (
+            existing.state is ClaimState.OPEN and existing.token == replaces
+        )
+        if existing.state is ClaimState.NOT_RUN or is_replaceable:
             self._set(digest, wanted)
             return OpenDecision(OpenStatus.GRANTED)
-        return OpenDecision(OpenStatus.MET, held)
+        return OpenDecision(OpenStatus.MET, existing)
 
     def close(self, digest: str, final: Claim) -> bool:
-        """Write the end of a claim; False if it is another's by now.
+        """Write the final state of a claim.
 
-        An end is also written where the claim itself is missing: the put
-        that carried it may still be on its way, and this change of the
-        object's version makes that put fail for good.
+        Returns False if the key is claimed with another token by now.  The
+        final state is also written if the claim is missing: the put that
+        opens it may still arrive, and it fails then because this write has
+        changed the object's version.
         """
-        held = self.claims.get(digest)
-        if held is not None and held.token != final.token:
+        existing = self.claims.get(digest)
+        if existing is not None and existing.token != final.token:
             return False
-        if held is None or held.state is ClaimState.OPEN:
+        if existing is None or existing.state is ClaimState.OPEN:
             self._set(digest, final)
         return True
 
     def encode(self) -> bytes:
-        """Return the object's value."""
+        """Return the value of the bucket object, as JSON."""
         return msgspec.json.encode(_StoredBucket(_FORMAT, self.claims))
 
     def _add(self, digest: str, wanted: Claim) -> OpenDecision:
@@ -167,10 +207,9 @@
 
 
 def decode_bucket(value: bytes) -> Bucket | None:
-    """Return the bucket, or None if the value cannot be read.
+    """Return the bucket, None if the value cannot be decoded.
 
-    An unreadable bucket may hold claims: it must not pass for an empty
-    one.
+    Callers must not treat such a bucket as empty: it may hold claims.
     """
     try:
         stored = _DECODER.decode(value)
@@ -182,10 +221,10 @@
 
 
 def locate_claim(service: str, key: str) -> ClaimLocation:
-    """Return where the claim of a service's idempotency key lives.
+    """Return where the claim of a service's idempotency key is stored.
 
-    The key alone decides: a caller that retries with the same key and a
-    new issue time must meet the claim of its first try.
+    Only the service and the key count, not the request's content, so that
+    every request with the same key finds the same claim.
     """
     digest = _digest([service, key])
     return ClaimLocation(
@@ -194,12 +233,15 @@
 
 
 def content_digest(operation: str, body: typing.Mapping[str, str]) -> str:
-    """Return a digest that differs for a request with other content."""
+    """Return a digest of the content of an unrepeatable request."""
     return _digest([operation, sorted(body.items())])
 
 
 def done_claim(opened: Claim, accepted: bool, result: dict[str, str]) -> Claim:
-    """Return a claim with its outcome, without a result too large."""
+    """Return a claim closed as ``DONE``.
+
+    The result is left out if it exceeds ``OUTCOME_LIMIT_BYTES``.
+    """
     size_bytes = len(msgspec.json.encode(result))
     fits = size_bytes + 2 * _OVERHEAD_BYTES <= OUTCOME_LIMIT_BYTES
     return msgspec.structs.replace(
@@ -212,12 +254,12 @@
 
 
 def not_run_claim(opened: Claim) -> Claim:
-    """Return a claim that its holder has given up."""
+    """Return a claim closed as ``NOT_RUN``."""
     return msgspec.structs.replace(opened, state=ClaimState.NOT_RUN)
 
 
 def _digest(parts: list) -> str:
-    # A caller chooses the key and body: a digest that it could make
-    # collide would replay another request's outcome to it.
+    # Must be collision-resistant: callers choose the key and the body, and
+    # a collision would return another request's outcome.
     encoded = msgspec.json.encode(parts)
     return hashlib.blake2b(encoded, digest_size=_DIGEST_BYTES).hexdigest()
--- a/samphiredock/state/_compiler.py
+++ b/samphiredock/state/_compiler.py
@@ -1,4 +1,4 @@
-"""Compile a base file and the sites' overlays to one configuration."""
+"""Compiles a base file and the overlays of sites into a configuration."""
 
 import typing
 
@@ -19,12 +19,12 @@
         'deadline_limit_ms': _checks.integer(1, 600_000, 'ms'),
         'body_limit_bytes': _checks.integer(256, 1_000_000, 'bytes'),
         'terms_limit': _checks.integer(1, 1_000),
-        # A claim is kept for little longer than this limit; a key that is
-        # accepted without its claim could run its request twice.
+        # A key that is accepted after its claim has been dropped could run
+        # its request twice.
         'key_retention_ms': _checks.integer(
             60_000,
             _claims.KEY_RETENTION_LIMIT_MS,
-            'ms; claims are kept no longer',
+            'ms; claims are not kept for longer',
         ),
         'queue_per_target': _checks.integer(1, 100_000),
         'in_flight_per_daemon': _checks.integer(1, 1_000_000),
@@ -50,12 +50,12 @@
         'limit': _checks.integer(1, 10_000, 'records'),
         'fields': _checks.unique_names(),
     },
-    without=frozenset(['name']),
+    exclude=frozenset(['name']),
 )
 _OPERATION_RULES = _checks.rules_for(
     _configuration.Operation,
-    {**_REQUEST_RULES, 'targets': _checks.unique_names(least=1)},
-    without=frozenset(['name']),
+    {**_REQUEST_RULES, 'targets': _checks.unique_names(min_count=1)},
+    exclude=frozenset(['name']),
 )
 _SERVICE_RULES = _checks.rules_for(
     _configuration.Service,
@@ -65,7 +65,7 @@
         'weight': _checks.positive_number(1e6).optional(1.0),
         'max_in_flight': _checks.integer(1, 1_000_000).optional(1_000),
     },
-    without=frozenset(['name']),
+    exclude=frozenset(['name']),
 )
 _SITE_RULES = _checks.rules_for(
     _configuration.Site,
@@ -74,7 +74,7 @@
         'share': _checks.number(0.0, 1.0),
         'share_cap': _checks.number(0.0, 1.0),
     },
-    without=frozenset(['name', 'service_caps']),
+    exclude=frozenset(['name', 'service_caps']),
 )
 _TARGET_RULES = _checks.rules_for(
     _configuration.Target,
@@ -85,7 +85,7 @@
         'connections': _checks.integer(1, 100_000),
         'connect_ms': _checks.integer(0, 60_000, 'ms'),
     },
-    without=frozenset(['name']),
+    exclude=frozenset(['name']),
 )
 _BASE_RULES = {
     'services': _checks.json_object(),
@@ -97,12 +97,13 @@
 
 
 class ConfigurationSource(msgspec.Struct, frozen=True):
-    """The stored object: what operators wrote, and which change it was.
+    """The stored object: the files that operators wrote, and their change.
 
-    ``change_id`` lets a writer whose answer was lost recognise its own
-    change when it reads the object back; ``recent`` lists the last
-    accepted changes, this one last, so that it can do so also after
-    later changes.
+    ``change_id`` identifies the change, so that a daemon whose write was not
+    answered can tell from the stored object whether it succeeded.
+    ``recent`` lists the latest accepted changes, this one last, so that it
+    can tell also after later changes.  ``accepted_at_ms`` is a wall-clock
+    time in ms since the epoch; ``overlays`` is keyed by site.
     """
 
     revision: int
@@ -124,36 +125,44 @@
     base_file: str = 'base',
     overlay_files: typing.Mapping[str, str] | None = None,
 ) -> CompileResult:
-    """Return the configuration in force under ``source``, or all mistakes.
+    """Return the configuration that ``source`` defines, or all problems.
 
     Parameters
     ----------
     source
         The base and the overlays as operators wrote them.
-    base_file, overlay_files
-        What the mistakes call the files; the overlays' by site.
+    base_file
+        Name of the base file in problems.
+    overlay_files
+        Names of the overlay files in problems, by site.
     """
     files = overlay_files or {}
     report = _checks.ProblemReport(base_file)
-    parts = _BaseReader(report, source.base)
+    base = _BaseReader(report, source.base)
     problems = list(report.problems)
     for site, raw in source.overlays.items():
-        overlay = _checks.ProblemReport(files.get(site, f'overlay {site}'))
-        # A site that is wrong in the base has its mistake already.
-        if parts.has_entry('sites', site) and site not in parts.sites:
+        overlay_report = _checks.ProblemReport(
+            files.get(site, f'overlay {site}')
+        )
+        # A site that is invalid in the base has been reported already.
+        if base.has_entry('sites', site) and site not in base.sites:
             continue
-        _overlay.apply_overlay(overlay, site, raw, parts)
-        problems += overlay.problems
+        _overlay.apply_overlay(overlay_report, site, raw, base)
+        problems += overlay_report.problems
     if problems:
         return result.Failure(tuple(problems))
-    shared = _find_shared_url(parts.targets)
-    if shared is not None:
-        return result.Failure((shared,))
-    return result.Success(parts.make_configuration(source.revision))
+    shared_url = _find_shared_url(base.targets)
+    if shared_url is not None:
+        return result.Failure((shared_url,))
+    return result.Success(base.make_configuration(source.revision))
 
 
 class _BaseReader:
-    """The rows of a base file, checked one by one and then together."""
+    """Reads the sections of a base file and adds problems to a report.
+
+    ``sites`` and ``targets`` hold the valid rows, to which overlays are
+    applied afterwards.
+    """
 
     def __init__(self, report: _checks.ProblemReport, base: object) -> None:
         self._report = report
@@ -163,11 +172,11 @@
         self.targets: _overlay.Rows = {}
         self._indexes: tuple[str, ...] = ()
         self._base = base if isinstance(base, dict) else {}
-        # Parts that are sound are read even if others are not, so that
-        # one run shows all mistakes.
-        top = report.read_object('$', base, _BASE_RULES)
-        if top is not None:
-            self._indexes = top['indexes']
+        # Valid sections are read even if others are invalid, so that one
+        # run reports all problems.
+        row = report.read_object('$', base, _BASE_RULES)
+        if row is not None:
+            self._indexes = row['indexes']
         if not isinstance(base, dict):
             return
         self._read_limits()
@@ -178,7 +187,7 @@
     def make_configuration(
         self, revision: int
     ) -> _configuration.Configuration:
-        """Return the configuration; only for rows without mistakes."""
+        """Return the configuration; to be called only without problems."""
         sites = {
             name: _configuration.Site(name=name, **row)
             for name, row in self.sites.items()
@@ -196,14 +205,14 @@
             self.limits,
         )
 
-    def has_entry(self, part: str, name: str) -> bool:
-        """Whether the base states a row, be it sound or not."""
-        return name in self._section(part)
+    def has_entry(self, section: str, name: str) -> bool:
+        """Whether the section of the base has an entry, valid or not."""
+        return name in self._section(section)
 
     def _section(self, name: str) -> dict:
-        # A part of the wrong type is already reported with the base.
-        part = self._base.get(name, {})
-        return part if isinstance(part, dict) else {}
+        # A section of the wrong type has been reported with the base.
+        section = self._base.get(name, {})
+        return section if isinstance(section, dict) else {}
 
     def _read_limits(self) -> None:
         row = self._report.read_object(
@@ -227,7 +236,7 @@
         total = sum(row['share'] for row in self.sites.values())
         if total > 1.0 + _ROUNDING_TOLERANCE:
             self._report.add_described(
-                'sites', f'shares that sum to {total:g}', 'a sum of at most 1'
+                'sites', f'shares with sum {total:g}', 'a sum of at most 1'
             )
 
     def _read_targets(self) -> None:
@@ -239,11 +248,11 @@
             )
 
     def _check_defined(
-        self, path: str, name: str, known: typing.Collection[str]
+        self, path: str, name: str, defined: typing.Collection[str]
     ) -> None:
-        if name not in known:
-            listed = ', '.join(str(each) for each in list(known)[:10])
-            self._report.add(path, name, f'one of those defined: {listed}')
+        if name not in defined:
+            listed = ', '.join(str(each) for each in list(defined)[:10])
+            self._report.add(path, name, f'a defined one: {listed}')
 
     def _read_services(self) -> None:
         raw = self._section('services')
@@ -302,8 +311,8 @@
 
 
 def _find_shared_url(targets: _overlay.Rows) -> _checks.Problem | None:
-    # Slots are counted by target name: two names for one server would let
-    # it be given twice the work that it allows.
+    # Slots are counted by target name: a server with two names would be
+    # sent twice the work that it allows.
     seen: dict[str, str] = {}
     for name, row in targets.items():
         other = seen.setdefault(row['url'].rstrip('/'), name)
--- a/samphiredock/state/_configuration.py
+++ b/samphiredock/state/_configuration.py
@@ -1,4 +1,4 @@
-"""The compiled configuration: what is in force at a daemon.
+"""The compiled configuration that a daemon applies.
 
 Operators write one base file and an overlay for each site; the compiler
 (:mod:`samphiredock.state._compiler`) turns them into these types.
@@ -12,7 +12,7 @@
 
 
 class MergeKind(enum.Enum):
-    """How sub-answers become one answer."""
+    """How the records of several shards are ordered in one answer."""
 
     BY_SCORE = 'by-score'
     BY_KEY = 'by-key'
@@ -22,8 +22,13 @@
 class Search:
     """One search that a service may run.
 
-    ``least_coverage`` is the smallest part of the key space with which the
-    service wants an answer at all; below it the outcome is no answer.
+    ``deadline_ms`` is the deadline of a request that states none.
+    ``least_coverage`` is the smallest fraction of the key space with which
+    an answer is given; below it the outcome is not an answer.  ``canary``
+    says that one shard is asked before the others, so that a content that
+    crashes targets costs few of them.  ``limit`` is the largest number of
+    records.  ``fields`` are the names that a request's terms may have; empty
+    allows every name.
     """
 
     name: str
@@ -39,7 +44,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Operation:
-    """One unrepeatable operation and the targets that can run it."""
+    """One unrepeatable operation and the targets that can run it.
+
+    ``deadline_ms`` is the deadline of a request that states none.
+    """
 
     name: str
     deadline_ms: int
@@ -49,7 +57,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A customer: its searches, operations and limits."""
+    """A customer: its searches, operations and limits.
+
+    ``weight`` is its proportion of the capacity among the services that are
+    busy; ``max_in_flight`` bounds its requests in progress at one daemon.
+    """
 
     name: str
     searches: typing.Mapping[str, Search]
@@ -60,11 +72,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Site:
-    """A data centre: its region and its part of the common capacity.
+    """A data centre: its region and its share of the targets' capacity.
 
-    ``share`` is the guaranteed part, ``share_cap`` the most it may use
-    while the others leave capacity idle; ``service_caps`` are this site's
-    own tighter caps for single services.
+    All values are fractions of the capacity, 0.0 to 1.0.  ``share`` is
+    guaranteed to the site's requests; ``share_cap`` is the most they may use
+    while other sites leave capacity idle.  ``service_caps`` are lower caps
+    for single services, set by the site's overlay.
     """
 
     name: str
@@ -76,7 +89,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """A back end: where it is and what it allows in total."""
+    """A back end and what it allows from all daemons together.
+
+    ``slots`` is how many exchanges it works on at once, ``connections`` how
+    many connections it accepts, ``connect_ms`` how long connecting takes.
+    """
 
     name: str
     site: str
@@ -88,10 +105,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Numbers that hold for the whole system.
-
-    ``hedge_after_ms`` is a fixed delay of hedges, in place of the quantile;
-    0 leaves the delay to the quantile.
+    """Limits and delays that are common to all daemons.
+
+    ``deadline_limit_ms`` is the longest deadline, ``body_limit_bytes`` the
+    largest body and ``terms_limit`` the largest number of terms of a
+    request.  ``key_retention_ms`` is the age up to which idempotency keys
+    are accepted.  ``queue_per_target`` bounds the attempts queued for one
+    target, ``in_flight_per_daemon`` the requests in progress at one daemon.
+    ``hedge_budget`` is the allowed number of hedges and
+    retries for each first attempt.  A hedge is sent after the quantile
+    ``hedge_quantile`` of measured latencies, or after ``hedge_after_ms`` if
+    that is not 0.  ``batch_window_ms`` is how long a dispatcher waits for
+    further items of a batch, ``batch_items`` the most items of one.
+    ``silent_after_ms`` is when an exchange without a response is given up.
     """
 
     deadline_limit_ms: int = 30_000
@@ -110,7 +136,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """One accepted revision; a daemon only ever applies a higher one."""
+    """One accepted revision; a daemon replaces it only by a higher one."""
 
     revision: int
     services: typing.Mapping[str, Service]
--- a/samphiredock/state/_member.py
+++ b/samphiredock/state/_member.py
@@ -1,10 +1,10 @@
-"""What a daemon knows of the other daemons."""
+"""The stored object by which daemons find each other."""
 
 import msgspec
 
 
 class Member(msgspec.Struct, frozen=True):
-    """One daemon's life: a restart is a new, higher incarnation."""
+    """One daemon; ``incarnation`` is higher after each restart."""
 
     name: str
     site: str
