--- a/samphiredock/state/_entry_settings.py
+++ b/samphiredock/state/_entry_settings.py
@@ -1,7 +1,4 @@
-"""Settings of a daemon that passes requests on.
-
-Read from a file of JSON with comments, like those of the other daemons.
-"""
+"""The settings of a daemon that passes requests on, read from a JSON5 file."""
 
 import dataclasses
 import pathlib
@@ -17,27 +14,49 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntrySettings:
-    """What such a daemon must know before it can ask anybody.
-
-    Addresses are ``IP:port``.  ``retry_ratio``, ``retry_slack`` and
-    ``retry_window_s`` are the budget of all daemons together: repeated
-    requests to a service for each first one, and beyond, in any window of
-    that length.  ``stop_limit_s`` is when a stopping process is killed.
-    ``peer_address`` is for the other daemons.  The host does ``cores``
-    times the work of a plain core, for ``core_share`` of the time;
-    ``coordinators_per_site`` of them ask the
-    targets, the others hand requests over to those.
-    ``balancer_lag_ms`` is how long requests still come after readiness went
-    off; ``watch_ms`` how long a watch at the store waits for a change, and
-    so how long a store that fell silent goes unnoticed at most;
-    ``collect_ms`` how long changes may gather after one before the next
-    watch.
-    ``caller_way_ms`` is what the way from the caller and back takes of a
-    route's aim; connecting is read off the time that callers state.
-    ``hedge_quantile`` is the quantile of the
-    latency of a route's sub-queries after which one is hedged;
-    ``other_site_factor`` how much longer the wait at a target of the same
-    site may look before another site's is taken.
+    """What a daemon that passes requests on needs at its start.
+
+    Addresses are ``IP:port``:
+
+    - ``caller_address``: where callers send requests;
+    - ``ready_address``: where load balancers ask whether it is ready;
+    - ``peer_address``: for the other daemons;
+    - ``platform_address``: of the platform's object store;
+    - ``metrics_address``: where metrics are read, None for nowhere.
+
+    Capacity:
+
+    - ``cores``: speed of the host in units of one reference core;
+    - ``core_share``: fraction of the time for which that speed is available;
+    - ``coordinators_per_site``: how many daemons of a site send requests to
+      targets; the others hand requests over to these.
+
+    Budget of extra requests, which are retries and hedges, of all daemons
+    together for each service:
+
+    - ``retry_ratio``: extra requests allowed for each first attempt;
+    - ``retry_slack``: extra requests allowed beyond that in any window;
+    - ``retry_window_s``: length of the windows.
+
+    Times:
+
+    - ``stop_limit_s``: time after which a stopping process is killed;
+    - ``balancer_lag_ms``: how long load balancers keep sending requests
+      after the daemon has reported that it is not ready;
+    - ``watch_ms``: how long a watch request to the store waits for a change,
+      which bounds how long a store that stops responding goes unnoticed;
+    - ``collect_ms``: how long the daemon waits after a change before the
+      next watch, so that further changes come together;
+    - ``caller_way_ms``: network round trip from the caller, subtracted from
+      a route's ``aim_ms``; it excludes connecting, which follows from the
+      time that callers state.
+
+    Choice of targets:
+
+    - ``hedge_quantile``: quantile of a route's sub-query latencies after
+      which a hedge is sent;
+    - ``other_site_factor``: when a target is chosen, the expected wait at one
+      of another site counts as longer by this factor.
     """
 
     name: str
@@ -94,7 +113,7 @@
 def load_entry_settings(
     path: pathlib.Path,
 ) -> result.Result[EntrySettings, tuple[_checks.Problem, ...]]:
-    """Read and check a settings file; every mistake is reported."""
+    """Return the settings in a file, or all problems."""
     read = _json5.read_json5(path)
     if isinstance(read, result.Failure):
         return result.Failure((read.failure(),))
--- a/samphiredock/state/_json5.py
+++ b/samphiredock/state/_json5.py
@@ -1,4 +1,4 @@
-"""Reading of files of JSON with comments."""
+"""Reading of JSON5 files."""
 
 import pathlib
 import typing
@@ -14,7 +14,7 @@
 def read_json5(
     path: pathlib.Path,
 ) -> result.Result[typing.Any, _checks.Problem]:
-    """Return the value that a file of JSON with comments holds."""
+    """Return the value in a JSON5 file, or why it cannot be read."""
     try:
         data = path.read_bytes()
     except (OSError, ValueError) as error:
@@ -33,10 +33,10 @@
 
 
 def parse_json5(text: str) -> typing.Any:
-    """Return the value of a text; ``ValueError`` says what is wrong.
+    """Return the value of a JSON5 text.
 
-    A field that is stated twice is refused: one of the two would be lost
-    without a word.
+    Raises ``ValueError`` if it is invalid, or has a field twice, of which
+    one would be ignored silently.
     """
     return json5.loads(text, allow_duplicate_keys=False)
 
--- a/samphiredock/state/_keys.py
+++ b/samphiredock/state/_keys.py
@@ -1,4 +1,4 @@
-"""The keys file: the operators' token and the CURVE keys of daemons."""
+"""The keys file: the operators' token and the daemons' CURVE keys."""
 
 import dataclasses
 import pathlib
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CurvePair:
-    """A CURVE key pair in Z85 text."""
+    """A CURVE key pair; both keys are in Z85."""
 
     public: str
     secret: str = dataclasses.field(repr=False)
@@ -26,10 +26,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Keys:
-    """Secrets of one daemon.
+    """The secrets of one daemon.
 
-    ``admitted`` holds the public key of every daemon that may talk to
-    this one, by member name; it is used with ``curve`` only.
+    ``operator_token`` authorises operators' calls.  ``curve`` is the key
+    pair of this daemon, None if connections between daemons are not
+    encrypted.  ``admitted`` maps the name of each daemon that may connect to
+    its public key; it requires ``curve``.
     """
 
     operator_token: str | None = dataclasses.field(default=None, repr=False)
@@ -71,10 +73,10 @@
 
 
 class _RedactedReport(_checks.ProblemReport):
-    """A report that never shows a value: it may be a secret."""
+    """A report without the values that were read: they may be secrets."""
 
     def add(self, path: str, got: object, expected: str) -> None:
-        """Note one mistake by the value's type."""
+        """Add a problem with the type and the length of the value."""
         kind = type(got).__name__
         size = f' of length {len(got)}' if isinstance(got, str) else ''
         self.add_described(path, f'a {kind}{size}', expected)
@@ -83,11 +85,10 @@
 def load_keys(
     path: pathlib.Path,
 ) -> result.Result[Keys, tuple[_checks.Problem, ...]]:
-    """Read and check a keys file.
+    """Return the keys in a file, or all problems.
 
-    A file that any user of the host may read or write is refused: a
-    leaked token lets anybody change the configuration, and a warning in
-    a log would be seen too late.
+    A file that every user of the host may read or write is refused, rather
+    than only warned of: its token lets anyone change the configuration.
     """
     report = _RedactedReport(str(path))
     read = _json5.read_json5(path)
@@ -100,11 +101,11 @@
         )
     raw = read.unwrap()
     row = report.read_object('$', raw, _KEYS_RULES)
-    stated = raw if isinstance(raw, dict) else {}
-    curve = _read_pair(report, stated.get('curve'))
-    admitted = stated.get('admitted')
+    raw_fields = raw if isinstance(raw, dict) else {}
+    curve = _read_pair(report, raw_fields.get('curve'))
+    admitted = raw_fields.get('admitted')
     if isinstance(admitted, dict):
-        _check_admitted(report, admitted, 'curve' in stated)
+        _check_admitted(report, admitted, 'curve' in raw_fields)
     if report.problems or row is None:
         return result.Failure(tuple(report.problems))
     return result.Success(
@@ -127,5 +128,5 @@
             report.add(f'admitted.{name}', key, _CURVE_KEY_RULE.expected)
     if admitted and not has_pair:
         report.add_described(
-            'curve', 'nothing', 'a key pair, as keys are admitted'
+            'curve', 'nothing', 'a key pair, because admitted is not empty'
         )
--- a/samphiredock/state/_overlay.py
+++ b/samphiredock/state/_overlay.py
@@ -1,8 +1,7 @@
-"""Overlays: what one site states about itself, never past the base.
+"""Overlays: values by which one site deviates from the base file.
 
-The base states the common limits.  An overlay may only tighten them for
-its own site; otherwise one site could take capacity that the others are
-promised, and the base file would no longer tell the truth.
+An overlay can only lower the limits of the base, and only for its own site;
+otherwise a site could take capacity that is guaranteed to others.
 """
 
 import typing
@@ -24,44 +23,44 @@
 }
 _BASE_ONLY_FIELDS = {
     'limits': 'limits in the base file only: they are common to all sites',
-    'share': 'share in the base file only: it is promised capacity',
+    'share': 'share in the base file only: it is guaranteed capacity',
     'region': 'region in the base file only',
     'indexes': 'indexes in the base file only',
-    'sites': "only this site's own differences",
+    'sites': "only this site's own values",
 }
 
 Rows = dict[str, dict[str, typing.Any]]
 
 
 class BaseRows(typing.Protocol):
-    """The base's rows, of which an overlay changes its own site's."""
+    """The valid rows of the base; an overlay changes those of its site."""
 
     sites: Rows
     targets: Rows
 
-    def has_entry(self, part: str, name: str) -> bool:
-        """Whether the base states a row, be it sound or not."""
+    def has_entry(self, section: str, name: str) -> bool:
+        """Whether the section of the base has an entry, valid or not."""
 
 
 def apply_overlay(
     report: _checks.ProblemReport, site: str, raw: object, base: BaseRows
 ) -> None:
-    """Change the rows of ``base`` by one overlay.
+    """Apply the overlay of one site to the rows of ``base``.
 
-    Mistakes go to ``report``; a row is changed only by a sound value.
+    Problems are added to ``report``; invalid values are not applied.
     """
     if site not in base.sites:
         report.add_described(
             '$',
             f'an overlay for site {site!r}',
-            'a site of the base: ' + ', '.join(base.sites),
+            'one of the sites of the base: ' + ', '.join(base.sites),
         )
         return
     if isinstance(raw, dict):
         for key in raw:
             if key in _BASE_ONLY_FIELDS:
                 report.add_described(
-                    key, 'a common field', _BASE_ONLY_FIELDS[key]
+                    key, 'a field of the base file', _BASE_ONLY_FIELDS[key]
                 )
         raw = {key: raw[key] for key in raw if key not in _BASE_ONLY_FIELDS}
     row = report.read_object('$', raw, _OVERLAY_RULES)
@@ -79,9 +78,9 @@
 ) -> None:
     if share_cap is None:
         return
-    common = site['share_cap']
-    if share_cap > common:
-        report.add('share_cap', share_cap, _expected_limit(common))
+    base_cap = site['share_cap']
+    if share_cap > base_cap:
+        report.add('share_cap', share_cap, _expected_limit(base_cap))
     elif share_cap < site['share']:
         report.add(
             'share_cap',
@@ -156,4 +155,4 @@
 
 
 def _expected_limit(limit: float) -> str:
-    return f'at most {limit}: an overlay cannot raise the common limit'
+    return f'at most {limit}: an overlay cannot raise the limit of the base'
--- a/samphiredock/state/_routes.py
+++ b/samphiredock/state/_routes.py
@@ -1,15 +1,15 @@
-"""Routes: which service, or which shards, a passed-on request goes to."""
+"""Routes: to which services or shards requests are passed on."""
 
 import dataclasses
 import typing
 
 RECORD_BYTES = 16
-"""Length of a record in a shard's part, fixed by the targets' protocol."""
+"""Length of one record in a target's response, as targets define it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One of the services that share a route, and its proportion."""
+    """One of the services of a route and its proportion of the requests."""
 
     service: str
     weight: float
@@ -17,15 +17,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """What one configuration says of the requests below a path.
-
-    Exactly one of ``services`` (one is chosen by weight for each request)
-    and ``shards`` (all are asked, and their answers merged) is not empty.
-    ``aim_ms`` is when an answer stops being worth its whole value to the
-    caller, ``timeout_ms`` the longest that a request may be kept waiting.
-    ``attempts`` is how many targets may run one request (of each shard);
-    ``least_share`` the smallest part of the shards with which an answer is
-    a success, ``top`` how many records it has.
+    """How requests to one host name and path prefix are passed on.
+
+    Exactly one of ``services`` and ``shards`` is not empty.  Of ``services``
+    one is chosen by weight for each request.  Of ``shards`` all are asked,
+    and their parts are merged into one response; each is the name of a
+    service whose targets hold that shard.
+
+    ``host`` is the name in the ``Host`` header.  ``repeatable`` says that a
+    request may run more than once.  ``aim_ms`` is the latency up to which a
+    response has its full value to the caller, ``timeout_ms`` the longest
+    that a request waits.  ``attempts`` is how many targets may run one
+    request, for each shard.  ``rank`` is the priority that the platform
+    states; it is not used.  ``least_share`` is the smallest fraction of the
+    shards with which a merged response is a success, ``top`` the number of
+    its records.
     """
 
     name: str
@@ -44,7 +50,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may stay idle."""
+    """Limits on callers: sizes of requests and times.
+
+    ``header_ms`` is how long a caller may take to send the header,
+    ``idle_ms`` how long its connection may be idle.
+    """
 
     header_bytes: int = 16_384
     body_bytes: int = 1_048_576
@@ -54,10 +64,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """One version of all routes; a daemon only ever applies a higher one.
+    """One version of all routes; a daemon replaces it only by a higher one.
 
-    ``connections`` is how many connections a target of a service takes
-    from all callers together.
+    ``connections`` is, for each service, how many connections one of its
+    targets accepts from all daemons together.
     """
 
     version: int
@@ -66,7 +76,10 @@
     limits: CallerLimits
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of ``host`` with the longest prefix of ``path``."""
+        """Return the route with the longest prefix of ``path``, None if none.
+
+        ``host`` may have a port, ``path`` a query string; both are ignored.
+        """
         name = host.partition(':')[0].lower()
         plain = path.partition('?')[0]
         fitting = [
--- a/samphiredock/state/_settings.py
+++ b/samphiredock/state/_settings.py
@@ -1,4 +1,4 @@
-"""A daemon's own settings, read from a file of JSON with comments."""
+"""The settings of one daemon, read from a JSON5 file."""
 
 import dataclasses
 import pathlib
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TlsSettings:
-    """TLS towards callers: paths of the certificate and its key."""
+    """TLS for callers: paths of the certificate and the key, in PEM."""
 
     certificate_file: str
     key_file: str
@@ -25,12 +25,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settings:
-    """What one daemon must know before it can ask anybody.
+    """What a daemon needs at its start, before it has reached any other.
 
     ``caller_address`` and ``operator_address`` are ``IP:port``;
-    ``peer_address`` is ``tcp://IP:port``.  ``peers`` are addresses to
-    ask when the platform is down.  Paths of files may be relative to the
-    settings file; here they are as a process finds them.
+    ``peer_address`` is ``tcp://IP:port``.  ``peers`` are the peer addresses
+    of daemons to join through when the platform is unreachable.
+    ``balancer_lag_ms`` is how long load balancers keep sending requests
+    after the daemon has reported that it is not ready; ``shutdown_limit_ms``
+    bounds the duration of a shutdown.  In the file, paths are relative to
+    its folder; here that folder has been prepended.
     """
 
     name: str
@@ -72,18 +75,22 @@
 def load_settings(
     path: pathlib.Path,
 ) -> result.Result[Settings, tuple[_checks.Problem, ...]]:
-    """Read and check a settings file and the files that it names."""
+    """Return the settings in a file, or all problems.
+
+    The files that it names, of keys and certificates, are checked as well.
+    """
     read = _json5.read_json5(path)
     if isinstance(read, result.Failure):
         return result.Failure((read.failure(),))
     raw = read.unwrap()
     report = _checks.ProblemReport(str(path))
     row = report.read_object('$', raw, _SETTINGS_RULES)
-    # Other mistakes do not hide those in the files that are named.
-    stated = raw if isinstance(raw, dict) else {}
-    tls = _read_tls(report, path.parent, stated.get('tls'))
-    keys_file = _read_keys(report, path.parent, stated.get('keys_file'))
-    _check_distinct_addresses(report, stated)
+    # The named files are checked even if the settings have problems, so
+    # that one run reports everything.
+    raw_fields = raw if isinstance(raw, dict) else {}
+    tls = _read_tls(report, path.parent, raw_fields.get('tls'))
+    keys_file = _read_keys(report, path.parent, raw_fields.get('keys_file'))
+    _check_distinct_addresses(report, raw_fields)
     if report.problems or row is None:
         return result.Failure(tuple(report.problems))
     return result.Success(
@@ -117,7 +124,7 @@
         context.load_cert_chain(tls.certificate_file, tls.key_file)
     except (OSError, ValueError) as error:
         report.add_described(
-            'tls', str(error), 'a readable PEM certificate and its key'
+            'tls', str(error), 'a readable certificate and its key, in PEM'
         )
     return tls
 
--- a/samphiredock/state/_snapshots.py
+++ b/samphiredock/state/_snapshots.py
@@ -1,4 +1,4 @@
-"""The published snapshot: one version and shard map for every index."""
+"""Snapshots: one version and shard map of every index, published together."""
 
 import typing
 
@@ -7,11 +7,11 @@
 from samphiredock import protocol
 
 KEY_SPACE_SIZE = 2**32
-"""Keys of every index are placed in ``[0, KEY_SPACE_SIZE)``."""
+"""The key space of every index is ``[0, KEY_SPACE_SIZE)``."""
 
 
 class Shard(msgspec.Struct, frozen=True):
-    """One shard of one index and the targets that hold a replica."""
+    """One shard of an index; ``replicas`` are the targets that hold it."""
 
     shard_id: str
     key_range: protocol.KeyRange
@@ -26,10 +26,10 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """One consistent cut across all indexes.
+    """Versions of all indexes that belong together.
 
-    A snapshot is published as a single object, so that a reader can never
-    see one index's new version beside another's old one.
+    A snapshot is published as a single object, so that a reader cannot
+    combine the new version of one index with the old one of another.
     """
 
     snapshot_id: int
@@ -39,14 +39,15 @@
 def check_snapshot(
     snapshot: Snapshot, targets: typing.Container[str]
 ) -> list[str]:
-    """Return what is wrong with a published snapshot, empty if sound.
+    """Return the problems of a published snapshot, empty if it is valid.
 
-    A gap between shards would be a hole in every answer, an overlap would
-    count keys twice, and a shard without known replicas cannot be read.
+    The shards of each index must cover the key space without gaps, which
+    every answer would lack, and without overlaps, whose records it would
+    hold twice.  Each shard needs replicas, all of them configured targets.
     """
     problems = []
     if not snapshot.indexes:
-        problems.append('got no indexes, expected one or more')
+        problems.append('snapshot: got no indexes, expected one or more')
     for name, index in snapshot.indexes.items():
         problems += _check_ranges(name, index)
         for shard in index.shards:
@@ -56,22 +57,23 @@
 
 def _check_ranges(name: str, index: IndexSnapshot) -> list[str]:
     problems = []
-    identifiers = {shard.shard_id for shard in index.shards}
-    if len(identifiers) != len(index.shards):
-        problems.append(f'{name}: got a shard id twice, expected it once')
-    position = 0
+    shard_ids = {shard.shard_id for shard in index.shards}
+    if len(shard_ids) != len(index.shards):
+        problems.append(f'{name}: got a shard id twice, expected unique ids')
+    covered_to = 0
     rows = sorted(index.shards, key=lambda shard: shard.key_range.low)
     for shard in rows:
         low, high = shard.key_range.low, shard.key_range.high
-        if low != position or high <= low:
+        if low != covered_to or high <= low:
             problems.append(
                 f'{name}/{shard.shard_id}: got range {low} to {high}, '
-                f'expected one that begins at {position}'
+                f'expected one that begins at {covered_to}'
             )
-        position = max(position, high)
-    if position != KEY_SPACE_SIZE:
+        covered_to = max(covered_to, high)
+    if covered_to != KEY_SPACE_SIZE:
         problems.append(
-            f'{name}: got shards up to {position}, expected {KEY_SPACE_SIZE}'
+            f'{name}: got shards up to key {covered_to}, '
+            f'expected them up to {KEY_SPACE_SIZE}'
         )
     return problems
 
@@ -83,7 +85,7 @@
     if not shard.replicas:
         return [f'{where}: got no replicas, expected one or more']
     if len(set(shard.replicas)) != len(shard.replicas):
-        return [f'{where}: got a replica twice, expected it once']
+        return [f'{where}: got a replica twice, expected different targets']
     return [
         f'{where}: got target {target!r}, expected a configured one'
         for target in shard.replicas
