--- a/samphiredock/coordination/once/_run_request.py
+++ b/samphiredock/coordination/once/_run_request.py
@@ -8,8 +8,8 @@
 import dataclasses
 import typing
 
-from samphiredock.coordination.once import _claim_book
-from samphiredock.coordination.once import _claim_holders
+from samphiredock.coordination.once import _claim_registry
+from samphiredock.coordination.once import _claim_statuses
 from samphiredock.coordination.once import _run_admission
 from samphiredock.coordination.once import _run_orders
 from samphiredock.coordination.once import _run_states
@@ -56,7 +56,7 @@
     ``may_be_stored`` says that its claim may be in the store.
     """
 
-    admitted: _run_admission.Admitted
+    admitted: _run_admission.AdmittedRequest
     token: str
     progress: _run_states.RunProgress
     task: asyncio.Task | None = None
@@ -73,21 +73,21 @@
         _run_states.step(self.progress, trigger)
 
 
-class Endings:
+class OutcomeRecorder:
     """Ends requests: towards the caller, the peers and the store."""
 
     def __init__(
         self,
-        book: _claim_book.ClaimBook,
-        holders: _claim_holders.Holders,
+        claims: _claim_registry.ClaimRegistry,
+        statuses: _claim_statuses.ClaimStatuses,
         quarantine: RunQuarantine,
         counters: metrics.Metrics,
     ) -> None:
-        self._book = book
-        self._holders = holders
+        self._claims = claims
+        self._statuses = statuses
         self._quarantine = quarantine
         self._metrics = counters
-        self._unsettled: dict[str, _run_admission.Admitted] = {}
+        self._unsettled: dict[str, _run_admission.AdmittedRequest] = {}
 
     def replay(
         self, run: Run, outcome: protocol.Completed
@@ -95,28 +95,28 @@
         """Answer with the outcome of another claim."""
         run.step('complete')
         self._metrics.add('run_replayed')
-        self._give_up(run)
+        self._abandon_claim(run)
         return replayed(outcome)
 
-    def note_lost(
+    def record_target_loss(
         self,
-        admitted: _run_admission.Admitted,
+        admitted: _run_admission.AdmittedRequest,
         report: protocol.RunReport | None,
     ) -> None:
         """Tell the quarantine if a target was lost under the request."""
         if report is not None and report.target_lost:
             self._quarantine.note_lost(admitted.fingerprint, report.target)
 
-    def ran(
+    def complete(
         self,
         token: str,
-        admitted: _run_admission.Admitted,
+        admitted: _run_admission.AdmittedRequest,
         report: protocol.RunReport,
     ) -> protocol.Completed:
         """A target ran it: tell who asked, and record it in background."""
         self._quarantine.note_succeeded(admitted.fingerprint)
         outcome = protocol.Completed(report.result, report.accepted, False)
-        self._holders.change(token, _Status.DONE, outcome)
+        self._statuses.update(token, _Status.DONE, outcome)
         self._metrics.add('runs_completed')
         self._close(
             admitted.place,
@@ -130,16 +130,16 @@
         """Record the true end of a request that was called unknown."""
         admitted = self._unsettled.pop(token, None)
         if admitted is None or (
-            self._holders.status(token) is not _Status.UNSETTLED
+            self._statuses.status(token) is not _Status.UNSETTLED
         ):
             return
         if _run_orders.proves_not_begun(report):
-            self._holders.change(token, _Status.NEVER_SENT)
+            self._statuses.update(token, _Status.NEVER_SENT)
             self._close_not_run(token, admitted)
             return
-        self.ran(token, admitted, report)
+        self.complete(token, admitted, report)
 
-    def lose(self, run: Run, detail: str) -> protocol.Unknown:
+    def answer_unknown(self, run: Run, detail: str) -> protocol.Unknown:
         """Answer that the end is not known."""
         before = run.progress.state
         run.step('lose')
@@ -148,15 +148,15 @@
             _run_states.RunState.SENT,
             _run_states.RunState.CANCELLING,
         ):
-            self._holders.change(run.token, _Status.UNSETTLED)
+            self._statuses.update(run.token, _Status.UNSETTLED)
             self._unsettled[run.token] = run.admitted
             while len(self._unsettled) > _run_orders.OUTSTANDING_LIMIT:
                 del self._unsettled[next(iter(self._unsettled))]
         else:
-            self._give_up(run)
+            self._abandon_claim(run)
         return protocol.Unknown(detail, RETRY_AFTER_MS)
 
-    def not_run(
+    def answer_not_run(
         self,
         run: Run,
         reason: protocol.NotRunReason,
@@ -174,20 +174,20 @@
             f'{run.token}: not run cannot be said in {run.progress.state}'
         )
         run.step('refuse')
-        self._give_up(run)
+        self._abandon_claim(run)
         return refusal
 
-    def _give_up(self, run: Run) -> None:
+    def _abandon_claim(self, run: Run) -> None:
         """Promise never to send, then free the key if it may be claimed."""
-        self._holders.change(run.token, _Status.NEVER_SENT)
+        self._statuses.update(run.token, _Status.NEVER_SENT)
         if run.may_be_stored:
             self._metrics.add('claims_given_up')
             self._close_not_run(run.token, run.admitted)
         else:
-            self._holders.forget(run.token)
+            self._statuses.forget(run.token)
 
     def _close_not_run(
-        self, token: str, admitted: _run_admission.Admitted
+        self, token: str, admitted: _run_admission.AdmittedRequest
     ) -> None:
         self._close(
             admitted.place,
@@ -195,14 +195,21 @@
         )
 
     def _close(self, place: state.ClaimLocation, final: state.Claim) -> None:
-        recorded = self._book.close(place, final)
-        recorded.add_done_callback(lambda _: self._holders.forget(final.token))
+        recorded = self._claims.close(place, final)
+        recorded.add_done_callback(
+            lambda _: self._statuses.forget(final.token)
+        )
 
 
-def open_claim(token: str, admitted: _run_admission.Admitted) -> state.Claim:
+def open_claim(
+    token: str, admitted: _run_admission.AdmittedRequest
+) -> state.Claim:
     """Return the open claim of a token for a request."""
     return state.Claim(
-        token, admitted.content, state.ClaimState.OPEN, admitted.since_ms
+        token,
+        admitted.content_digest,
+        state.ClaimState.OPEN,
+        admitted.since_ms,
     )
 
 
@@ -211,7 +218,7 @@
     return protocol.Completed(outcome.result, outcome.accepted, True)
 
 
-def stopping() -> protocol.NotRun:
+def shutting_down() -> protocol.NotRun:
     """Return the refusal of a daemon that takes nothing more."""
     return protocol.NotRun(
         protocol.NotRunReason.SHUTTING_DOWN,
--- a/tests/unit/test_scheduler.py
+++ b/tests/unit/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The decisions of one target's lane."""
+"""The scheduler of one target."""
 
 import unittest
 
@@ -22,12 +22,12 @@
         dispatching.target(slots=slots), state.Limits(**limits)
     )
     for _ in range(4):
-        scheduler.record.on_answer(0, 0.0, 0.0)
+        scheduler.health.on_answer(0, 0.0, 0.0)
     return scheduler
 
 
 class SlotsTest(unittest.TestCase):
-    """A slot is free when the target says so, or at its deadline."""
+    """A slot is free after an answer, else at the deadline."""
 
     def test_lost_exchange_holds_its_slot_until_its_deadline(self) -> None:
         scheduler = _scheduler_of(slots=1)
@@ -62,7 +62,7 @@
     def test_target_never_runs_more_than_its_slots(
         self, steps: list[tuple[str, int]], slots: int
     ) -> None:
-        """The model target works on lost exchanges until their deadline."""
+        """The modelled target runs lost exchanges until their deadline."""
         scheduler = _scheduler_of(slots=slots)
         now_ms, runs_until, out = 0.0, {}, []
         for number, (step, amount) in enumerate(steps):
@@ -94,9 +94,9 @@
 
 
 class BatchTest(unittest.TestCase):
-    """What goes together."""
+    """Which jobs share an exchange."""
 
-    def test_what_queued_while_busy_goes_together(self) -> None:
+    def test_jobs_queued_while_busy_share_an_exchange(self) -> None:
         scheduler = _scheduler_of(slots=1, batch_items=3)
         scheduler.submit(dispatching.job('0'), 0.0)
         (start,) = scheduler.pump(0.0)
@@ -105,7 +105,7 @@
         effects = scheduler.end_exchange(start.ticket, _ANSWERED, 1.0)
         self.assertEqual([['1', '2', '3']], dispatching.sent(effects))
 
-    def test_alone_goes_alone(self) -> None:
+    def test_job_that_must_be_alone_has_its_own_exchange(self) -> None:
         scheduler = _scheduler_of(slots=1)
         scheduler.submit(dispatching.job('0'), 0.0)
         (start,) = scheduler.pump(0.0)
@@ -137,7 +137,7 @@
 
 
 class RefusalTest(unittest.TestCase):
-    """Work that is answered without being sent."""
+    """Jobs that are refused without being sent."""
 
     def test_expired_work_is_answered_by_the_timer(self) -> None:
         scheduler = _scheduler_of(slots=1)
@@ -151,7 +151,7 @@
 
     def test_work_that_cannot_finish_is_not_sent(self) -> None:
         scheduler = _scheduler_of(slots=1)
-        scheduler.record.on_answer(1, 50.0, 0.0)
+        scheduler.health.on_answer(1, 50.0, 0.0)
         scheduler.submit(dispatching.job('1', 40.0), 0.0)
         scheduler.submit(dispatching.job('2', 60.0), 0.0)
         effects = scheduler.pump(0.0)
@@ -186,7 +186,7 @@
         effects = scheduler.end_exchange(start.ticket, _ANSWERED, 1.0)
         self.assertEqual({'1': 'quarantined'}, dispatching.refused(effects))
 
-    def test_full_queue_sheds_what_is_past_use_first(self) -> None:
+    def test_full_queue_sheds_jobs_that_expire_first(self) -> None:
         scheduler = _scheduler_of(slots=1, queue_per_target=2)
         scheduler.submit(dispatching.job('0', 5_000.0), 0.0)
         scheduler.pump(0.0)
@@ -197,8 +197,8 @@
         self.assertGreater(effects[0].retry_after_ms, 0)
 
 
-class TakeOverTest(unittest.TestCase):
-    """Slots that an earlier owner's work takes."""
+class ForeignSlotsTest(unittest.TestCase):
+    """Slots that exchanges of the previous owner take."""
 
     def test_foreign_slots_count_until_seen_free(self) -> None:
         scheduler = _scheduler_of(slots=2)
