--- a/samphiredock/state/_overlay.py
+++ b/samphiredock/state/_overlay.py
@@ -155,4 +155,4 @@
 
 
 def _expected_limit(limit: float) -> str:
-    return f'at most {limit}: an overlay cannot raise the limit of the base'
+    return f'at most {limit}: an overlay cannot raise a limit'
