--- a/tests/unit/test_wire_names.py
+++ b/tests/unit/test_wire_names.py
@@ -17,9 +17,9 @@
 
 from samphiredock.coordination.config import _current_state
 from samphiredock.coordination.fleet import _directory
-from samphiredock.coordination.forwarding import _end_notes
+from samphiredock.coordination.forwarding import _freshness_check
+from samphiredock.coordination.forwarding import _outcome_log
 from samphiredock.coordination.forwarding import _presence
-from samphiredock.coordination.forwarding import _vouching
 from samphiredock.coordination.quarantine import _quarantine
 from samphiredock.coordination.search import _scatter_types
 from samphiredock.coordination.targets import _target_signs
@@ -604,7 +604,7 @@
         """Objects and bodies whose type is private to one package."""
         cases = (
             ('site address cores near', _presence._Entry),
-            ('version hears', _vouching.Vouch),
+            ('version hears', _freshness_check.StoreStatus),
             ('leaving at_ms', _target_signs.TargetObject),
             ('key version value', _platform_http.ObjectRow),
             ('objects gone position', _platform_http.ObjectPage),
@@ -652,7 +652,7 @@
 
     def test_log_fields_of_an_end_are_pinned(self) -> None:
         """Those that are read off a search's tally, and the others."""
-        tree = ast.parse(inspect.getsource(_end_notes))
+        tree = ast.parse(inspect.getsource(_outcome_log))
         ends = [
             node
             for node in ast.walk(tree)
