--- a/samphiredock/state/_json5.py
+++ b/samphiredock/state/_json5.py
@@ -1,4 +1,4 @@
-"""Reading of files of JSON with comments."""
+"""Reading of JSON5 files."""
 
 import pathlib
 import typing
@@ -14,7 +14,7 @@
 def read_json5(
     path: pathlib.Path,
 ) -> result.Result[typing.Any, _checks.Problem]:
-    """Return the value that a file of JSON with comments holds."""
+    """Return the value in a JSON5 file, or why it cannot be read."""
     try:
         data = path.read_bytes()
     except (OSError, ValueError) as error:
@@ -26,17 +26,17 @@
             f'a file of at most {_SIZE_LIMIT_BYTES} bytes',
         )
     try:
-        return result.Success(parse_text(data.decode('utf-8')))
+        return result.Success(parse_json5(data.decode('utf-8')))
     except (ValueError, RecursionError) as error:
         why = ' '.join(str(error).split()) or type(error).__name__
         return _failure(path, why, 'JSON with comments')
 
 
-def parse_text(text: str) -> typing.Any:
-    """Return the value of a text; ``ValueError`` says what is wrong.
+def parse_json5(text: str) -> typing.Any:
+    """Return the value of a JSON5 text.
 
-    A field that is stated twice is refused: one of the two would be lost
-    without a word.
+    Raises ``ValueError`` if it is invalid, or has a field twice, of which
+    one would be ignored silently.
     """
     return json5.loads(text, allow_duplicate_keys=False)
 
