--- a/samphiredock/coordination/fleet/_relay.py
+++ b/samphiredock/coordination/fleet/_relay.py
@@ -82,11 +82,11 @@
     me
         This daemon's member.
     peers
-        The peer sockets.
+        The connections to the other daemons.
     codec
         Encodes the message within the envelope.
     live
-        The live members.
+        Returns the live members.
     counters
         Metrics of this daemon.
     """
--- a/samphiredock/coordination/targets/_dispatcher.py
+++ b/samphiredock/coordination/targets/_dispatcher.py
@@ -227,8 +227,8 @@
             self._submit(job.item.target, job, now_ms)
 
     def _max_age_ms(self, sender: str) -> float:
-        # A message from this daemon to itself passes no socket.  After the
-        # timer has noticed the freeze, its budget is right.
+        # A message from this daemon to itself waits in no socket, so after
+        # the timer has noticed a freeze its budget needs no correction.
         if sender == self._name and not self._message_age.has_unnoticed_gap():
             return 0.0
         return self._message_age.max_age_ms()
--- a/samphiredock/coordination/targets/_target_signs.py
+++ b/samphiredock/coordination/targets/_target_signs.py
@@ -168,7 +168,7 @@
         """Apply a target's own report and broadcast it if it is news.
 
         ``asked_at_ms`` is the wall-clock time at which the target was asked:
-        an answer that is older than the newest sign is no return.
+        an answer to a question from before the newest sign is no return.
         """
         known = self._signs.get(target, {}).get(SignSource.TARGET)
         if known is None and not leaving:
--- a/tests/unit/test_gossip.py
+++ b/tests/unit/test_gossip.py
@@ -78,7 +78,7 @@
                 self.assertEqual({STATES.ALIVE}, states)
         self.assertFalse(self.gossip.is_current(60_200.0))
 
-    def test_not_current_while_behind_what_peers_told(self) -> None:
+    def test_not_current_while_behind_versions_of_peers(self) -> None:
         """All peers have answered, but a newer version has not arrived."""
         self.gossip._is_behind = lambda: True
         self.gossip.tick(5_000.0)
