--- a/samphiredock/coordination/targets/_budget.py
+++ b/samphiredock/coordination/targets/_budget.py
@@ -31,7 +31,7 @@
 
     @property
     def tokens(self) -> float:
-        """The tokens left; negative after :meth:`owe`."""
+        """The tokens left; may be negative."""
         return self._tokens
 
     def note_needed(self, shards: typing.Sequence[str], share: float) -> None:
