--- a/samphiredock/coordination/forwarding/_collected_parts.py
+++ b/samphiredock/coordination/forwarding/_collected_parts.py
@@ -70,13 +70,13 @@
 
     def receipts(self) -> tuple[str, ...]:
         """Return the receipts of all shards that have a part."""
-        apart = [receipt for receipt, _ in self._replaceable.values()]
-        return (*self._receipts.values(), *apart)
+        separate = [receipt for receipt, _ in self._replaceable.values()]
+        return (*self._receipts.values(), *separate)
 
     def body(self) -> bytes:
         """Return the greatest records of all parts, greatest first."""
-        apart = [body for _, body in self._replaceable.values()]
-        return _route_plans.merge_parts([self._records, *apart], self._top)
+        separate = [body for _, body in self._replaceable.values()]
+        return _route_plans.merge_parts([self._records, *separate], self._top)
 
     def _merge(
         self, receipts: typing.Mapping[str, str], records: bytes
--- a/samphiredock/coordination/forwarding/_no_suspicions.py
+++ b/samphiredock/coordination/forwarding/_no_suspicions.py
@@ -1,19 +1,19 @@
-"""Quarantine stub for forwarded requests."""
+"""A stub for searches that track no suspicious contents."""
 
 
 class NoSuspicions:
-    """Suspicions for contents that no target has been lost to."""
+    """Suspicions that record nothing and refuse nothing."""
 
     def note_lost(self, fingerprint: str, target: str, service: str) -> None:
-        """Count nothing."""
+        """Do nothing."""
 
     def note_succeeded(self, fingerprint: str) -> None:
-        """Count nothing."""
+        """Do nothing."""
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """No content is refused."""
+        """Return False: no content is refused."""
         return False
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """No content is suspected."""
+        """Return False: no content is suspected."""
         return False
--- a/samphiredock/coordination/forwarding/_presence.py
+++ b/samphiredock/coordination/forwarding/_presence.py
@@ -79,8 +79,8 @@
         self._clock = clock
         self._on_list = on_list
         self._daemons: tuple[_roles.Daemon, ...] = ()
-        self._has_listed = False
-        self._is_listed = False
+        self._has_read_list = False
+        self._has_own_object = False
         self._must_register = True
         self._task: asyncio.Task | None = None
         self._version = 0
@@ -96,7 +96,7 @@
         They are ignored once this daemon has read the list itself, since they
         may be older.
         """
-        if self._has_listed:
+        if self._has_read_list:
             return False
         if not self._daemons:
             _log.notice('introduced by another daemon', daemons=len(daemons))
@@ -160,7 +160,7 @@
 
     async def _register(self) -> bool:
         expected = transport.CREATE_ONLY
-        if self._is_listed:
+        if self._has_own_object:
             expected = self._version
         reply = await self._store.put(self._key, self._value(), expected)
         if isinstance(reply, result.Success):
@@ -197,10 +197,10 @@
         if isinstance(reply, result.Failure):
             _log.info('daemons not listed', why=reply.failure().detail)
             return False
-        self._has_listed = True
+        self._has_read_list = True
         rows = {row.key: row for row in reply.unwrap()}
-        self._is_listed = self._key in rows
-        if self._is_listed:
+        self._has_own_object = self._key in rows
+        if self._has_own_object:
             self._adopt_own_object(rows[self._key])
         else:
             # Either an older list still showed the object that this daemon
--- a/samphiredock/coordination/forwarding/_window_budget.py
+++ b/samphiredock/coordination/forwarding/_window_budget.py
@@ -58,7 +58,7 @@
             protocol.SubStatus.DRAINING,
         }
     )
-    """A target that refuses a request was still asked."""
+    """Refusals that stay charged, since the request has reached a target."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
         self._window_ms = window_ms
 
     def note_needed(self, shards: typing.Sequence[str], share: float) -> None:
-        """Count the first request to each shard; ``share`` is not used."""
+        """Count the first request to each shard; ``share`` is ignored."""
         now_ms = self._clock.now_ms()
         for shard in shards:
             self._windows[shard].first.append(now_ms)
@@ -114,7 +114,7 @@
         return True
 
     def owe(self, shard: str = '') -> None:
-        """Count an extra request that cannot be refused."""
+        """Count an extra request without checking the budget."""
         self._windows[shard].extra.append(self._clock.now_ms())
 
     def refund(self, shard: str = '') -> None:
--- a/tests/failure/test_cold_start.py
+++ b/tests/failure/test_cold_start.py
@@ -72,7 +72,7 @@
         in_aim = sum(took <= _IN_AIM_MS for took in took_ms)
         median_ms = statistics.median(took_ms)
         print(
-            f'start rush: {in_aim} of {_SEARCHES} in aim, median '
+            f'cold start: {in_aim} of {_SEARCHES} in aim, median '
             f'{median_ms:.0f} ms, {requests / _SEARCHES:.1f} requests a '
             f'search, {handshakes} connections'
         )
--- a/tests/failure/test_cross_site_orders.py
+++ b/tests/failure/test_cross_site_orders.py
@@ -70,7 +70,7 @@
         await self.desk.advance(300.0)
 
     def check_whole(self, outcome: protocol.ForwardOutcome) -> None:
-        """Check that each shard counts once or is missing, and the records."""
+        """Check the records, and that each shard counts once or is missing."""
         self.assertIsInstance(outcome, protocol.Gathered)
         shards = [row.split('-')[1] for row in outcome.receipts]
         self.assertEqual(len(set(shards)), len(shards))
--- a/tests/failure/test_forwarder.py
+++ b/tests/failure/test_forwarder.py
@@ -178,11 +178,12 @@
     """Targets that refuse part of their work."""
 
     async def test_refusing_targets_get_less_work(self) -> None:
-        """The retry budget does not cover a retry of every refusal.
+        """Refusals must count in the choice of targets, not only latency.
 
         One target of each shard refuses four of ten requests at once; the
         other one is healthy.  If latency alone decided, both would get the
-        same work, and the retries would use up the budget within a second.
+        same work, and the retries would use up the shared budget within a
+        second.
         """
         desk = memory_links.ForwardDesk(daemons=8)
         rng = random.Random(memory_links.SEED)
--- a/tests/unit/test_live_targets.py
+++ b/tests/unit/test_live_targets.py
@@ -105,7 +105,7 @@
         """Its old health must not count for the new process.
 
         The target was lost and returns under the same id with a later
-        ``born_ms``: its health is reset and its connections are closed.
+        ``started_at_ms``: its health is reset and its connections are closed.
         """
         self.live.put(target('b', started_at_ms=5))
         self.live.record('b').on_failure(True, self.clock.now_ms())
