--- a/tests/unit/base_files.py
+++ b/tests/unit/base_files.py
@@ -1,4 +1,4 @@
-"""Base files for the tests of the compiler, the command line and HTTP."""
+"""Base files of configurations for tests."""
 
 import copy
 import pathlib
@@ -10,18 +10,20 @@
 from samphiredock import state
 
 EXAMPLES = pathlib.Path(__file__).parents[2] / 'examples' / 'gebeya'
-_BASE = json5.loads((EXAMPLES / 'base.json').read_text(encoding='utf-8'))
+_EXAMPLE_BASE = json5.loads(
+    (EXAMPLES / 'base.json').read_text(encoding='utf-8')
+)
 
 
 def example_base() -> dict[str, typing.Any]:
-    """Return the example's base file, to be changed at will."""
-    return copy.deepcopy(_BASE)
+    """Return a copy of the example's base file."""
+    return copy.deepcopy(_EXAMPLE_BASE)
 
 
 def make_source(
     raw: object, overlays: dict | None = None
 ) -> state.ConfigurationSource:
-    """Return a source of revision 1."""
+    """Return a configuration source of revision 1."""
     return state.ConfigurationSource(
         1, 'change-1', 'test', 0, raw, overlays or {}
     )
@@ -32,7 +34,7 @@
 
 @strategies.composite
 def valid_bases(draw: typing.Callable) -> dict[str, typing.Any]:
-    """Draw a base file that keeps every rule."""
+    """Draw a valid base file."""
     sites = draw(
         strategies.lists(
             strategies.sampled_from(_NAMES), min_size=1, unique=True
--- a/tests/unit/test_compiler.py
+++ b/tests/unit/test_compiler.py
@@ -1,4 +1,4 @@
-"""The compiler: all mistakes at once, and no site past the common limit."""
+"""The compiler reports all problems at once and enforces the base's limits."""
 
 import typing
 import unittest
@@ -17,10 +17,10 @@
 
 
 class CompilerTest(unittest.TestCase):
-    """A base with one mistake, an overlay with one, and many at once."""
+    """Base files and overlays, valid and with one or several problems."""
 
     def test_example_and_overlays_compile(self) -> None:
-        """An overlay changes its own site and nothing else."""
+        """An overlay changes the values of its own site only."""
         overlays = {
             'bole-a': {
                 'services': {'field-claims': {'cap': 0.6}},
@@ -28,10 +28,10 @@
             },
             'kirkos-b': {'share_cap': 0.6},
         }
-        made = state.compile_source(
+        compiled = state.compile_source(
             base_files.make_source(base_files.example_base(), overlays)
         )
-        found = made.unwrap()
+        found = compiled.unwrap()
         self.assertEqual(
             {'field-claims': 0.6}, found.sites['bole-a'].service_caps
         )
@@ -42,7 +42,7 @@
         self.assertEqual(10_000, found.limits.deadline_limit_ms)
 
     def test_each_mistake_in_the_base_is_named(self) -> None:
-        """One wrong value gives one mistake that names its path."""
+        """An invalid value gives a problem with its path."""
         search = 'services.field-claims.searches.claimant-history'
         operation = 'services.relief-payout.operations.release-payout'
         cases: dict[str, typing.Any] = {
@@ -68,21 +68,24 @@
         for path, value in cases.items():
             with self.subTest(path=path):
                 raw = base_files.example_base()
-                *way, last = path.split('.')
+                *parents, last = path.split('.')
                 row = raw
-                for key in way:
+                for key in parents:
                     row = row[key]
                 row[last] = value
                 self.assertIn(path, [row.path for row in _problems(raw)])
 
     def test_shares_sum_to_at_most_one(self) -> None:
-        """Promised capacity is not promised twice."""
+        """More than the whole capacity cannot be guaranteed."""
         raw = base_files.example_base()
         raw['sites']['bole-a']['share'] = 0.5
         self.assertEqual(['sites'], [row.path for row in _problems(raw)])
 
     def test_mistakes_of_all_files_come_at_once(self) -> None:
-        """A near name is offered; the overlay's mistakes are not hidden."""
+        """Problems of the base do not hide those of overlays.
+
+        An unknown field gets a suggestion of a similar one.
+        """
         raw = base_files.example_base()
         raw['sites']['bole-a']['share_cup'] = 1
         raw['targets']['desk-1']['slots'] = 0
@@ -92,13 +95,13 @@
             {row.path for row in found},
         )
         self.assertIn("'share_cap'", found[0].got)
-        # What is wrong in the base is not said again of its overlay.
+        # A problem of the base is not reported again for its overlay.
         overlay = {'targets': {'desk-1': {'slots': 1}}, 'share_cap': 0.5}
         self.assertEqual(2, len(_problems(raw, {'bole-a': overlay})))
         self.assertEqual('overlay yeka-c', found[-1].file)
 
     def test_two_targets_do_not_share_a_url(self) -> None:
-        """Slots are counted by name, so one server has one name."""
+        """A server with two names would be sent twice its slots of work."""
         raw = base_files.example_base()
         raw['targets']['desk-1']['url'] = 'http://127.0.0.1:7406/'
         self.assertEqual(
@@ -106,7 +109,7 @@
         )
 
     def test_overlay_cannot_pass_the_common_limit(self) -> None:
-        """The mistake names the file, the path and the rule."""
+        """A value above the base's, or a field of the base only, is refused."""
         cases = (
             ('bole-a', {'share_cap': 0.9}, 'share_cap'),
             ('bole-a', {'share_cap': 0.3}, 'share_cap'),
--- a/tests/unit/test_fuzz_compiler.py
+++ b/tests/unit/test_fuzz_compiler.py
@@ -1,4 +1,4 @@
-"""Random bases and mutations through the compiler."""
+"""Random base files, mutations and overlays given to the compiler."""
 
 import random
 import typing
@@ -31,61 +31,63 @@
     ),
     max_leaves=8,
 )
-_PARTS = strategies.floats(0, 1)
+_FRACTIONS = strategies.floats(0, 1)
 _SIZES = strategies.integers(1, 100)
 
 
-def _places(raw: typing.Any) -> list[tuple[typing.Any, typing.Any]]:
+def _locations(raw: typing.Any) -> list[tuple[typing.Any, typing.Any]]:
     rows = raw.items() if isinstance(raw, dict) else enumerate(raw)
     found = []
     for key, value in rows:
         found.append((raw, key))
         if isinstance(value, (dict, list)):
-            found += _places(value)
+            found += _locations(value)
     return found
 
 
 @strategies.composite
 def _overlays(draw: typing.Callable, raw: dict) -> list[dict]:
     site = draw(strategies.sampled_from(sorted(raw['sites'])))
-    own = [name for name, row in raw['targets'].items() if row['site'] == site]
+    own_targets = [
+        name for name, row in raw['targets'].items() if row['site'] == site
+    ]
     size = strategies.fixed_dictionaries(
         {}, optional={'slots': _SIZES, 'connections': _SIZES}
     )
-    cap = strategies.fixed_dictionaries({'cap': _PARTS})
-    kinds = {'share_cap': _PARTS}
-    if own:
-        kinds['targets'] = strategies.dictionaries(
-            strategies.sampled_from(own), size, min_size=1
+    cap = strategies.fixed_dictionaries({'cap': _FRACTIONS})
+    fields = {'share_cap': _FRACTIONS}
+    if own_targets:
+        fields['targets'] = strategies.dictionaries(
+            strategies.sampled_from(own_targets), size, min_size=1
         )
     if raw['services']:
-        kinds['services'] = strategies.dictionaries(
+        fields['services'] = strategies.dictionaries(
             strategies.sampled_from(sorted(raw['services'])), cap, min_size=1
         )
-    return [{site: {kind: draw(kinds[kind])}} for kind in sorted(kinds)]
+    return [{site: {field: draw(fields[field])}} for field in sorted(fields)]
 
 
 class CompilerFuzzTest(unittest.TestCase):
-    """The compiler never raises and never passes the common limit."""
+    """The compiler never raises, and overlays never raise a limit."""
 
     @SETTINGS
     @hypothesis.given(base_files.valid_bases())
     def test_a_valid_base_compiles(self, raw: dict) -> None:
-        """What keeps every rule is accepted."""
-        made = state.compile_source(base_files.make_source(raw))
-        self.assertIsInstance(made, result.Success, str(made))
+        """A valid base file is accepted."""
+        compiled = state.compile_source(base_files.make_source(raw))
+        self.assertIsInstance(compiled, result.Success, str(compiled))
 
     @SETTINGS
     @hypothesis.given(base_files.valid_bases(), JSON, strategies.integers(0))
     def test_a_mutation_never_raises(
         self, raw: dict, value: object, seed: int
     ) -> None:
-        """Any value at any place gives a configuration or mistakes."""
-        holder, key = random.Random(seed).choice(_places(raw))
-        holder[key] = value
-        made = state.compile_source(base_files.make_source(raw))
-        if isinstance(made, result.Success):
-            sites = made.unwrap().sites.values()
+        """Any value in any field gives a configuration or problems."""
+        container, key = random.Random(seed).choice(_locations(raw))
+        container[key] = value
+        compiled = state.compile_source(base_files.make_source(raw))
+        if isinstance(compiled, result.Success):
+            sites = compiled.unwrap().sites.values()
             self.assertLessEqual(sum(row.share for row in sites), 1 + 1e-6)
 
     @SETTINGS
@@ -93,7 +95,7 @@
     def test_anything_at_all_never_raises(
         self, raw: object, overlay: object
     ) -> None:
-        """Neither file need be an object."""
+        """A base or an overlay may be any JSON value."""
         state.compile_source(base_files.make_source(raw, {'bole-a': overlay}))
         state.compile_source(
             base_files.make_source(
@@ -106,25 +108,27 @@
     def test_no_overlay_passes_the_common_limit(
         self, data: strategies.DataObject
     ) -> None:
-        """What compiles with overlays is nowhere above the base alone."""
+        """Every limit compiled with overlays is at most that of the base."""
         raw = data.draw(base_files.valid_bases())
-        alone = state.compile_source(base_files.make_source(raw)).unwrap()
+        base_only = state.compile_source(base_files.make_source(raw)).unwrap()
         for overlays in data.draw(_overlays(raw)):
-            made = state.compile_source(base_files.make_source(raw, overlays))
-            if isinstance(made, result.Success):
-                self._assert_no_higher(alone, made.unwrap())
+            compiled = state.compile_source(
+                base_files.make_source(raw, overlays)
+            )
+            if isinstance(compiled, result.Success):
+                self._assert_no_higher(base_only, compiled.unwrap())
 
     def _assert_no_higher(
-        self, alone: state.Configuration, found: state.Configuration
+        self, base_only: state.Configuration, with_overlay: state.Configuration
     ) -> None:
-        self.assertEqual(alone.limits, found.limits)
-        for name, site in found.sites.items():
-            common = alone.sites[name]
-            self.assertLessEqual(site.share_cap, common.share_cap)
-            self.assertEqual(common.share, site.share)
+        self.assertEqual(base_only.limits, with_overlay.limits)
+        for name, site in with_overlay.sites.items():
+            base = base_only.sites[name]
+            self.assertLessEqual(site.share_cap, base.share_cap)
+            self.assertEqual(base.share, site.share)
             for cap in site.service_caps.values():
-                self.assertLessEqual(cap, common.share_cap)
-        for name, target in found.targets.items():
-            common = alone.targets[name]
-            self.assertLessEqual(target.slots, common.slots)
-            self.assertLessEqual(target.connections, common.connections)
+                self.assertLessEqual(cap, base.share_cap)
+        for name, target in with_overlay.targets.items():
+            base = base_only.targets[name]
+            self.assertLessEqual(target.slots, base.slots)
+            self.assertLessEqual(target.connections, base.connections)
--- a/tests/unit/test_fuzz_settings.py
+++ b/tests/unit/test_fuzz_settings.py
@@ -1,4 +1,4 @@
-"""Random texts and values as settings and keys files."""
+"""Random bytes and values as settings and keys files."""
 
 import json
 import pathlib
@@ -14,22 +14,22 @@
 from tests.unit import test_settings
 
 _FIELDS = strategies.sampled_from(
-    [*test_settings.SOUND, 'keys_file', 'tls', 'peers', 'log_level']
+    [*test_settings.VALID, 'keys_file', 'tls', 'peers', 'log_level']
 )
 _KEY_FIELDS = strategies.sampled_from(['operator_token', 'curve', 'admitted'])
 
 
 class SettingsFuzzTest(unittest.TestCase):
-    """A file gives settings or mistakes; nothing is raised."""
+    """Every file gives settings or problems; nothing is raised."""
 
     def setUp(self) -> None:
-        """Make a private file."""
-        holder = tempfile.TemporaryDirectory()
-        self.addCleanup(holder.cleanup)
-        self.path = pathlib.Path(holder.name) / 'file.json'
+        """Create a file that only its owner may read."""
+        temporary = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary.cleanup)
+        self.path = pathlib.Path(temporary.name) / 'file.json'
         self.path.touch(mode=0o600)
 
-    def _assert_judged(self, data: bytes) -> None:
+    def _assert_loaded_or_refused(self, data: bytes) -> None:
         self.path.write_bytes(data)
         for load in (state.load_settings, state.load_keys):
             loaded = load(self.path)
@@ -43,8 +43,8 @@
         | strategies.text('{}[]":,/*-+.xe01 \\\n', max_size=30).map(str.encode)
     )
     def test_any_text(self, data: bytes) -> None:
-        """Broken JSON of any kind is one mistake."""
-        self._assert_judged(data)
+        """Malformed JSON gives a problem."""
+        self._assert_loaded_or_refused(data)
 
     @test_fuzz_compiler.SETTINGS
     @hypothesis.given(
@@ -53,7 +53,7 @@
         )
     )
     def test_any_values(self, changes: dict) -> None:
-        """Any value in any field."""
-        self._assert_judged(json.dumps(changes).encode())
-        whole = {**test_settings.SOUND, **changes}
-        self._assert_judged(json.dumps(whole).encode())
+        """Any value in any field gives settings or problems."""
+        self._assert_loaded_or_refused(json.dumps(changes).encode())
+        whole = {**test_settings.VALID, **changes}
+        self._assert_loaded_or_refused(json.dumps(whole).encode())
--- a/tests/unit/test_idempotency.py
+++ b/tests/unit/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Idempotency keys."""
+"""Idempotency keys: their creation time and canonical form."""
 
 import random
 import unittest
@@ -11,7 +11,7 @@
 
 
 class IdempotencyKeyTest(unittest.TestCase):
-    """UUIDs of version 7."""
+    """Only UUIDs of version 7 are keys, each in one canonical form."""
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(strategies.integers(0, 2**48 - 1), strategies.integers())
--- a/tests/unit/test_merge_orders.py
+++ b/tests/unit/test_merge_orders.py
@@ -1,4 +1,4 @@
-"""How orders between daemons travel, and what is refused."""
+"""Encoding of merge orders and reports, and the checks of decoding."""
 
 import unittest
 
@@ -19,10 +19,10 @@
 
 
 class MergeOrdersTest(unittest.TestCase):
-    """Orders and reports, written and read."""
+    """Orders and reports, encoded and decoded."""
 
     def test_an_order_is_read_as_it_was_written(self) -> None:
-        """The caller's request comes out of it unchanged."""
+        """The caller's request is unchanged by encoding and decoding."""
         order = _order()
         read = protocol.decode_order(
             protocol.encode_merge_message(order)
@@ -36,7 +36,7 @@
         self.assertEqual(100.0, request.deadline_ms)
 
     def test_a_report_is_read_as_it_was_written(self) -> None:
-        """With its receipts and ends."""
+        """Merged and ended items are unchanged as well."""
         report = protocol.MergeReport(
             (protocol.MergedItem(1, 'r', 12_000),),
             (protocol.EndedItem(2, protocol.SubStatus.SHED, 5, 'why'),),
@@ -47,7 +47,7 @@
         self.assertEqual(report, read.unwrap())
 
     def test_orders_that_make_no_sense_are_refused(self) -> None:
-        """The error says what was got and expected."""
+        """Values out of range are refused with what was got and expected."""
         item = protocol.OrderedItem(1, 's', 't')
         many = tuple(
             protocol.OrderedItem(number, 's', 't') for number in range(4_097)
@@ -73,7 +73,7 @@
     @hypothesis.given(strategies.binary(max_size=200))
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
     def test_any_bytes_are_read_or_refused(self, body: bytes) -> None:
-        """Broken frames are values, not errors that end a task."""
+        """Malformed bytes give a failure value; no exception ends a task."""
         for read in (protocol.decode_order, protocol.decode_report):
             self.assertIsInstance(read(body), result.Result)
 
@@ -82,7 +82,7 @@
     def test_a_frame_that_was_cut_is_refused(
         self, length: int, tail: bytes
     ) -> None:
-        """A cut order does not become another one."""
+        """A truncated order is not decoded as a different one."""
         whole = protocol.encode_merge_message(_order())
         cut = whole[: min(length, len(whole) - 1)]
         read = protocol.decode_order(cut)
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings and keys files: all mistakes at once, secrets never shown."""
+"""Settings and keys files: problems come all at once and without secrets."""
 
 import json
 import pathlib
@@ -11,7 +11,7 @@
 
 from samphiredock import state
 
-SOUND = {
+VALID = {
     'name': 'entry-1',
     'site': 'bole-a',
     'region': 'addis',
@@ -23,13 +23,13 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Files written to a folder of the test's own."""
+    """Files in a temporary folder."""
 
     def setUp(self) -> None:
-        """Make the folder."""
-        holder = tempfile.TemporaryDirectory()
-        self.addCleanup(holder.cleanup)
-        self.folder = pathlib.Path(holder.name)
+        """Create the folder."""
+        temporary = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary.cleanup)
+        self.folder = pathlib.Path(temporary.name)
 
     def _write(self, name: str, text: str, mode: int = 0o600) -> pathlib.Path:
         path = self.folder / name
@@ -38,7 +38,7 @@
         return path
 
     def _problems(self, **changes: object) -> dict[str, state.Problem]:
-        text = json.dumps({**SOUND, **changes})
+        text = json.dumps({**VALID, **changes})
         loaded = state.load_settings(self._write('settings.json', text))
         if isinstance(loaded, result.Success):
             return {}
@@ -56,16 +56,16 @@
         return state.load_keys(path)
 
     def test_sound_file_with_comments_and_keys(self) -> None:
-        """Paths are taken from the settings file's own folder."""
+        """Paths are relative to the folder of the settings file."""
         self.assertIsInstance(self._keys(), result.Success)
-        text = json.dumps({**SOUND, 'keys_file': 'keys.json'})
+        text = json.dumps({**VALID, 'keys_file': 'keys.json'})
         path = self._write('settings.json', '// entry host 1\n' + text)
         loaded = state.load_settings(path).unwrap()
         self.assertEqual(str(self.folder / 'keys.json'), loaded.keys_file)
         self.assertEqual(2_000, loaded.balancer_lag_ms)
 
     def test_every_mistake_is_reported_at_once(self) -> None:
-        """Each names file, path, what was got and what was expected."""
+        """Problems of the settings do not hide those of the files named."""
         found = self._problems(
             caller_address='entry-1:7200',
             operator_address='127.0.0.1:70000',
@@ -92,7 +92,7 @@
         self.assertTrue(found['$'].file.endswith('absent.json'))
 
     def test_unreadable_text_missing_fields_and_shared_address(self) -> None:
-        """Broken JSON, a field stated twice, and two roles on one port."""
+        """Malformed JSON, a duplicate field, two servers on one address."""
         for text in ('{', '[]', '{"name": "a", "name": "b"}', '"\\ud800"'):
             path = self._write('settings.json', text)
             loaded = state.load_settings(path)
@@ -101,11 +101,11 @@
         self.assertEqual({'peer_address'}, set(found))
 
     def test_keys_file_is_refused_if_others_may_read_it(self) -> None:
-        """A leaked token would let anybody change the configuration."""
+        """The token lets its reader change the configuration."""
         self.assertIn('mode 644', str(self._keys(0o644).failure()[0]))
 
     def test_keys_mistakes_never_show_a_secret(self) -> None:
-        """A wrong value is described by its type and its length."""
+        """An invalid value is described by its type and length only."""
         found = self._keys(
             operator_token='too-short',
             curve={'public': 'x' * 39, 'secret': 'hidden!'},
