--- a/tests/unit/test_compiler.py
+++ b/tests/unit/test_compiler.py
@@ -41,7 +41,7 @@
         self.assertEqual(2, found.targets['shard-4'].slots)
         self.assertEqual(10_000, found.limits.deadline_limit_ms)
 
-    def test_each_mistake_in_the_base_is_named(self) -> None:
+    def test_each_problem_of_the_base_has_its_path(self) -> None:
         """An invalid value gives a problem with its path."""
         search = 'services.field-claims.searches.claimant-history'
         operation = 'services.relief-payout.operations.release-payout'
@@ -81,7 +81,7 @@
         raw['sites']['bole-a']['share'] = 0.5
         self.assertEqual(['sites'], [row.path for row in _problems(raw)])
 
-    def test_mistakes_of_all_files_come_at_once(self) -> None:
+    def test_problems_of_all_files_come_at_once(self) -> None:
         """Problems of the base do not hide those of overlays.
 
         An unknown field gets a suggestion of a similar one.
@@ -108,8 +108,8 @@
             ['targets.desk-2.url'], [row.path for row in _problems(raw)]
         )
 
-    def test_overlay_cannot_pass_the_common_limit(self) -> None:
-        """A value above the base's, or a field of the base only, is refused."""
+    def test_overlay_cannot_raise_a_limit(self) -> None:
+        """Higher values than the base's and common fields are refused."""
         cases = (
             ('bole-a', {'share_cap': 0.9}, 'share_cap'),
             ('bole-a', {'share_cap': 0.3}, 'share_cap'),
--- a/tests/unit/test_daemon_main.py
+++ b/tests/unit/test_daemon_main.py
@@ -25,9 +25,9 @@
 
     def test_check_tells_valid_from_invalid(self) -> None:
         """Nothing is started in either case."""
-        got = self._run(test_settings.SOUND, '--check')
+        got = self._run(test_settings.VALID, '--check')
         self.assertEqual((0, True), (got.exit_code, 'valid' in got.output))
-        got = self._run({**test_settings.SOUND, 'site': 7}, '--check')
+        got = self._run({**test_settings.VALID, 'site': 7}, '--check')
         self.assertEqual(
             (2, True), (got.exit_code, 'site: got 7' in got.output)
         )
--- a/tests/unit/test_entry_settings.py
+++ b/tests/unit/test_entry_settings.py
@@ -34,7 +34,7 @@
         self.path.write_text(text, encoding='utf-8')
         return state.load_entry_settings(self.path)
 
-    def test_every_mistake_is_told_at_once(self) -> None:
+    def test_all_problems_are_reported_at_once(self) -> None:
         """All problems are reported, an unknown field with a suggestion."""
         invalid = {
             **VALID, 'peer_address': 'here', 'watch_ms': 0, 'cores': -1,
--- a/tests/unit/test_fuzz_compiler.py
+++ b/tests/unit/test_fuzz_compiler.py
@@ -105,7 +105,7 @@
 
     @SETTINGS
     @hypothesis.given(strategies.data())
-    def test_no_overlay_passes_the_common_limit(
+    def test_no_overlay_raises_a_limit(
         self, data: strategies.DataObject
     ) -> None:
         """Every limit compiled with overlays is at most that of the base."""
--- a/tests/unit/test_idempotency.py
+++ b/tests/unit/test_idempotency.py
@@ -23,6 +23,6 @@
         self.assertEqual(wall_ms, protocol.issue_time_ms(key))
         self.assertEqual(uuid.RFC_4122, uuid.UUID(key).variant)
 
-    def test_other_texts_are_no_keys(self) -> None:
+    def test_other_texts_are_not_keys(self) -> None:
         for text in ('', 'payout-7', str(uuid.uuid4()), 'a' * 500, 'é'):
             self.assertIsNone(protocol.canonical_key(text), text)
--- a/tests/unit/test_merge_orders.py
+++ b/tests/unit/test_merge_orders.py
@@ -21,7 +21,7 @@
 class MergeOrdersTest(unittest.TestCase):
     """Orders and reports, encoded and decoded."""
 
-    def test_an_order_is_read_as_it_was_written(self) -> None:
+    def test_an_order_is_decoded_as_encoded(self) -> None:
         """The caller's request is unchanged by encoding and decoding."""
         order = _order()
         read = protocol.decode_order(
@@ -35,7 +35,7 @@
         self.assertEqual((('A', 'b'),), request.headers)
         self.assertEqual(100.0, request.deadline_ms)
 
-    def test_a_report_is_read_as_it_was_written(self) -> None:
+    def test_a_report_is_decoded_as_encoded(self) -> None:
         """Merged and ended items are unchanged as well."""
         report = protocol.MergeReport(
             (protocol.MergedItem(1, 'r', 12_000),),
@@ -46,7 +46,7 @@
         read = protocol.decode_report(protocol.encode_merge_message(report))
         self.assertEqual(report, read.unwrap())
 
-    def test_orders_that_make_no_sense_are_refused(self) -> None:
+    def test_invalid_orders_are_refused(self) -> None:
         """Values out of range are refused with what was got and expected."""
         item = protocol.OrderedItem(1, 's', 't')
         many = tuple(
@@ -72,14 +72,14 @@
 
     @hypothesis.given(strategies.binary(max_size=200))
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
-    def test_any_bytes_are_read_or_refused(self, body: bytes) -> None:
+    def test_any_bytes_are_decoded_or_refused(self, body: bytes) -> None:
         """Malformed bytes give a failure value; no exception ends a task."""
         for read in (protocol.decode_order, protocol.decode_report):
             self.assertIsInstance(read(body), result.Result)
 
     @hypothesis.given(strategies.integers(0, 200), strategies.binary())
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
-    def test_a_frame_that_was_cut_is_refused(
+    def test_a_truncated_order_is_refused(
         self, length: int, tail: bytes
     ) -> None:
         """A truncated order is not decoded as a different one."""
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -55,7 +55,7 @@
         path = self._write('keys.json', json.dumps(rows), mode)
         return state.load_keys(path)
 
-    def test_sound_file_with_comments_and_keys(self) -> None:
+    def test_valid_file_with_comments_and_keys(self) -> None:
         """Paths are relative to the folder of the settings file."""
         self.assertIsInstance(self._keys(), result.Success)
         text = json.dumps({**VALID, 'keys_file': 'keys.json'})
@@ -64,7 +64,7 @@
         self.assertEqual(str(self.folder / 'keys.json'), loaded.keys_file)
         self.assertEqual(2_000, loaded.balancer_lag_ms)
 
-    def test_every_mistake_is_reported_at_once(self) -> None:
+    def test_all_problems_are_reported_at_once(self) -> None:
         """Problems of the settings do not hide those of the files named."""
         found = self._problems(
             caller_address='entry-1:7200',
@@ -104,7 +104,7 @@
         """The token lets its reader change the configuration."""
         self.assertIn('mode 644', str(self._keys(0o644).failure()[0]))
 
-    def test_keys_mistakes_never_show_a_secret(self) -> None:
+    def test_problems_of_keys_show_no_secrets(self) -> None:
         """An invalid value is described by its type and length only."""
         found = self._keys(
             operator_token='too-short',
