--- a/samphiredock/coordination/forwarding/_live_targets.py
+++ b/samphiredock/coordination/forwarding/_live_targets.py
@@ -1,4 +1,4 @@
-"""The targets that are running now, and which of them may get work."""
+"""The registered targets, and which of them may get work."""
 
 import collections
 import typing
@@ -8,22 +8,21 @@
 from samphiredock import state
 from samphiredock import timers
 
-RETURN_MS = 2_500.0
-"""How long an entry may be missing after the store has been away.  Entries
-lapse while nobody can renew them and are back within about two seconds;
-taken as gone at once, all targets would be lost with the store."""
+STORE_GRACE_MS = 2_500.0
+"""How long an entry may be missing after the store was unreachable.  Entries
+expire while nobody can renew them and reappear within about two seconds; if
+they were removed at once, an outage of the store would lose all targets."""
 
-_NAMED_SERVICES = 16
-"""Services that one log line names at most."""
+_MAX_SERVICES_LOGGED = 16
 
 _log = logs.logger('targets')
 
 
 class LiveTargets:
-    """Targets by id and by service, with what was observed of each.
+    """Registered targets by id and by service, with their observed health.
 
     Implements :class:`coordination.Routes` for targets that are asked
-    directly: each is its own dispatcher.
+    directly: each target is its own dispatcher.
     """
 
     snapshot: state.Snapshot | None = None
@@ -35,18 +34,18 @@
         self._by_service: dict[str, list[str]] = {}
         self._missing: dict[str, float] = {}
         self._misdirected: set[str] = set()
-        self._store_back_ms = -RETURN_MS
-        self._on_gone: list[typing.Callable[[state.LiveTarget], None]] = []
-        self._on_new: list[typing.Callable[[state.LiveTarget], None]] = []
+        self._store_unavailable_ms = -STORE_GRACE_MS
+        self._on_removed: list[typing.Callable[[state.LiveTarget], None]] = []
+        self._on_added: list[typing.Callable[[state.LiveTarget], None]] = []
 
-    # What is known.
+    # Lookups.
 
     def get(self, target_id: str) -> state.LiveTarget | None:
-        """Return a target that is registered."""
+        """Return a registered target, None if there is none of this id."""
         return self._targets.get(target_id)
 
     def record(self, target_id: str) -> _observed_health.ObservedHealth:
-        """Return what was observed of a registered target."""
+        """Return the observed health of a registered target."""
         return self._records[target_id]
 
     def of_service(self, service: str) -> list[str]:
@@ -54,7 +53,7 @@
         return self._by_service.get(service, [])
 
     def is_empty(self) -> bool:
-        """Whether no target is known yet."""
+        """Whether no target is registered."""
         return not self._targets
 
     def all(self) -> list[state.LiveTarget]:
@@ -64,7 +63,7 @@
     # Routes.
 
     def owner(self, target: str) -> str | None:
-        """A target that is asked directly is its own dispatcher."""
+        """Return the target itself, which is its own dispatcher."""
         return target if target in self._targets else None
 
     def is_usable(self, target: str) -> bool:
@@ -79,24 +78,24 @@
     def on_removed(
         self, callback: typing.Callable[[state.LiveTarget], None]
     ) -> None:
-        """Call back with each target that is not registered any more."""
-        self._on_gone.append(callback)
+        """Call back with each target that is removed."""
+        self._on_removed.append(callback)
 
     def on_added(
         self, callback: typing.Callable[[state.LiveTarget], None]
     ) -> None:
-        """Call back with each target that is seen for the first time."""
-        self._on_new.append(callback)
+        """Call back with each target that is added."""
+        self._on_added.append(callback)
 
     def put(self, target: state.LiveTarget) -> None:
-        """Take in a target's newest entry."""
+        """Add or update one target."""
         self.put_all([target])
 
     def put_all(self, targets: typing.Sequence[state.LiveTarget]) -> None:
-        """Take in the newest entries of several targets.
+        """Add or update several targets.
 
-        One index and one log line for all of them: a daemon that starts on
-        a large system reads some 700, and callers wait meanwhile.
+        Indexes and logs once for all of them: a daemon that starts reads
+        hundreds of entries at once, while callers wait.
         """
         changed = [
             row for row in targets if self._targets.get(row.target_id) != row
@@ -105,9 +104,11 @@
             self._missing.pop(target.target_id, None)
         if not changed:
             return
-        self._forget_reborn(changed)
+        self._drop_restarted(changed)
         new = [row for row in changed if row.target_id not in self._targets]
-        turned = [row for row in changed if self._turned(row)]
+        changed_leaving = [
+            row for row in changed if self._is_leaving_changed(row)
+        ]
         for target in changed:
             if target.target_id not in self._records:
                 self._records[target.target_id] = (
@@ -116,16 +117,16 @@
             self._records[target.target_id].set_leaving(target.leaving)
             self._targets[target.target_id] = target
         self._index()
-        _note_changes(new, turned)
+        _log_changes(new, changed_leaving)
         for target in new:
-            for callback in self._on_new:
+            for callback in self._on_added:
                 callback(target)
 
-    def _forget_reborn(self, changed: list[state.LiveTarget]) -> None:
-        """Drop what was known of targets that have started again.
+    def _drop_restarted(self, changed: list[state.LiveTarget]) -> None:
+        """Drop targets that have restarted under their id.
 
-        One that starts again under its id holds nothing of before: its old
-        connections are silent, and its record tells of another process.
+        Their old connections are dead, and their observed health is that of
+        another process.
         """
         for target in changed:
             before = self._targets.get(target.target_id)
@@ -135,17 +136,17 @@
             ):
                 self._drop(target.target_id, 'started again')
 
-    def _turned(self, target: state.LiveTarget) -> bool:
-        """Whether a known target begins to leave, or has come back."""
+    def _is_leaving_changed(self, target: state.LiveTarget) -> bool:
+        """Whether a known target begins to leave, or no longer does."""
         before = self._targets.get(target.target_id)
         return before is not None and before.leaving != target.leaving
 
     def remove(self, target_id: str) -> None:
-        """A target's entry is gone; while the store returns, wait for it."""
+        """Remove a target, after a grace time if the store was unreachable."""
         if target_id not in self._targets:
             return
         now_ms = self._clock.now_ms()
-        until_ms = self._store_back_ms + RETURN_MS
+        until_ms = self._store_unavailable_ms + STORE_GRACE_MS
         if now_ms >= until_ms:
             self._drop(target_id)
             return
@@ -153,29 +154,29 @@
         self._clock.after(until_ms - now_ms, self._drop_missing)
 
     def remove_unreadable(self, target_id: str) -> None:
-        """A target's entry cannot be read: it names no target to use."""
+        """Remove a target whose entry cannot be read."""
         if target_id in self._targets:
             self._drop(target_id, 'entry cannot be read')
 
     def keep_only(self, target_ids: typing.Container[str]) -> None:
-        """The store has been read whole: what it lacks is gone."""
+        """Remove the targets that a complete read of the store lacks."""
         for target_id in list(self._targets):
             if target_id not in target_ids:
                 self.remove(target_id)
 
     def on_store_unavailable(self) -> None:
-        """The store did not answer; entries may lapse meanwhile."""
-        self._store_back_ms = self._clock.now_ms()
+        """Note that the store is unreachable and entries may expire."""
+        self._store_unavailable_ms = self._clock.now_ms()
 
     def mark_misdirected(self, target_id: str) -> None:
-        """Another target has the address now: nothing more goes there."""
+        """Stop using a target whose address now belongs to another one."""
         if target_id in self._targets:
             self._misdirected.add(target_id)
 
     def _drop_missing(self) -> None:
         now_ms = self._clock.now_ms()
-        # Another outage since then moves the end of the wait.
-        until_ms = self._store_back_ms + RETURN_MS
+        # Another outage since then extends the grace time.
+        until_ms = self._store_unavailable_ms + STORE_GRACE_MS
         if now_ms < until_ms:
             self._clock.after(until_ms - now_ms, self._drop_missing)
             return
@@ -189,9 +190,9 @@
         del self._records[target_id]
         self._index()
         _log.info(
-            'target gone', target=target_id, service=target.service, why=why
+            'target removed', target=target_id, service=target.service, why=why
         )
-        for callback in self._on_gone:
+        for callback in self._on_removed:
             callback(target)
 
     def _index(self) -> None:
@@ -202,19 +203,19 @@
         self._by_service = dict(index)
 
 
-def _note_changes(
-    new: list[state.LiveTarget], turned: list[state.LiveTarget]
+def _log_changes(
+    new: list[state.LiveTarget], changed_leaving: list[state.LiveTarget]
 ) -> None:
-    """Log which targets came, and which began to leave or came back."""
-    came = [*new, *turned]
+    """Log which targets were added, began to leave or returned."""
+    came = [*new, *changed_leaving]
     if not came:
         return
     by_service = collections.Counter(row.service for row in came)
     _log.info(
-        'target entries',
+        'targets changed',
         new=[row.target_id for row in new],
         leaving=[row.target_id for row in came if row.leaving],
-        back=[row.target_id for row in turned if not row.leaving],
-        services=dict(by_service.most_common(_NAMED_SERVICES)),
-        services_more=max(0, len(by_service) - _NAMED_SERVICES),
+        back=[row.target_id for row in changed_leaving if not row.leaving],
+        services=dict(by_service.most_common(_MAX_SERVICES_LOGGED)),
+        services_more=max(0, len(by_service) - _MAX_SERVICES_LOGGED),
     )
--- a/tests/unit/test_merger_assignments.py
+++ b/tests/unit/test_merger_assignments.py
@@ -1,4 +1,4 @@
-"""Through whom the targets of other sites are asked."""
+"""Tests of the choice of daemons that ask the targets of other sites."""
 
 import random
 import unittest
@@ -10,11 +10,11 @@
 from samphiredock import timers
 
 
-class MergeWaysTest(unittest.TestCase):
+class MergerAssignmentsTest(unittest.TestCase):
     """Targets at four sites, daemons at three of them."""
 
     def setUp(self) -> None:
-        """Two daemons at ``b`` and ``c``, none at ``d``."""
+        """Two daemons each at ``b`` and ``c``, none at ``d``."""
         self.clock = timers.ManualTimers()
         self.targets = forwarding.LiveTargets(self.clock)
         self.peers = forwarding.LiveTargets(self.clock)
@@ -27,7 +27,7 @@
         )
 
     def _shards(self, *places: str) -> list[list[str]]:
-        """Register targets; each place names the sites of one shard."""
+        """Register targets; each place lists the sites of one shard."""
         shards = []
         for number, sites in enumerate(places):
             names = [f's{number}-{site}' for site in sites]
@@ -38,16 +38,16 @@
             shards.append(names)
         return shards
 
-    def test_sites_of_many_parts_are_asked_by_order(self) -> None:
-        """What this site has itself crosses nowhere and counts nothing."""
+    def test_sites_with_many_parts_get_orders(self) -> None:
+        """Shards with a target at this site are not counted."""
         shards = self._shards(*['b'] * 4, *['ab'] * 9, *['c'] * 3)
         self.assertEqual(
             ['b'],
             _merger_assignments.sites_for_orders('a', shards, self.targets),
         )
 
-    def test_a_shard_of_two_sites_counts_half_at_each(self) -> None:
-        """It is asked at one of them."""
+    def test_shard_at_two_sites_counts_half_for_each(self) -> None:
+        """Only one of its targets is asked."""
         shards = self._shards(*['bc'] * 8)
         sites = _merger_assignments.sites_for_orders('a', shards, self.targets)
         self.assertEqual(['b', 'c'], sorted(sites))
@@ -57,7 +57,7 @@
         )
 
     def test_a_site_without_a_daemon_is_asked_directly(self) -> None:
-        """So is one whose daemons cannot be reached."""
+        """So is a site whose daemons are all lost."""
         self._shards('d', 'b')
         for name in ('c-0', 'c-1'):
             self.peers.record(name).on_failure(True, self.clock.now_ms())
@@ -65,22 +65,24 @@
             'bcd', self.peers, self.loads
         )
         self.assertEqual(['b'], list(found))
-        ways = _merger_assignments.MergerAssignments(self.targets, found)
-        self.assertEqual('s0-d', ways.owner('s0-d'))
-        self.assertEqual(found['b'], ways.owner('s1-b'))
-        self.assertIsNone(ways.owner('unknown'))
+        assignments = _merger_assignments.MergerAssignments(
+            self.targets, found
+        )
+        self.assertEqual('s0-d', assignments.owner('s0-d'))
+        self.assertEqual(found['b'], assignments.owner('s1-b'))
+        self.assertIsNone(assignments.owner('unknown'))
 
-    def test_a_daemon_that_is_given_up_is_not_used_again(self) -> None:
+    def test_dropped_merger_is_not_used_again(self) -> None:
         """The rest of the search asks its targets directly."""
         self._shards('b')
-        ways = _merger_assignments.MergerAssignments(
+        assignments = _merger_assignments.MergerAssignments(
             self.targets, {'b': 'b-0'}
         )
-        ways.drop_merger('b-0')
-        self.assertEqual('s0-b', ways.owner('s0-b'))
+        assignments.drop_merger('b-0')
+        self.assertEqual('s0-b', assignments.owner('s0-b'))
 
-    def test_a_daemon_that_hangs_gets_few_orders(self) -> None:
-        """A frozen one answers nothing, so only its age tells."""
+    def test_hanging_daemon_gets_few_orders(self) -> None:
+        """A frozen daemon never fails; only the age of its order shows it."""
         self.loads.record_sent('b-0')
         self.clock.advance(500.0)
         chosen = [
