--- a/samphiredock/protocol/_claims.py
+++ b/samphiredock/protocol/_claims.py
@@ -49,8 +49,9 @@
 class ClaimToken(msgspec.Struct, frozen=True):
     """The unique identifier of a claim; sent and stored as its text.
 
-    ``holder`` is the daemon's name, ``incarnation`` the one of its start,
-    and ``number`` counts its claims since then.
+    ``holder`` is the name of the daemon that made the claim,
+    ``incarnation`` identifies the daemon's start, and ``number`` is unique
+    among its claims since then.
     """
 
     holder: str
--- a/samphiredock/protocol/_queries.py
+++ b/samphiredock/protocol/_queries.py
@@ -79,9 +79,10 @@
 
     ``budget_ms`` is the time left until the deadline when the batch was
     sent; each daemon subtracts the time it takes, by its monotonic clock.
-    ``site`` is the coordinator's.  ``fingerprint`` is the digest of the
-    search's content.  With ``alone`` each item is sent to its target
-    without any other request in the same exchange.
+    ``site`` is the coordinator's, whose share of the targets is used.
+    ``fingerprint`` is the digest of the search's content.  With ``alone``
+    each item is sent to its target without any other request in the same
+    exchange.
     """
 
     query_id: str
--- a/samphiredock/state/_claims.py
+++ b/samphiredock/state/_claims.py
@@ -103,6 +103,8 @@
 
 
 class _StoredBucket(msgspec.Struct, frozen=True):
+    """The value of a bucket object; ``claims`` is keyed by digest."""
+
     format: int
     claims: dict[str, Claim]
 
--- a/samphiredock/state/_configuration.py
+++ b/samphiredock/state/_configuration.py
@@ -59,8 +59,9 @@
 class Service:
     """A customer: its searches, operations and limits.
 
-    ``weight`` is its proportion of the capacity among the services that are
-    busy; ``max_in_flight`` bounds its requests in progress at one daemon.
+    ``weight`` is its proportion of a target's throughput among the services
+    that have work queued there; ``max_in_flight`` bounds its requests in
+    progress at one daemon.
     """
 
     name: str
@@ -74,10 +75,11 @@
 class Site:
     """A data centre: its region and its share of the targets' capacity.
 
-    All values are fractions of the capacity, 0.0 to 1.0.  ``share`` is
-    guaranteed to the site's requests; ``share_cap`` is the most they may use
-    while other sites leave capacity idle.  ``service_caps`` are lower caps
-    for single services, set by the site's overlay.
+    All shares and caps are fractions of the capacity, 0.0 to 1.0.  ``share``
+    is guaranteed to requests that came in at the site; ``share_cap`` is the
+    most they may use while other sites leave capacity idle.
+    ``service_caps`` are lower caps for single services, set by the site's
+    overlay.
     """
 
     name: str
--- a/tests/unit/test_wire_names.py
+++ b/tests/unit/test_wire_names.py
@@ -1,7 +1,7 @@
-"""Names outside of the code: on the wire, in the store, files and metrics.
+"""Names on the wire, in the store, in files, metrics and logs.
 
-A rename in the code must not change them: daemons of two versions talk to
-each other, read the same objects and are watched by the same dashboards.
+Guards against a rename in the code that changes one of them: daemons of two
+versions exchange messages and read the same objects and files.
 """
 
 import ast
@@ -310,7 +310,7 @@
     'retries': 'retries',
     'retries_denied': 'retries_denied',
 }
-"""Of those, the ones that a tally gives, with their field of it."""
+"""The log fields of those that are read from a field of a tally."""
 
 _NOT_SENT = (protocol.ClaimToken, state.ClaimLocation, state.OpenDecision)
 _NOT_OUTSIDE = (state.OpenStatus,)
