--- a/tests/unit/test_idempotency.py
+++ b/tests/unit/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Idempotency keys."""
+"""Idempotency keys: their creation time and canonical form."""
 
 import random
 import unittest
@@ -11,7 +11,7 @@
 
 
 class IdempotencyKeyTest(unittest.TestCase):
-    """UUIDs of version 7."""
+    """Only UUIDs of version 7 are keys, each in one canonical form."""
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(strategies.integers(0, 2**48 - 1), strategies.integers())
@@ -23,6 +23,6 @@
         self.assertEqual(wall_ms, protocol.issue_time_ms(key))
         self.assertEqual(uuid.RFC_4122, uuid.UUID(key).variant)
 
-    def test_other_texts_are_no_keys(self) -> None:
+    def test_other_texts_are_not_keys(self) -> None:
         for text in ('', 'payout-7', str(uuid.uuid4()), 'a' * 500, 'é'):
             self.assertIsNone(protocol.canonical_key(text), text)
