--- a/samphiredock/coordination/quarantine/__init__.py
+++ b/samphiredock/coordination/quarantine/__init__.py
@@ -5,7 +5,7 @@
 __getattr__, __dir__, __all__ = lazy.public_names(
     __name__,
     {
-        '_canary': ('KnownContents',),
+        '_crash_tracker': ('KnownContents',),
         '_quarantine': (
             'QUARANTINE_PREFIX',
             'Quarantine',
--- a/samphiredock/coordination/quarantine/_canary.py
+++ b/samphiredock/coordination/quarantine/_crash_tracker.py
@@ -46,7 +46,7 @@
         return True
 
 
-class Verdicts:
+class QuarantineCrashTracker:
     """Join what searches learn of a content to the quarantine."""
 
     def __init__(
--- a/samphiredock/coordination/quarantine/_quarantine.py
+++ b/samphiredock/coordination/quarantine/_quarantine.py
@@ -19,14 +19,14 @@
 
 # A verdict is kept in the store only after this long, in which the news of
 # another content lost in the same crash may still withdraw it.
-_SETTLE_MS = 2_000.0
+_PUBLISH_DELAY_MS = 2_000.0
 _STORE_RETRY_MS = 5_000.0
-_SHORT_RETRY_MS = 200
+_MIN_RETRY_MS = 200
 
 _log = logs.logger('quarantine')
 
 
-class Care(enum.Enum):
+class RunMode(enum.Enum):
     """How a content is to be run."""
 
     NORMAL = 'normal'
@@ -91,11 +91,11 @@
                 protocol.NotRunReason.QUARANTINED,
                 'this request may have crashed a target and is being tried '
                 'alone elsewhere',
-                max(_SHORT_RETRY_MS, int(case.trial_until_ms - now_ms)),
+                max(_MIN_RETRY_MS, int(case.trial_until_ms - now_ms)),
             )
         return None
 
-    def admit(self, fingerprint: str, budget_ms: float) -> Care:
+    def begin_run(self, fingerprint: str, budget_ms: float) -> RunMode:
         """Say how to run a content that :meth:`refusal` lets through.
 
         For a suspect this starts a trial: until it ends, this daemon and
@@ -105,9 +105,9 @@
         now_ms = self._clock.now_ms()
         case = self._suspects.get(fingerprint, now_ms)
         if case is None:
-            return Care.NORMAL
+            return RunMode.NORMAL
         self._announce_trial(case, budget_ms)
-        return Care.SUSPECT
+        return RunMode.SUSPECT
 
     def is_quarantined(self, fingerprint: str) -> bool:
         """Whether a content is refused."""
@@ -154,7 +154,9 @@
                 fingerprint, case.service, sorted(case.losses), 0.0
             )
         )
-        self._clock.after(_SETTLE_MS, lambda: self._publish(fingerprint))
+        self._clock.after(
+            _PUBLISH_DELAY_MS, lambda: self._publish(fingerprint)
+        )
 
     def note_succeeded(self, fingerprint: str) -> None:
         """The content ran alone and its target lives."""
@@ -183,7 +185,7 @@
         self._broadcaster.broadcast(protocol.ClearedNotice(fingerprint, True))
         _log.notice('quarantine released', fingerprint=fingerprint)
         mark = protocol.StoredQuarantine(entry, released=True)
-        kept = await self._store(fingerprint, mark)
+        kept = await self._put(fingerprint, mark)
         if isinstance(kept, result.Failure):
             return result.Failure(
                 f'released at the daemons that can be reached, but the store '
@@ -212,7 +214,7 @@
         if kept.released:
             self._suspects.clear(fingerprint)
         else:
-            self._take_entry(kept.entry)
+            self._add_entry(kept.entry)
 
     def _on_suspect(self, sender: str, news: protocol.SuspectNotice) -> None:
         case = None
@@ -225,13 +227,13 @@
     def _on_quarantined(
         self, sender: str, news: protocol.QuarantineNotice
     ) -> None:
-        self._take_entry(news.entry)
+        self._add_entry(news.entry)
 
     def _on_cleared(self, sender: str, news: protocol.ClearedNotice) -> None:
         if news.released or not self.is_quarantined(news.fingerprint):
             self._suspects.clear(news.fingerprint)
 
-    def _take_entry(self, entry: protocol.QuarantineEntry) -> None:
+    def _add_entry(self, entry: protocol.QuarantineEntry) -> None:
         if entry.until_ms > self._clock.wall_ms():
             self._suspects.put_entry(entry, self._clock.now_ms())
 
@@ -239,7 +241,7 @@
 
     def _count_loss(
         self, fingerprint: str, target: str, service: str
-    ) -> _suspects.Case:
+    ) -> _suspects.Suspect:
         return self._suspects.note_lost(
             fingerprint,
             service,
@@ -248,7 +250,9 @@
             self._clock.wall_ms(),
         )
 
-    def _announce_trial(self, case: _suspects.Case, trial_ms: float) -> None:
+    def _announce_trial(
+        self, case: _suspects.Suspect, trial_ms: float
+    ) -> None:
         case.trial_until_ms = self._clock.now_ms() + trial_ms
         self._broadcaster.broadcast(
             protocol.SuspectNotice(
@@ -265,12 +269,12 @@
             self._metrics.add('quarantines_withdrawn')
             return
         self._broadcaster.broadcast(protocol.QuarantineNotice(entry))
-        task = asyncio.get_running_loop().create_task(self._keep(entry))
+        task = asyncio.get_running_loop().create_task(self._store_entry(entry))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _keep(self, entry: protocol.QuarantineEntry) -> None:
-        kept = await self._store(
+    async def _store_entry(self, entry: protocol.QuarantineEntry) -> None:
+        kept = await self._put(
             entry.fingerprint, protocol.StoredQuarantine(entry)
         )
         if isinstance(kept, result.Failure):
@@ -279,7 +283,7 @@
                 _STORE_RETRY_MS, lambda: self._publish(entry.fingerprint)
             )
 
-    async def _store(
+    async def _put(
         self, fingerprint: str, value: protocol.StoredQuarantine
     ) -> result.Result[int, transport.StoreError]:
         """Write over whatever version is there, by one conditional put."""
@@ -288,7 +292,7 @@
         found = await self._platform.get(key)
         if isinstance(found, result.Success):
             expected = found.unwrap().version
-        elif not _is_absent(found.failure()):
+        elif not _is_not_found(found.failure()):
             return found
         put = await self._platform.put(
             key, msgspec.json.encode(value), expected
@@ -298,5 +302,5 @@
         return put
 
 
-def _is_absent(error: transport.StoreError) -> bool:
+def _is_not_found(error: transport.StoreError) -> bool:
     return error.kind is transport.StoreErrorKind.NOT_FOUND
--- a/samphiredock/coordination/search/_admission.py
+++ b/samphiredock/coordination/search/_admission.py
@@ -11,8 +11,8 @@
 
 _RATE_WINDOW = 200
 _DRAIN_SHARE = 0.1
-_LEAST_RETRY_MS = 50
-_MOST_RETRY_MS = 5_000
+_MIN_RETRY_MS = 50
+_MAX_RETRY_MS = 5_000
 
 # Of the requests that look too late, one in this many is run all the same:
 # without it a slow minute would be remembered for ever, since refused
@@ -30,7 +30,7 @@
         self._ended_ms: collections.deque[float] = collections.deque(
             maxlen=_RATE_WINDOW
         )
-        self._too_short = 0
+        self._short_deadlines = 0
 
     def in_flight(self) -> int:
         """Return how many admitted requests have not ended."""
@@ -119,14 +119,14 @@
         self._total += 1
 
     def _is_probe(self) -> bool:
-        self._too_short += 1
-        return self._too_short % _PROBE_EVERY == 0
+        self._short_deadlines += 1
+        return self._short_deadlines % _PROBE_EVERY == 0
 
     def _retry_after_ms(self, limit: int) -> int:
         """Return when a tenth of the limit will have drained."""
         if len(self._ended_ms) < 2:
-            return _LEAST_RETRY_MS
+            return _MIN_RETRY_MS
         span_ms = max(1.0, self._clock.now_ms() - self._ended_ms[0])
         per_ms = len(self._ended_ms) / span_ms
         wait_ms = int(max(1.0, limit * _DRAIN_SHARE) / per_ms)
-        return min(_MOST_RETRY_MS, max(_LEAST_RETRY_MS, wait_ms))
+        return min(_MAX_RETRY_MS, max(_MIN_RETRY_MS, wait_ms))
--- a/samphiredock/coordination/search/_coordinator.py
+++ b/samphiredock/coordination/search/_coordinator.py
@@ -9,7 +9,7 @@
 
 from returns import result
 
-from samphiredock.coordination.quarantine import _canary
+from samphiredock.coordination.quarantine import _crash_tracker
 from samphiredock.coordination.quarantine import _quarantine
 from samphiredock.coordination.search import _admission
 from samphiredock.coordination.search import _hedging
@@ -24,7 +24,7 @@
 from samphiredock import timers
 from samphiredock import transport
 
-_FASTEST_SHARE = 0.05
+_FASTEST_QUANTILE = 0.05
 
 _OUTCOME_NAMES = {
     protocol.Answered: 'answered',
@@ -87,7 +87,7 @@
         admission: _admission.Admission,
         rng: random.Random,
     ) -> None:
-        self._prefix = f'{name}-{incarnation}'
+        self._query_id_prefix = f'{name}-{incarnation}'
         self._site = site
         self._view = view
         self._peers = peers
@@ -95,15 +95,17 @@
         self._metrics = counters
         self._quarantine = quarantine
         self._admission = admission
-        self._verdicts = _canary.Verdicts(quarantine, clock)
+        self._crash_tracker = _crash_tracker.QuarantineCrashTracker(
+            quarantine, clock
+        )
         self._tools = _scatter_types.Tools(
             view,
             _replicas.Replicas(rng, self._is_near),
             _hedging.Latencies(),
             _budget.ExtraBudget(),
-            self._verdicts,
+            self._crash_tracker,
         )
-        self._numbers = itertools.count(1)
+        self._query_numbers = itertools.count(1)
         self._searches: dict[str, _Search] = {}
         peers.subscribe(protocol.SubAnswerBatch, self._on_answers)
 
@@ -116,7 +118,7 @@
         now_ms = self._clock.now_ms()
         for search in list(self._searches.values()):
             effects = search.scatter.on_member_lost(member, now_ms)
-            self._carry_out(search, effects)
+            self._apply_effects(search, effects)
 
     def end(self) -> None:
         """Answer every search with what there is; the daemon's time is up.
@@ -127,7 +129,7 @@
         now_ms = self._clock.now_ms()
         for search in list(self._searches.values()):
             if not search.done.done():
-                self._carry_out(search, search.scatter.give_up(now_ms))
+                self._apply_effects(search, search.scatter.give_up(now_ms))
 
     async def search(
         self, request: protocol.SearchRequest
@@ -154,7 +156,7 @@
             request,
             configuration,
             self._view.snapshot,
-            f'{self._prefix}-{next(self._numbers)}',
+            f'{self._query_id_prefix}-{next(self._query_numbers)}',
             self._site,
             started_ms,
         )
@@ -169,28 +171,28 @@
             configuration.limits,
             plan.search.request_class,
             plan.deadline_at_ms - started_ms,
-            self._tools.latencies.quantile_ms(index, _FASTEST_SHARE),
+            self._tools.latencies.quantile_ms(index, _FASTEST_QUANTILE),
         )
         if refusal is not None:
             return refusal
         try:
-            outcome = await self._run_with_care(plan, configuration.limits)
+            outcome = await self._run_canaried(plan, configuration.limits)
         finally:
             self._admission.ended(plan.service)
-        self._observe(plan, outcome, started_ms)
+        self._record_latency(plan, outcome, started_ms)
         return outcome
 
-    async def _run_with_care(
+    async def _run_canaried(
         self, plan: _planner.Plan, limits: state.Limits
     ) -> protocol.SearchOutcome:
         """Run a content that is new, or under suspicion, alone first."""
         fingerprint = plan.fingerprint
-        canary = plan.search.canary and not self._verdicts.is_known(
+        canary = plan.search.canary and not self._crash_tracker.is_known(
             fingerprint
         )
         left_ms = plan.deadline_at_ms - self._clock.now_ms()
-        care = self._quarantine.admit(fingerprint, left_ms)
-        suspect = care is _quarantine.Care.SUSPECT
+        care = self._quarantine.begin_run(fingerprint, left_ms)
+        suspect = care is _quarantine.RunMode.SUSPECT
         scatter = _scatter.Scatter(plan, self._tools, limits, canary, suspect)
         return await self._run(plan, scatter)
 
@@ -201,13 +203,13 @@
         search = _Search(scatter, plan, future)
         self._searches[plan.query_id] = search
         try:
-            self._carry_out(search, scatter.start(self._clock.now_ms()))
+            self._apply_effects(search, scatter.start(self._clock.now_ms()))
             outcome: protocol.SearchOutcome = await future
         finally:
             if search.timer is not None:
                 search.timer.cancel()
             del self._searches[plan.query_id]
-        self._count(plan, scatter.tally)
+        self._record_tally(plan, scatter.tally)
         return outcome
 
     def _on_answers(self, sender: str, batch: protocol.SubAnswerBatch) -> None:
@@ -217,16 +219,16 @@
             return
         now_ms = self._clock.now_ms()
         effects = search.scatter.on_answers(batch.answers, now_ms)
-        self._carry_out(search, effects)
+        self._apply_effects(search, effects)
 
-    def _on_due(self, search: _Search) -> None:
+    def _on_timer(self, search: _Search) -> None:
         search.timer = None
         search.armed_ms = math.inf
         if not search.done.done():
             now_ms = self._clock.now_ms()
-            self._carry_out(search, search.scatter.on_tick(now_ms))
+            self._apply_effects(search, search.scatter.on_tick(now_ms))
 
-    def _carry_out(
+    def _apply_effects(
         self, search: _Search, effects: list[_scatter_types.Effect]
     ) -> None:
         unsent: list[protocol.SubQuery] = []
@@ -247,12 +249,14 @@
             return
         if unsent:
             now_ms = self._clock.now_ms()
-            answers = [_unsent(item) for item in unsent]
-            self._carry_out(search, search.scatter.on_answers(answers, now_ms))
+            answers = [_unreachable_answer(item) for item in unsent]
+            self._apply_effects(
+                search, search.scatter.on_answers(answers, now_ms)
+            )
             return
-        self._arm(search)
+        self._arm_timer(search)
 
-    def _arm(self, search: _Search) -> None:
+    def _arm_timer(self, search: _Search) -> None:
         """Keep one timer a search, at the next thing that falls due."""
         due_ms = search.scatter.next_due_ms()
         if due_ms >= search.armed_ms:
@@ -261,7 +265,7 @@
             search.timer.cancel()
         search.armed_ms = due_ms
         search.timer = self._clock.after(
-            due_ms - self._clock.now_ms(), lambda: self._on_due(search)
+            due_ms - self._clock.now_ms(), lambda: self._on_timer(search)
         )
 
     def _send(
@@ -293,7 +297,9 @@
         found = configuration.targets.get(target)
         return found is not None and found.site == self._site
 
-    def _count(self, plan: _planner.Plan, tally: _scatter_types.Tally) -> None:
+    def _record_tally(
+        self, plan: _planner.Plan, tally: _scatter_types.Tally
+    ) -> None:
         for name in _scatter_types.COUNTED:
             amount = getattr(tally, name)
             if amount:
@@ -305,7 +311,7 @@
             request_class=plan.search.request_class,
         )
 
-    def _observe(
+    def _record_latency(
         self,
         plan: _planner.Plan,
         outcome: protocol.SearchOutcome,
@@ -324,7 +330,7 @@
         self._metrics.observe('request_coverage', coverage, **labels)
 
 
-def _unsent(item: protocol.SubQuery) -> protocol.SubAnswer:
+def _unreachable_answer(item: protocol.SubQuery) -> protocol.SubAnswer:
     return protocol.SubAnswer(
         item.attempt_id,
         item.target,
--- a/samphiredock/coordination/search/_hedging.py
+++ b/samphiredock/coordination/search/_hedging.py
@@ -4,16 +4,16 @@
 
 from samphiredock import protocol
 
-_WINDOW = 512
-_LEAST_SAMPLES = 64
+_MAX_SAMPLES = 512
+_MIN_SAMPLES = 64
 _RECOMPUTE_EVERY = 64
-_LEAST_DELAY_MS = 1.0
+_MIN_DELAY_MS = 1.0
 
 # Signs of overload are a decayed share of the last hundred or so answers.
 _DECAY = 0.99
 _OVERLOADED_SHARE = 0.10
-_WAITED_FACTOR = 2.0
-_WAITED_LEAST_MS = 10.0
+_QUEUED_FACTOR = 2.0
+_MIN_QUEUED_MS = 10.0
 
 GATHER_FACTOR = 1.3
 """How much longer than an attempt is waited for before its hedge a daemon
@@ -25,7 +25,7 @@
 """How much later than due an attempt by order is late at last, if nothing has
 told before that it is or that its daemon is silent."""
 
-_SIGN_WEIGHT = {
+_OVERLOAD_WEIGHT = {
     protocol.SubStatus.SHED: 1.0,
     protocol.SubStatus.EXPIRED: 1.0,
     # Hedges are a few per cent of the attempts, so each counts for more.
@@ -46,32 +46,34 @@
 class _IndexRecord:
     """Latencies and signs of overload of one index."""
 
-    __slots__ = ('_samples', '_new', '_sorted', '_signs')
+    __slots__ = ('_samples', '_new_samples', '_sorted', '_overload_share')
 
     def __init__(self) -> None:
         self._samples: collections.deque[float] = collections.deque(
-            maxlen=_WINDOW
+            maxlen=_MAX_SAMPLES
         )
-        self._new = 0
+        self._new_samples = 0
         self._sorted: list[float] = []
-        self._signs = 0.0
+        self._overload_share = 0.0
 
     def observe(self, took_ms: float) -> None:
         self._samples.append(took_ms)
-        self._new += 1
+        self._new_samples += 1
 
-    def sign(self, weight: float) -> None:
-        self._signs = self._signs * _DECAY + weight * (1.0 - _DECAY)
+    def record_overload_sign(self, weight: float) -> None:
+        self._overload_share = self._overload_share * _DECAY + weight * (
+            1.0 - _DECAY
+        )
 
     def is_overloaded(self) -> bool:
-        return self._signs > _OVERLOADED_SHARE
+        return self._overload_share > _OVERLOADED_SHARE
 
     def quantile(self, share: float) -> float | None:
-        if len(self._samples) < _LEAST_SAMPLES:
+        if len(self._samples) < _MIN_SAMPLES:
             return None
-        if self._new >= _RECOMPUTE_EVERY or not self._sorted:
+        if self._new_samples >= _RECOMPUTE_EVERY or not self._sorted:
             self._sorted = sorted(self._samples)
-            self._new = 0
+            self._new_samples = 0
         last = len(self._sorted) - 1
         return self._sorted[min(last, int(share * len(self._sorted)))]
 
@@ -97,7 +99,7 @@
         """
         self._records[index].observe(took_ms)
 
-    def note(
+    def record_overload_sign(
         self,
         index: str,
         status: protocol.SubStatus,
@@ -105,13 +107,13 @@
         service_ms: float,
     ) -> None:
         """Take one ending in as a sign for or against overload."""
-        weight = _SIGN_WEIGHT.get(status, 0.0)
+        weight = _OVERLOAD_WEIGHT.get(status, 0.0)
         if (
-            waited_ms > _WAITED_LEAST_MS
-            and waited_ms > _WAITED_FACTOR * service_ms
+            waited_ms > _MIN_QUEUED_MS
+            and waited_ms > _QUEUED_FACTOR * service_ms
         ):
             weight = max(weight, 1.0)
-        self._records[index].sign(weight)
+        self._records[index].record_overload_sign(weight)
 
     def is_overloaded(self, index: str) -> bool:
         """Whether hedges would only add to a queue."""
@@ -130,7 +132,7 @@
         delay_ms = record.quantile(quantile)
         if delay_ms is None:
             return unknown_ms
-        return max(_LEAST_DELAY_MS, delay_ms)
+        return max(_MIN_DELAY_MS, delay_ms)
 
     def quantile_ms(self, index: str, quantile: float) -> float:
         """Return a quantile of the latency, 0 while too little is known."""
--- a/samphiredock/coordination/search/_scatter.py
+++ b/samphiredock/coordination/search/_scatter.py
@@ -8,10 +8,10 @@
 
 from samphiredock.coordination.search import _planner
 from samphiredock.coordination.search import _scatter_attempts
-from samphiredock.coordination.search import _scatter_caution
+from samphiredock.coordination.search import _scatter_canary
 from samphiredock.coordination.search import _scatter_hedges
-from samphiredock.coordination.search import _scatter_judge
 from samphiredock.coordination.search import _scatter_restart
+from samphiredock.coordination.search import _scatter_results
 from samphiredock.coordination.search import _scatter_round
 from samphiredock.coordination.search import _scatter_types
 from samphiredock import protocol
@@ -20,11 +20,11 @@
 
 # Before a content that lost a target is tried again: in this time the news
 # of a copy that another daemon ran at the same moment arrives.
-_SUSPECT_PAUSE_MS = 20.0
+_LOSS_PAUSE_MS = 20.0
 
 
 _Status = protocol.SubStatus
-_Verdict = _scatter_judge.Verdict
+_Verdict = _scatter_results.AttemptResult
 
 
 class Scatter:
@@ -58,21 +58,21 @@
         self._limits = limits
         self._index = plan.search.index
         self._round = _scatter_round.Round(plan, plan.snapshot)
-        self._older: _scatter_round.Round | None = None
+        self._best_older_round: _scatter_round.Round | None = None
         self._attempts = _scatter_attempts.Attempts(
             plan.query_id, self._index, tools
         )
-        self._seen: dict[_Status, int] = {}
-        self._began = False
+        self._seen_statuses: dict[_Status, int] = {}
+        self._may_have_begun = False
         self._finish_effect: _scatter_types.Finish | None = None
-        self._wait = _scatter_restart.SnapshotWait(
+        self._snapshot_wait = _scatter_restart.SnapshotWait(
             plan.deadline_at_ms, plan.may_restart
         )
-        self._again_due_ms = math.inf
-        self._caution = _scatter_caution.Caution(
+        self._retry_due_ms = math.inf
+        self._canary_gate = _scatter_canary.CanaryGate(
             plan.fingerprint, canary, suspect
         )
-        self._trial_at_ms = 0.0
+        self._next_alone_ms = 0.0
         self._answer_due_ms = plan.answer_by_ms
         self.tally = _scatter_types.Tally(
             sub_queries_needed=len(self._round.shards)
@@ -90,7 +90,7 @@
     def start(self, now_ms: float) -> list[_scatter_types.Effect]:
         """Send the first attempt of every shard, or the canary's."""
         self._begin_round(now_ms)
-        return self._done(now_ms)
+        return self._take_effects(now_ms)
 
     def on_answers(
         self, answers: typing.Iterable[protocol.SubAnswer], now_ms: float
@@ -104,8 +104,8 @@
                 # Not the answer to this attempt, which may still come.
                 self.tally.mismatched_answers += 1
             else:
-                self._take(attempt, answer, now_ms)
-        return self._done(now_ms)
+                self._on_answer(attempt, answer, now_ms)
+        return self._take_effects(now_ms)
 
     def on_tick(self, now_ms: float) -> list[_scatter_types.Effect]:
         """Do what has fallen due: deadline, hedges, second tries."""
@@ -113,11 +113,11 @@
             self._finish()
         if now_ms >= self._hedges.due_ms and not self._finish_effect:
             self._send_hedges(now_ms)
-        if now_ms >= self._again_due_ms:
-            self._try_again(now_ms)
+        if now_ms >= self._retry_due_ms:
+            self._retry_paused(now_ms)
         if now_ms >= self._answer_due_ms:
             self._answer_due_ms = math.inf
-        return self._done(now_ms)
+        return self._take_effects(now_ms)
 
     def on_late(
         self, attempt_ids: typing.Iterable[str], now_ms: float
@@ -129,7 +129,7 @@
                 attempt.is_ordered = False
         if not self._finish_effect and self._hedges.due_ms < math.inf:
             self._send_hedges(now_ms)
-        return self._done(now_ms)
+        return self._take_effects(now_ms)
 
     def on_silent(
         self, attempt_ids: typing.Iterable[str], now_ms: float
@@ -143,10 +143,10 @@
         silent = [row for row in attempts if row is not None]
         if not self._finish_effect and self._plan.repeatable:
             for shard, candidates in self._hedges.take_silent(
-                silent, self._open_to
+                silent, self._candidates_of
             ):
-                self._attempt(shard, now_ms, candidates, hedge=True)
-        return self._done(now_ms)
+                self._send_attempt(shard, now_ms, candidates, hedge=True)
+        return self._take_effects(now_ms)
 
     def on_member_lost(
         self, member: str, now_ms: float
@@ -154,11 +154,11 @@
         """Retry elsewhere what a lost dispatcher had."""
         for attempt in self._attempts.outstanding():
             if attempt.dispatcher == member and not self._finish_effect:
-                self._attempts.end(attempt, None)
-                self._began = True
+                self._attempts.remove(attempt, None)
+                self._may_have_begun = True
                 self._tools.budget.owe(attempt.shard.shard.shard_id)
                 self._retry(attempt.shard, False, now_ms)
-        return self._done(now_ms)
+        return self._take_effects(now_ms)
 
     def give_up(
         self, now_ms: float, unsent: typing.Iterable[str] = ()
@@ -172,9 +172,9 @@
         for attempt_id in unsent:
             attempt = self._attempts.get(attempt_id)
             if attempt is not None:
-                self._attempts.end(attempt, None)
+                self._attempts.remove(attempt, None)
         self._finish()
-        return self._done(now_ms)
+        return self._take_effects(now_ms)
 
     def abandon(self) -> None:
         """The caller has left: nothing that is under way is awaited.
@@ -190,12 +190,15 @@
         due_ms = min(
             self._plan.deadline_at_ms,
             self._hedges.due_ms,
-            self._again_due_ms,
-            self._wait.due_ms(),
+            self._retry_due_ms,
+            self._snapshot_wait.next_check_ms(),
             self._answer_due_ms,
         )
-        if self._caution.is_waiting() and not self._attempts.has_alone():
-            due_ms = min(due_ms, self._trial_at_ms)
+        if (
+            self._canary_gate.has_waiting()
+            and not self._attempts.is_running_alone()
+        ):
+            due_ms = min(due_ms, self._next_alone_ms)
         return due_ms
 
     def gather_ms(self) -> float:
@@ -210,17 +213,17 @@
             [shard.shard.shard_id for shard in shards],
             self._limits.hedge_budget,
         )
-        for shard in self._caution.begin(shards):
-            self._attempt(shard, now_ms)
+        for shard in self._canary_gate.begin(shards):
+            self._send_attempt(shard, now_ms)
         self._arm_hedges(now_ms)
 
     def _arm_hedges(self, now_ms: float) -> None:
-        if self._plan.repeatable and self._caution.allows_hedges():
+        if self._plan.repeatable and self._canary_gate.allows_hedges():
             self._hedges.arm(now_ms)
 
-    def _open_to(self, shard: _scatter_round.ShardState) -> list[str]:
+    def _candidates_of(self, shard: _scatter_round.ShardState) -> list[str]:
         limit = self._plan.attempts_per_shard
-        if limit and len(shard.ran) >= limit:
+        if limit and len(shard.started_on) >= limit:
             return []
         is_usable = self._tools.routes.is_usable
         tried = shard.tried
@@ -230,16 +233,16 @@
             if name not in tried and is_usable(name)
         ]
 
-    def _attempt(
+    def _send_attempt(
         self,
         shard: _scatter_round.ShardState,
         now_ms: float,
         candidates: list[str] | None = None,
         hedge: bool = False,
     ) -> None:
-        candidates = candidates or self._open_to(shard)
+        candidates = candidates or self._candidates_of(shard)
         if not candidates:
-            self._give_up(shard, now_ms)
+            self._on_no_candidate(shard, now_ms)
             return
         target = self._tools.replicas.choose(candidates)
         dispatcher = self._tools.routes.owner(target)
@@ -249,12 +252,12 @@
             target,
             dispatcher,
             now_ms,
-            self._caution.is_alone(shard),
+            self._canary_gate.must_run_alone(shard),
             hedge,
             self._plan.orders and dispatcher != target,
         )
 
-    def _take(
+    def _on_answer(
         self,
         attempt: _scatter_round.Attempt,
         answer: protocol.SubAnswer,
@@ -264,38 +267,38 @@
         status = answer.status
         if not shard.hedge_refusals:
             # The second refusal of one hedge is no second sign of overload.
-            self._tools.latencies.note(
+            self._tools.latencies.record_overload_sign(
                 self._index, status, answer.waited_ms, answer.service_ms
             )
         took_ms = answer.took_ms or now_ms - attempt.sent_ms
         if status is _Status.ANSWERED:
             self._tools.latencies.observe(self._index, took_ms)
         else:
-            self._seen[status] = max(
-                self._seen.get(status, 0), answer.retry_after_ms
+            self._seen_statuses[status] = max(
+                self._seen_statuses.get(status, 0), answer.retry_after_ms
             )
-        verdict = _scatter_judge.judge(
+        verdict = _scatter_results.classify(
             answer, shard, self._round.snapshot.snapshot_id
         )
         # A quick empty answer is no sign of a quick replica.
         useful = verdict is _Verdict.WHOLE
-        self._attempts.end(attempt, took_ms if useful else None)
-        if verdict in _scatter_judge.TARGET_FAULTS:
+        self._attempts.remove(attempt, took_ms if useful else None)
+        if verdict in _scatter_results.TARGET_FAULTS:
             self._tools.replicas.failed(attempt.item.target)
         began = status not in protocol.NEVER_STARTED
         charged = status in self._tools.budget.also_charged
         if began:
-            self._began = True
+            self._may_have_begun = True
         else:
-            shard.ran.discard(attempt.item.target)
+            shard.started_on.discard(attempt.item.target)
         if attempt.item.hedge and not began and not charged:
             self._tools.budget.refund(shard.shard.shard_id)
         if attempt.item.hedge and status is _Status.NO_IDLE_SLOT:
-            self._hedges.refused(shard, now_ms)
+            self._hedges.on_refused(shard, now_ms)
         if attempt.alone and status is _Status.ANSWERED:
-            if self._caution.note_succeeded(shard):
+            if self._canary_gate.note_succeeded(shard):
                 self._tools.suspicions.note_succeeded(self._plan.fingerprint)
-            self._release(now_ms)
+            self._release_held(now_ms)
         if verdict is _Verdict.WHOLE:
             self.tally.hedges_won += attempt.item.hedge
             self._settle(shard, now_ms)
@@ -305,13 +308,13 @@
             # Another target would run it a second time.
             self._settle(shard, now_ms)
         elif verdict is _Verdict.LOST:
-            self._take_loss(shard, answer, now_ms)
+            self._on_target_lost(shard, answer, now_ms)
         else:
-            rule = _scatter_judge.RETRY_RULES[verdict]
-            _scatter_judge.apply(rule, answer, shard, self.tally)
-            self._retry(shard, rule.costly or charged, now_ms)
+            rule = _scatter_results.RETRY_RULES[verdict]
+            _scatter_results.apply_rule(rule, answer, shard, self.tally)
+            self._retry(shard, rule.uses_budget or charged, now_ms)
 
-    def _take_loss(
+    def _on_target_lost(
         self,
         shard: _scatter_round.ShardState,
         answer: protocol.SubAnswer,
@@ -322,9 +325,9 @@
         Only a loss while the content ran alone counts against it; else it
         is run again alone, one shard at a time, which tells the two apart.
         """
-        self._caution.note_lost(shard)
+        self._canary_gate.note_lost(shard)
         self._hedges.stop()
-        self._trial_at_ms = now_ms + _SUSPECT_PAUSE_MS
+        self._next_alone_ms = now_ms + _LOSS_PAUSE_MS
         self._tools.budget.owe(shard.shard.shard_id)
         if answer.ran_alone:
             self._tools.suspicions.note_lost(
@@ -333,20 +336,22 @@
         if self._tools.suspicions.is_quarantined(self._plan.fingerprint):
             self._finish()
 
-    def _release(self, now_ms: float) -> None:
-        for shard in self._caution.release():
+    def _release_held(self, now_ms: float) -> None:
+        for shard in self._canary_gate.release():
             self._retry(shard, False, now_ms)
 
-    def _next_trial(self, now_ms: float) -> None:
+    def _run_next_alone(self, now_ms: float) -> None:
         """Ask one shard alone, unless the content has been judged."""
         if self._tools.suspicions.is_suspect(self._plan.fingerprint):
-            self._caution.suspect()
+            self._canary_gate.mark_suspect()
         if self._tools.suspicions.is_quarantined(self._plan.fingerprint):
             self._finish()
-        elif self._caution.needs_no_more():
-            self._release(now_ms)
+        elif self._canary_gate.has_enough_canaries():
+            self._release_held(now_ms)
         else:
-            self._retry(self._caution.next_shard(), False, now_ms, True)
+            self._retry(
+                self._canary_gate.pop_next_shard(), False, now_ms, True
+            )
 
     def _retry(
         self,
@@ -358,12 +363,12 @@
         """Try another replica, unless one is still at it."""
         if self._finish_effect or shard.settled or shard.outstanding:
             return
-        if self._caution.is_alone(shard) and not its_turn:
-            self._caution.wait(shard)
+        if self._canary_gate.must_run_alone(shard) and not its_turn:
+            self._canary_gate.enqueue(shard)
             return
-        candidates = self._open_to(shard)
+        candidates = self._candidates_of(shard)
         if not candidates:
-            self._give_up(shard, now_ms)
+            self._on_no_candidate(shard, now_ms)
             return
         shard_id = shard.shard.shard_id
         if costly and not self._tools.budget.spend_retry(shard_id):
@@ -373,88 +378,96 @@
         self._arm_hedges(now_ms)
         self.tally.retries += bool(shard.tried)
         if its_turn:
-            candidates = [self._caution.choose(candidates)]
-        self._attempt(shard, now_ms, candidates)
+            candidates = [self._canary_gate.choose_replica(candidates)]
+        self._send_attempt(shard, now_ms, candidates)
 
-    def _give_up(
+    def _on_no_candidate(
         self, shard: _scatter_round.ShardState, now_ms: float
     ) -> None:
         """No replica is left: pause, wait for a snapshot, or settle."""
-        if shard.may_pause():
-            shard.pause(now_ms)
-            self._again_due_ms = min(self._again_due_ms, shard.again_at_ms)
-        elif shard.gone and self._wait.may_restart():
-            self._wait.begin(now_ms)
+        if shard.may_retry_refused():
+            shard.schedule_retry(now_ms)
+            self._retry_due_ms = min(self._retry_due_ms, shard.retry_at_ms)
+        elif shard.snapshot_gone and self._snapshot_wait.may_restart():
+            self._snapshot_wait.begin(now_ms)
         else:
             self._settle(shard, now_ms)
 
     def _settle(self, shard: _scatter_round.ShardState, now_ms: float) -> None:
         self._round.settle(shard)
         if shard.outstanding:
-            self._attempts.drop_losers(self._attempts.on(shard), now_ms)
+            self._attempts.drop_losers(self._attempts.of_shard(shard), now_ms)
 
     # Time.
 
     def _send_hedges(self, now_ms: float) -> None:
-        if self._caution.may_add_canary():
+        if self._canary_gate.may_add_canary():
             # Another shard, not another replica: it is needed anyhow, and
             # two replicas of one shard are not risked for one content.
             self._hedges.stop()
-            self._next_trial(now_ms)
+            self._run_next_alone(now_ms)
             return
-        due = self._hedges.take_due(self._attempts, self._open_to, now_ms)
+        due = self._hedges.take_due(
+            self._attempts, self._candidates_of, now_ms
+        )
         for shard, candidates in due:
-            if not self._caution.is_alone(shard):
-                self._attempt(shard, now_ms, candidates, hedge=True)
+            if not self._canary_gate.must_run_alone(shard):
+                self._send_attempt(shard, now_ms, candidates, hedge=True)
 
-    def _try_again(self, now_ms: float) -> None:
-        self._again_due_ms = math.inf
+    def _retry_paused(self, now_ms: float) -> None:
+        self._retry_due_ms = math.inf
         for shard in self._round.shards:
-            at_ms = shard.again_at_ms
+            at_ms = shard.retry_at_ms
             if at_ms > now_ms:
-                self._again_due_ms = min(self._again_due_ms, at_ms)
+                self._retry_due_ms = min(self._retry_due_ms, at_ms)
             elif at_ms:
-                shard.again_at_ms = 0.0
+                shard.retry_at_ms = 0.0
                 self._retry(shard, False, now_ms)
 
     # The end.
 
-    def _done(self, now_ms: float) -> list[_scatter_types.Effect]:
-        if not self._finish_effect and self._wait.is_on():
-            self._resolve_stuck(now_ms)
-        while self._may_try(now_ms):
-            self._next_trial(now_ms)
-        if not self._round.unsettled or self._is_enough(now_ms):
+    def _take_effects(self, now_ms: float) -> list[_scatter_types.Effect]:
+        if not self._finish_effect and self._snapshot_wait.is_active():
+            self._check_snapshot_wait(now_ms)
+        while self._may_run_alone(now_ms):
+            self._run_next_alone(now_ms)
+        if not self._round.unsettled or self._should_finish(now_ms):
             self._finish()
         effects = self._attempts.collect()
         if self._finish_effect:
             effects.append(self._finish_effect)
         return effects
 
-    def _is_enough(self, now_ms: float) -> bool:
+    def _should_finish(self, now_ms: float) -> bool:
         """Whether waiting on would cost the caller more than it gains.
 
         An answer is due at ``answer_by_ms``: the caller is better served
         by the least coverage in time than by all of it too late.  When the
         least is out of reach, the caller learns it at once.
         """
-        if self._finish_effect or self._wait.is_on():
+        if self._finish_effect or self._snapshot_wait.is_active():
             return False
-        if now_ms >= self._plan.answer_by_ms and self._round.has_least():
+        if (
+            now_ms >= self._plan.answer_by_ms
+            and self._round.has_least_coverage()
+        ):
             return True
-        return not self._wait.may_restart() and self._round.is_hopeless()
+        return (
+            not self._snapshot_wait.may_restart()
+            and self._round.is_least_unreachable()
+        )
 
-    def _may_try(self, now_ms: float) -> bool:
+    def _may_run_alone(self, now_ms: float) -> bool:
         return (
             not self._finish_effect
-            and now_ms >= self._trial_at_ms
-            and self._caution.is_waiting()
-            and not self._attempts.has_alone()
+            and now_ms >= self._next_alone_ms
+            and self._canary_gate.has_waiting()
+            and not self._attempts.is_running_alone()
         )
 
-    def _resolve_stuck(self, now_ms: float) -> None:
+    def _check_snapshot_wait(self, now_ms: float) -> None:
         """Restart whole on a newer snapshot, or stop waiting for one."""
-        newer = self._wait.look(
+        newer = self._snapshot_wait.check(
             self._tools.routes.snapshot,
             self._round.snapshot,
             self._index,
@@ -463,37 +476,44 @@
         )
         if newer is not None:
             self._restart(newer, now_ms)
-        elif self._wait.is_over(now_ms):
-            self._wait.give_up()
+        elif self._snapshot_wait.has_timed_out(now_ms):
+            self._snapshot_wait.give_up()
             for shard in self._round.shards:
-                waits = shard.outstanding or shard.again_at_ms
-                if shard.gone and not waits:
+                waits = shard.outstanding or shard.retry_at_ms
+                if shard.snapshot_gone and not waits:
                     self._settle(shard, now_ms)
 
     def _restart(self, snapshot: state.Snapshot, now_ms: float) -> None:
         self.tally.search_restarts += 1
-        self._wait.restarted()
-        self._again_due_ms = math.inf
-        self._began = self._began or len(self._attempts) > 0
+        self._snapshot_wait.record_restart()
+        self._retry_due_ms = math.inf
+        self._may_have_begun = self._may_have_begun or len(self._attempts) > 0
         self._attempts.drop_losers(self._attempts.outstanding(), now_ms)
         self._attempts.discard_unsent()
-        if self._older is None or self._older.keys() < self._round.keys():
-            self._older = self._round
+        if (
+            self._best_older_round is None
+            or self._best_older_round.covered_keys()
+            < self._round.covered_keys()
+        ):
+            self._best_older_round = self._round
         self._round = _scatter_round.Round(self._plan, snapshot)
         self._begin_round(now_ms)
 
     def _finish(self) -> None:
         if self._finish_effect:
             return
-        self._began = self._began or len(self._attempts) > 0
+        self._may_have_begun = self._may_have_begun or len(self._attempts) > 0
         self._attempts.discard_unsent()
         self._attempts.drop_all()
         self._hedges.stop()
-        self._again_due_ms = math.inf
+        self._retry_due_ms = math.inf
         self.tally.sub_queries_sent = self._attempts.sent
         self._finish_effect = _scatter_types.Finish(
             _scatter_round.outcome_of(
-                self._round, self._older, self._seen, self._began
+                self._round,
+                self._best_older_round,
+                self._seen_statuses,
+                self._may_have_begun,
             ),
             self._round.accepted(),
         )
--- a/samphiredock/coordination/search/_scatter_attempts.py
+++ b/samphiredock/coordination/search/_scatter_attempts.py
@@ -21,20 +21,20 @@
         self._index = index
         self._latencies = tools.latencies
         self._replicas = tools.replicas
-        self._out: dict[str, _scatter_round.Attempt] = {}
+        self._outstanding: dict[str, _scatter_round.Attempt] = {}
         self._outbox: dict[
             tuple[str | None, bool], list[protocol.SubQuery]
         ] = {}
         self._drops: _Drops = {}
-        self._alone = 0
+        self._alone_count = 0
         self.sent = 0
 
     def __len__(self) -> int:
-        return len(self._out)
+        return len(self._outstanding)
 
     def outstanding(self) -> list[_scatter_round.Attempt]:
         """Return the attempts that have not ended."""
-        return list(self._out.values())
+        return list(self._outstanding.values())
 
     def overdue(
         self, delay_ms: float, now_ms: float
@@ -42,14 +42,14 @@
         """Return the attempts to hedge now, and when to look again."""
         late = []
         due_ms = math.inf
-        for attempt in self._out.values():
+        for attempt in self._outstanding.values():
             if attempt.shard.hedged or attempt.shard.outstanding != 1:
                 continue
             wait_ms = delay_ms
             if attempt.is_ordered:
                 wait_ms = _hedging.ordered_delay_ms(delay_ms)
             late_from_ms = max(
-                attempt.sent_ms + wait_ms, attempt.shard.hedge_from_ms
+                attempt.sent_ms + wait_ms, attempt.shard.next_hedge_ms
             )
             if late_from_ms <= now_ms:
                 late.append(attempt)
@@ -57,9 +57,9 @@
                 due_ms = min(due_ms, late_from_ms)
         return late, due_ms
 
-    def has_alone(self) -> bool:
+    def is_running_alone(self) -> bool:
         """Whether an attempt that runs alone has not ended."""
-        return self._alone > 0
+        return self._alone_count > 0
 
     def send(
         self,
@@ -74,7 +74,7 @@
     ) -> None:
         """Add one attempt, to go out with the next :meth:`collect`."""
         self.sent += 1
-        self._alone += alone
+        self._alone_count += alone
         item = protocol.SubQuery(
             f'{self._query_id}.{self.sent}',
             round_.plan.search.index,
@@ -84,11 +84,11 @@
             target,
             hedge,
         )
-        self._out[item.attempt_id] = _scatter_round.Attempt(
+        self._outstanding[item.attempt_id] = _scatter_round.Attempt(
             shard, item, dispatcher, now_ms, alone, is_ordered
         )
         shard.tried.add(target)
-        shard.ran.add(target)
+        shard.started_on.add(target)
         shard.outstanding += 1
         self._replicas.sent(target)
         key = (dispatcher, alone)
@@ -100,23 +100,25 @@
 
     def get(self, attempt_id: str) -> _scatter_round.Attempt | None:
         """Return an attempt that has not ended."""
-        return self._out.get(attempt_id)
+        return self._outstanding.get(attempt_id)
 
-    def end(
+    def remove(
         self, attempt: _scatter_round.Attempt, took_ms: float | None
     ) -> None:
         """Take an attempt out; None if its time says nothing."""
         item = attempt.item
-        del self._out[item.attempt_id]
-        self._alone -= attempt.alone
+        del self._outstanding[item.attempt_id]
+        self._alone_count -= attempt.alone
         attempt.shard.outstanding -= 1
         self._replicas.ended(item.target, took_ms)
 
-    def on(
+    def of_shard(
         self, shard: _scatter_round.ShardState
     ) -> list[_scatter_round.Attempt]:
         """Return the attempts on one shard that have not ended."""
-        return [row for row in self._out.values() if row.shard is shard]
+        return [
+            row for row in self._outstanding.values() if row.shard is shard
+        ]
 
     def drop_losers(
         self,
@@ -137,7 +139,7 @@
     def _drop(
         self, attempt: _scatter_round.Attempt, took_ms: float | None
     ) -> None:
-        self.end(attempt, took_ms)
+        self.remove(attempt, took_ms)
         if attempt.dispatcher is not None:
             self._drops.setdefault(attempt.dispatcher, []).append(
                 attempt.item.attempt_id
--- a/samphiredock/coordination/search/_scatter_caution.py
+++ b/samphiredock/coordination/search/_scatter_canary.py
@@ -6,10 +6,10 @@
 
 from samphiredock.coordination.search import _scatter_round
 
-_CANARIES = 2
+_MAX_CANARIES = 2
 
 
-class Caution:
+class CanaryGate:
     """Hold shards back while the content may crash its targets.
 
     The order of the shards and replicas that are asked alone follows from
@@ -30,26 +30,26 @@
     def __init__(self, fingerprint: str, canary: bool, suspect: bool) -> None:
         self._fingerprint = fingerprint
         self._is_canary = canary or suspect
-        self._is_careful = self._is_canary
+        self._is_serial = self._is_canary
         self._is_suspect = suspect
         self._canaries = 0
         self._held: list[_scatter_round.ShardState] = []
         self._queue: list[_scatter_round.ShardState] = []
         self._lost: list[_scatter_round.ShardState] = []
-        self._asked: set[str] = set()
+        self._queried_targets: set[str] = set()
 
     def begin(
         self, shards: list[_scatter_round.ShardState]
     ) -> list[_scatter_round.ShardState]:
         """Return the shards to ask at once; the others are held."""
-        self._is_careful = self._is_careful or self._is_suspect
-        self._is_canary = self._is_careful
+        self._is_serial = self._is_serial or self._is_suspect
+        self._is_canary = self._is_serial
         self._canaries = 0
         self._queue.clear()
         self._lost.clear()
         if not self._is_canary:
             return shards
-        self._asked.clear()
+        self._queried_targets.clear()
         self._held = sorted(
             shards, key=lambda shard: self._rank(shard.shard.shard_id)
         )
@@ -59,7 +59,7 @@
         text = f'{self._fingerprint}/{name}'
         return xxhash.xxh64_intdigest(text.encode())
 
-    def choose(self, replicas: typing.Sequence[str]) -> str:
+    def choose_replica(self, replicas: typing.Sequence[str]) -> str:
         """Return the replica to ask alone."""
         return min(replicas, key=self._rank)
 
@@ -68,23 +68,23 @@
         return (
             self._is_canary
             and not self._is_suspect
-            and self._canaries < _CANARIES
+            and self._canaries < _MAX_CANARIES
             and bool(self._held)
         )
 
-    def is_alone(self, shard: _scatter_round.ShardState) -> bool:
+    def must_run_alone(self, shard: _scatter_round.ShardState) -> bool:
         """Whether a shard may only be asked alone, one at a time."""
-        return self._is_careful or shard in self._lost
+        return self._is_serial or shard in self._lost
 
     def allows_hedges(self) -> bool:
         """Whether a second target may run the content at the same time."""
         return not self._is_suspect
 
-    def is_waiting(self) -> bool:
+    def has_waiting(self) -> bool:
         """Whether a shard waits for its turn to be asked alone."""
         return bool(self._queue) or (self._is_canary and bool(self._held))
 
-    def wait(self, shard: _scatter_round.ShardState) -> None:
+    def enqueue(self, shard: _scatter_round.ShardState) -> None:
         """Ask a shard when the one that runs alone has ended."""
         self._queue.append(shard)
 
@@ -92,7 +92,7 @@
         """A target died under this content, alone or beside others."""
         self._is_suspect = True
         if self._is_canary or shard in self._lost:
-            self._is_careful = True
+            self._is_serial = True
         if shard not in self._lost:
             self._lost.append(shard)
         self._queue.append(shard)
@@ -113,7 +113,7 @@
     def release(self) -> list[_scatter_round.ShardState]:
         """Return the held shards; only those with a loss still go alone."""
         self._is_canary = False
-        self._is_careful = False
+        self._is_serial = False
         free = self._held + [
             shard for shard in self._queue if shard not in self._lost
         ]
@@ -121,19 +121,19 @@
         self._queue = [shard for shard in self._queue if shard in self._lost]
         return free
 
-    def suspect(self) -> None:
+    def mark_suspect(self) -> None:
         """A target was lost to the content elsewhere, meanwhile."""
         self._is_suspect = True
 
-    def needs_no_more(self) -> bool:
+    def has_enough_canaries(self) -> bool:
         """Whether canaries that gave no verdict have cost enough time."""
         return (
             self._is_canary
             and not self._is_suspect
-            and self._canaries >= _CANARIES
+            and self._canaries >= _MAX_CANARIES
         )
 
-    def next_shard(self) -> _scatter_round.ShardState:
+    def pop_next_shard(self) -> _scatter_round.ShardState:
         """Return the shard to ask alone now.
 
         A further canary is one whose replicas are all others, so that a
@@ -141,9 +141,9 @@
         """
         if self._is_canary:
             for shard in self._held:
-                if self._asked.isdisjoint(shard.shard.replicas):
+                if self._queried_targets.isdisjoint(shard.shard.replicas):
                     self._canaries += 1
-                    self._asked.update(shard.shard.replicas)
+                    self._queried_targets.update(shard.shard.replicas)
                     self._held.remove(shard)
                     return shard
         if self._queue:
--- a/samphiredock/coordination/search/_scatter_hedges.py
+++ b/samphiredock/coordination/search/_scatter_hedges.py
@@ -10,19 +10,19 @@
 from samphiredock.coordination.search import _scatter_types
 from samphiredock import state
 
-FIRST_DELAY_SHARE = 0.25
+INITIAL_DELAY_SHARE = 0.25
 """Part of the deadline after which a coordinator hedges that knows no
 latencies yet.  A message to a dispatcher that died unnoticed is never
 answered; without any hedge the first searches of a fresh daemon would wait
 for it until their deadline, and a lost canary would leave them empty."""
 
-REFUSAL_LIMIT = 4
-REFUSAL_PAUSE_MS = 8.0
+MAX_HEDGE_REFUSALS = 4
+HEDGE_REFUSAL_PAUSE_MS = 8.0
 """A slot is soon free again where service times are tens of ms."""
 
-AT_ONCE_SHARE = 0.2
-LEAST_AT_ONCE = 2
-STEP_SHARE = 0.25
+HEDGE_BATCH_SHARE = 0.2
+MIN_HEDGE_BATCH = 2
+HEDGE_BATCH_INTERVAL_SHARE = 0.25
 """When many shards of a search are late together, few of them are hedged at
 a time: this share of all shards, and the next ones a part of the delay later.
 What makes them late together is mostly this daemon, or a load that every
@@ -32,7 +32,7 @@
 all of its shards are hedged within 1.75 delays.  Worth +0.0070 +- 0.0050 of
 a day's benefit over 10 pairs of played days of 7 daemons and 20 shards."""
 
-OpenTo = typing.Callable[[_scatter_round.ShardState], list[str]]
+CandidatesOf = typing.Callable[[_scatter_round.ShardState], list[str]]
 
 
 class Hedges:
@@ -64,14 +64,14 @@
         self._quantile = limits.hedge_quantile
         self._fixed_ms = limits.hedge_after_ms
         self._tally = tally
-        self._first_ms = first_ms
+        self._initial_delay_ms = first_ms
         self.due_ms = math.inf
 
     def _delay_ms(self) -> float | None:
         latencies = self._tools.latencies
         if not self._fixed_ms:
             return latencies.hedge_delay_ms(
-                self._index, self._quantile, self._first_ms
+                self._index, self._quantile, self._initial_delay_ms
             )
         # A fixed delay adds to a queue as any other.
         overloaded = latencies.is_overloaded(self._index)
@@ -79,7 +79,7 @@
 
     def gather_ms(self) -> float:
         """Return for how long the parts of an order are to be gathered."""
-        return _hedging.gather_ms(self._delay_ms() or self._first_ms)
+        return _hedging.gather_ms(self._delay_ms() or self._initial_delay_ms)
 
     def arm(self, now_ms: float) -> None:
         """Attempts are sent now; an earlier timer covers them too."""
@@ -88,7 +88,9 @@
         delay_ms = self._delay_ms()
         self.due_ms = math.inf if delay_ms is None else now_ms + delay_ms
 
-    def refused(self, shard: _scatter_round.ShardState, now_ms: float) -> None:
+    def on_refused(
+        self, shard: _scatter_round.ShardState, now_ms: float
+    ) -> None:
         """A hedge found no idle slot: it may go again after a pause.
 
         Stragglers last for several service times, so that a slot of the
@@ -96,11 +98,11 @@
         try one unlucky moment leaves the search to its straggler.
         """
         shard.hedge_refusals += 1
-        if shard.hedge_refusals >= REFUSAL_LIMIT:
+        if shard.hedge_refusals >= MAX_HEDGE_REFUSALS:
             return
         shard.hedged = False
-        shard.hedge_from_ms = now_ms + REFUSAL_PAUSE_MS
-        self.due_ms = min(self.due_ms, shard.hedge_from_ms)
+        shard.next_hedge_ms = now_ms + HEDGE_REFUSAL_PAUSE_MS
+        self.due_ms = min(self.due_ms, shard.next_hedge_ms)
 
     def stop(self) -> None:
         """Send no more."""
@@ -109,7 +111,7 @@
     def take_due(
         self,
         attempts: _scatter_attempts.Attempts,
-        open_to: OpenTo,
+        open_to: CandidatesOf,
         now_ms: float,
     ) -> list[tuple[_scatter_round.ShardState, list[str]]]:
         """Return the shards to hedge now, each with its candidates.
@@ -122,14 +124,14 @@
         if delay_ms is None:
             return []
         late, self.due_ms = attempts.overdue(delay_ms, now_ms)
-        at_once = self._at_once()
+        at_once = self._batch_size()
         if len(late) > at_once:
             late = late[:at_once]
-            self.due_ms = now_ms + delay_ms * STEP_SHARE
+            self.due_ms = now_ms + delay_ms * HEDGE_BATCH_INTERVAL_SHARE
         chosen = []
         for attempt in late:
             candidates = open_to(attempt.shard)
-            if candidates and self._may_hedge(attempt.shard):
+            if candidates and self._spend_hedge(attempt.shard):
                 elsewhere = [
                     name
                     for name in candidates
@@ -141,7 +143,7 @@
     def take_silent(
         self,
         attempts: typing.Iterable[_scatter_round.Attempt],
-        open_to: OpenTo,
+        open_to: CandidatesOf,
     ) -> list[tuple[_scatter_round.ShardState, list[str]]]:
         """Return the shards of a silent daemon's attempts, to hedge now."""
         chosen = []
@@ -151,16 +153,16 @@
             if shard.hedged or shard.outstanding != 1:
                 continue
             candidates = open_to(shard)
-            if candidates and self._may_hedge(shard):
+            if candidates and self._spend_hedge(shard):
                 chosen.append((shard, candidates))
         return chosen
 
-    def _at_once(self) -> int:
+    def _batch_size(self) -> int:
         """Return how many shards may be hedged at one time."""
         shards = self._tally.sub_queries_needed
-        return max(LEAST_AT_ONCE, math.ceil(shards * AT_ONCE_SHARE))
+        return max(MIN_HEDGE_BATCH, math.ceil(shards * HEDGE_BATCH_SHARE))
 
-    def _may_hedge(self, shard: _scatter_round.ShardState) -> bool:
+    def _spend_hedge(self, shard: _scatter_round.ShardState) -> bool:
         shard.hedged = True
         if self._tools.budget.spend_hedge(shard.shard.shard_id):
             self._tally.hedges_sent += 1
@@ -173,4 +175,4 @@
     """Return when to hedge while no latencies are known."""
     if plan.first_hedge_ms is not None:
         return plan.first_hedge_ms
-    return plan.search.deadline_ms * FIRST_DELAY_SHARE
+    return plan.search.deadline_ms * INITIAL_DELAY_SHARE
--- a/samphiredock/coordination/search/_scatter_restart.py
+++ b/samphiredock/coordination/search/_scatter_restart.py
@@ -4,7 +4,7 @@
 
 from samphiredock import state
 
-_RESTARTS = 2
+_MAX_RESTARTS = 2
 _WAIT_SHARE = 0.5
 _POLL_MS = 5.0
 
@@ -22,33 +22,33 @@
     ) -> None:
         self._deadline_at_ms = deadline_at_ms
         self._until_ms = math.inf
-        self._look_ms = math.inf
-        self._restarts_left = _RESTARTS if may_restart else 0
+        self._next_check_ms = math.inf
+        self._restarts_left = _MAX_RESTARTS if may_restart else 0
 
     def may_restart(self) -> bool:
         """Whether another restart is allowed."""
         return self._restarts_left > 0
 
-    def is_on(self) -> bool:
+    def is_active(self) -> bool:
         """Whether a newer snapshot is awaited."""
         return self._until_ms < math.inf
 
-    def is_over(self, now_ms: float) -> bool:
+    def has_timed_out(self, now_ms: float) -> bool:
         """Whether the wait has lasted long enough."""
         return now_ms >= self._until_ms
 
-    def due_ms(self) -> float:
+    def next_check_ms(self) -> float:
         """Return when to look again."""
-        return self._look_ms
+        return self._next_check_ms
 
     def begin(self, now_ms: float) -> None:
         """Await a newer snapshot."""
-        if not self.is_on():
+        if not self.is_active():
             left_ms = self._deadline_at_ms - now_ms
             self._until_ms = now_ms + left_ms * _WAIT_SHARE
-            self._look_ms = now_ms
+            self._next_check_ms = now_ms
 
-    def look(
+    def check(
         self,
         newest: state.Snapshot | None,
         held: state.Snapshot,
@@ -57,7 +57,7 @@
         now_ms: float,
     ) -> state.Snapshot | None:
         """Return the snapshot to restart on, if there is one and time."""
-        self._look_ms = now_ms + _POLL_MS
+        self._next_check_ms = now_ms + _POLL_MS
         if (
             newest is None
             or newest.snapshot_id <= held.snapshot_id
@@ -67,16 +67,16 @@
             return None
         return newest
 
-    def restarted(self) -> None:
+    def record_restart(self) -> None:
         """The search was restarted."""
         self._restarts_left -= 1
-        self._stop()
+        self._reset()
 
     def give_up(self) -> None:
         """No newer snapshot came in time."""
         self._restarts_left = 0
-        self._stop()
+        self._reset()
 
-    def _stop(self) -> None:
+    def _reset(self) -> None:
         self._until_ms = math.inf
-        self._look_ms = math.inf
+        self._next_check_ms = math.inf
--- a/samphiredock/coordination/search/_scatter_judge.py
+++ b/samphiredock/coordination/search/_scatter_results.py
@@ -11,7 +11,7 @@
 _Status = protocol.SubStatus
 
 
-class Verdict(enum.Enum):
+class AttemptResult(enum.Enum):
     """What an ended attempt was worth."""
 
     WHOLE = 'whole'
@@ -23,7 +23,7 @@
     LOST = 'lost'
     GONE = 'gone'
     BUSY = 'busy'
-    PASSING = 'passing'
+    TRANSIENT = 'passing'
     REFUSED = 'refused'
     QUARANTINED = 'quarantined'
     UNKNOWN = 'unknown'
@@ -39,58 +39,62 @@
     that it may be asked at once since it never took the attempt.
     """
 
-    costly: bool = True
-    gone: bool = False
-    again: bool = False
-    unasked: bool = False
+    uses_budget: bool = True
+    snapshot_gone: bool = False
+    retry_after_pause: bool = False
+    not_attempted: bool = False
     counter: str | None = None
 
 
 RETRY_RULES = {
-    Verdict.PART: RetryRule(),
-    Verdict.EMPTY: RetryRule(
-        costly=False, again=True, counter='empty_answers'
+    AttemptResult.PART: RetryRule(),
+    AttemptResult.EMPTY: RetryRule(
+        uses_budget=False, retry_after_pause=True, counter='empty_answers'
     ),
-    Verdict.WRONG_SNAPSHOT: RetryRule(
-        gone=True, counter='wrong_snapshot_answers'
+    AttemptResult.WRONG_SNAPSHOT: RetryRule(
+        snapshot_gone=True, counter='wrong_snapshot_answers'
     ),
-    Verdict.BAD: RetryRule(counter='bad_answers'),
-    Verdict.FAILED: RetryRule(),
-    Verdict.GONE: RetryRule(costly=False, gone=True),
-    Verdict.BUSY: RetryRule(costly=False, unasked=True),
-    Verdict.PASSING: RetryRule(costly=False, again=True),
-    Verdict.REFUSED: RetryRule(costly=False),
+    AttemptResult.BAD: RetryRule(counter='bad_answers'),
+    AttemptResult.FAILED: RetryRule(),
+    AttemptResult.GONE: RetryRule(uses_budget=False, snapshot_gone=True),
+    AttemptResult.BUSY: RetryRule(uses_budget=False, not_attempted=True),
+    AttemptResult.TRANSIENT: RetryRule(
+        uses_budget=False, retry_after_pause=True
+    ),
+    AttemptResult.REFUSED: RetryRule(uses_budget=False),
     # Says nothing of the target, which may have run it.
-    Verdict.UNKNOWN: RetryRule(),
+    AttemptResult.UNKNOWN: RetryRule(),
 }
 
-TARGET_FAULTS = frozenset({Verdict.FAILED, Verdict.BAD, Verdict.PASSING})
+TARGET_FAULTS = frozenset(
+    {AttemptResult.FAILED, AttemptResult.BAD, AttemptResult.TRANSIENT}
+)
 """Ends that speak against the replica: another one is asked first."""
 
-_OF_STATUS = {
-    _Status.SNAPSHOT_GONE: Verdict.GONE,
-    _Status.NOT_LOADED: Verdict.PASSING,
-    _Status.SHED: Verdict.PASSING,
-    _Status.DRAINING: Verdict.REFUSED,
-    _Status.EXPIRED: Verdict.REFUSED,
-    _Status.CANCELLED: Verdict.REFUSED,
-    _Status.UNREACHABLE: Verdict.PASSING,
-    _Status.NOT_OWNER: Verdict.PASSING,
-    _Status.NO_IDLE_SLOT: Verdict.BUSY,
-    _Status.QUARANTINED: Verdict.QUARANTINED,
-    _Status.BROKEN: Verdict.FAILED,
-    _Status.SILENT: Verdict.FAILED,
-    _Status.BAD_ANSWER: Verdict.BAD,
-    _Status.NOT_ORDERED: Verdict.BUSY,
-    _Status.ORDER_LOST: Verdict.UNKNOWN,
+_RESULT_OF_STATUS = {
+    _Status.SNAPSHOT_GONE: AttemptResult.GONE,
+    _Status.NOT_LOADED: AttemptResult.TRANSIENT,
+    _Status.SHED: AttemptResult.TRANSIENT,
+    _Status.DRAINING: AttemptResult.REFUSED,
+    _Status.EXPIRED: AttemptResult.REFUSED,
+    _Status.CANCELLED: AttemptResult.REFUSED,
+    _Status.UNREACHABLE: AttemptResult.TRANSIENT,
+    _Status.NOT_OWNER: AttemptResult.TRANSIENT,
+    _Status.NO_IDLE_SLOT: AttemptResult.BUSY,
+    _Status.QUARANTINED: AttemptResult.QUARANTINED,
+    _Status.BROKEN: AttemptResult.FAILED,
+    _Status.SILENT: AttemptResult.FAILED,
+    _Status.BAD_ANSWER: AttemptResult.BAD,
+    _Status.NOT_ORDERED: AttemptResult.BUSY,
+    _Status.ORDER_LOST: AttemptResult.UNKNOWN,
 }
 
 
-def judge(
+def classify(
     answer: protocol.SubAnswer,
     shard: _scatter_round.ShardState,
     snapshot_id: int,
-) -> Verdict:
+) -> AttemptResult:
     """Return what an ended attempt was worth; keep its content if sound.
 
     Parameters
@@ -104,25 +108,27 @@
     """
     if answer.status is not _Status.ANSWERED:
         return (
-            Verdict.LOST if answer.target_lost else _OF_STATUS[answer.status]
+            AttemptResult.LOST
+            if answer.target_lost
+            else _RESULT_OF_STATUS[answer.status]
         )
     if answer.snapshot_id != snapshot_id:
         # Merging it would mix two versions of the index in one answer.
-        return Verdict.WRONG_SNAPSHOT
+        return AttemptResult.WRONG_SNAPSHOT
     asked = shard.shard.key_range
     if not _merge.is_within(answer.ranges, asked):
-        return Verdict.BAD
+        return AttemptResult.BAD
     if not answer.ranges:
         # A target that has not loaded its shard finds nothing in it.
-        return Verdict.EMPTY
+        return AttemptResult.EMPTY
     shard.answers.append(answer)
     if not answer.truncated:
         shard.ranges.extend(answer.ranges)
     whole = _merge.covers(shard.ranges, asked)
-    return Verdict.WHOLE if whole else Verdict.PART
+    return AttemptResult.WHOLE if whole else AttemptResult.PART
 
 
-def apply(
+def apply_rule(
     rule: RetryRule,
     answer: protocol.SubAnswer,
     shard: _scatter_round.ShardState,
@@ -130,10 +136,10 @@
 ) -> None:
     """Note in ``shard`` which replicas may be asked after an ending."""
     if rule.counter:
-        tally.count(rule.counter)
-    shard.gone = shard.gone or rule.gone
-    if rule.unasked:
+        tally.increment(rule.counter)
+    shard.snapshot_gone = shard.snapshot_gone or rule.snapshot_gone
+    if rule.not_attempted:
         shard.tried.discard(answer.target)
-    if rule.again:
-        shard.again.add(answer.target)
+    if rule.retry_after_pause:
+        shard.retryable.add(answer.target)
         shard.pause_ms = max(shard.pause_ms, answer.retry_after_ms)
--- a/samphiredock/coordination/search/_scatter_round.py
+++ b/samphiredock/coordination/search/_scatter_round.py
@@ -8,11 +8,11 @@
 from samphiredock import state
 
 _RETRY_AFTER_MS = 1_000
-_PASSES = 2
-_PAUSE_MS = 10.0
+_MAX_PASSES = 2
+_MIN_PAUSE_MS = 10.0
 
 # The first of these that was seen says why a search was not run.
-_REASONS = (
+_REASON_OF_STATUS = (
     (protocol.SubStatus.QUARANTINED, protocol.NotRunReason.QUARANTINED),
     (protocol.SubStatus.SHED, protocol.NotRunReason.OVERLOADED),
     (protocol.SubStatus.EXPIRED, protocol.NotRunReason.OVERLOADED),
@@ -45,36 +45,36 @@
     ``again`` are replicas that refused for a reason that passes; they may
     be tried once more.  ``again_at_ms`` is when, 0 if no pause is on.
     ``ran`` are the targets that have begun it, for all that is known.
-    ``hedged`` says that no (further) hedge is wanted, ``hedge_from_ms``
+    ``hedged`` says that no (further) hedge is wanted, ``next_hedge_ms``
     from when on one may be sent after a refused one.
     """
 
     shard: state.Shard
     tried: set[str] = dataclasses.field(default_factory=set)
-    ran: set[str] = dataclasses.field(default_factory=set)
-    again: set[str] = dataclasses.field(default_factory=set)
+    started_on: set[str] = dataclasses.field(default_factory=set)
+    retryable: set[str] = dataclasses.field(default_factory=set)
     answers: list[protocol.SubAnswer] = dataclasses.field(default_factory=list)
     ranges: list[protocol.KeyRange] = dataclasses.field(default_factory=list)
     outstanding: int = 0
     passes: int = 1
     pause_ms: float = 0.0
-    again_at_ms: float = 0.0
+    retry_at_ms: float = 0.0
     hedged: bool = False
     hedge_refusals: int = 0
-    hedge_from_ms: float = 0.0
-    gone: bool = False
+    next_hedge_ms: float = 0.0
+    snapshot_gone: bool = False
     settled: bool = False
 
-    def may_pause(self) -> bool:
+    def may_retry_refused(self) -> bool:
         """Whether refusals of the moment are worth a second pass."""
-        return bool(self.again) and self.passes < _PASSES
+        return bool(self.retryable) and self.passes < _MAX_PASSES
 
-    def pause(self, now_ms: float) -> None:
+    def schedule_retry(self, now_ms: float) -> None:
         """Open the replicas that refused for the moment once more."""
         self.passes += 1
-        self.tried -= self.again
-        self.again.clear()
-        self.again_at_ms = now_ms + max(_PAUSE_MS, self.pause_ms)
+        self.tried -= self.retryable
+        self.retryable.clear()
+        self.retry_at_ms = now_ms + max(_MIN_PAUSE_MS, self.pause_ms)
 
 
 class Round:
@@ -87,53 +87,53 @@
         self.index_version = index.version
         self.shards = [ShardState(shard) for shard in index.shards]
         self.unsettled = len(self.shards)
-        self._lost_keys = 0
+        self._uncovered_keys = 0
 
     @property
-    def _answered(self) -> int:
+    def _answered_shards(self) -> int:
         return sum(1 for shard in self.shards if shard.answers)
 
     def settle(self, shard: ShardState) -> None:
         """Expect nothing more of this shard."""
         if not shard.settled:
             shard.settled = True
-            shard.again_at_ms = 0.0
+            shard.retry_at_ms = 0.0
             self.unsettled -= 1
             if not shard.ranges:
                 key_range = shard.shard.key_range
-                self._lost_keys += key_range.high - key_range.low
+                self._uncovered_keys += key_range.high - key_range.low
 
-    def has_least(self) -> bool:
+    def has_least_coverage(self) -> bool:
         """Whether the answers so far reach the least coverage."""
-        least = needed_keys(self.plan.search.least_coverage)
-        return self._answered > 0 and self.keys() >= least
+        least = least_keys(self.plan.search.least_coverage)
+        return self._answered_shards > 0 and self.covered_keys() >= least
 
-    def is_hopeless(self) -> bool:
+    def is_least_unreachable(self) -> bool:
         """Whether the least coverage cannot be reached any more."""
-        least = needed_keys(self.plan.search.least_coverage)
-        return state.KEY_SPACE_SIZE - self._lost_keys < least
+        least = least_keys(self.plan.search.least_coverage)
+        return state.KEY_SPACE_SIZE - self._uncovered_keys < least
 
     def accepted(self) -> tuple[protocol.SubAnswer, ...]:
         """Return the answers whose content may be merged."""
         return tuple(row for shard in self.shards for row in shard.answers)
 
-    def covered(self) -> list[protocol.KeyRange]:
+    def covered_ranges(self) -> list[protocol.KeyRange]:
         """Return the key ranges that the accepted answers searched."""
         return _merge.union_of(
             row for shard in self.shards for row in shard.ranges
         )
 
-    def keys(self) -> int:
+    def covered_keys(self) -> int:
         """Return how many places of the key space were searched."""
-        return _merge.covered_keys(self.covered())
+        return _merge.covered_keys(self.covered_ranges())
 
     def answer(self) -> protocol.Answered | protocol.Partial | None:
         """Return the answer at this snapshot, None below the least."""
         plan = self.plan
-        covered = self.covered()
+        covered = self.covered_ranges()
         answers = self.accepted()
         keys = _merge.covered_keys(covered)
-        if not answers or keys < needed_keys(plan.search.least_coverage):
+        if not answers or keys < least_keys(plan.search.least_coverage):
             return None
         records = _merge.merge_records(answers, plan.search.merge, plan.limit)
         snapshot_id = self.snapshot.snapshot_id
@@ -149,7 +149,7 @@
         )
 
 
-def needed_keys(least_coverage: float) -> int:
+def least_keys(least_coverage: float) -> int:
     """Return the least coverage as a count of keys, rounded up."""
     keys = least_coverage * state.KEY_SPACE_SIZE
     return int(keys) + (keys > int(keys))
@@ -162,7 +162,7 @@
 
     ``seen`` holds, for each ending, the longest ``retry_after_ms`` given.
     """
-    for status, reason in _REASONS:
+    for status, reason in _REASON_OF_STATUS:
         if status in seen:
             return protocol.NotRun(
                 reason, detail, seen[status] or _RETRY_AFTER_MS
@@ -191,13 +191,13 @@
         Whether any target may have begun: then "not run" would be untrue.
     """
     best = current
-    if older is not None and older.keys() > current.keys():
+    if older is not None and older.covered_keys() > current.covered_keys():
         best = older
     answer = best.answer()
     if answer is not None:
         return answer
     detail = (
-        f'got coverage {best.keys() / state.KEY_SPACE_SIZE:.4f}, '
+        f'got coverage {best.covered_keys() / state.KEY_SPACE_SIZE:.4f}, '
         f'expected at least {best.plan.search.least_coverage}; '
         f'endings: {sorted(status.value for status in seen)}'
     )
--- a/samphiredock/coordination/search/_scatter_types.py
+++ b/samphiredock/coordination/search/_scatter_types.py
@@ -113,7 +113,7 @@
     empty_answers: int = 0
     bad_answers: int = 0
 
-    def count(self, name: str) -> None:
+    def increment(self, name: str) -> None:
         """Add one to a field."""
         setattr(self, name, getattr(self, name) + 1)
 
--- a/tests/failure/test_hedging.py
+++ b/tests/failure/test_hedging.py
@@ -116,7 +116,7 @@
     def test_no_hedge_while_overloaded(self) -> None:
         """With targets shedding, late shards wait: a hedge is more load."""
         for _ in range(30):
-            self.desk.tools.latencies.note(
+            self.desk.tools.latencies.record_overload_sign(
                 memory_searches.INDEX, Status.SHED, 0.0, 0.0
             )
         self.assertEqual([], self.desk.tick(100.0))
@@ -125,10 +125,14 @@
         """Long waits stop hedges, quick answers bring them back."""
         latencies = self.desk.tools.latencies
         for _ in range(30):
-            latencies.note(memory_searches.INDEX, Status.ANSWERED, 60.0, 5.0)
+            latencies.record_overload_sign(
+                memory_searches.INDEX, Status.ANSWERED, 60.0, 5.0
+            )
         self.assertTrue(latencies.is_overloaded(memory_searches.INDEX))
         for _ in range(200):
-            latencies.note(memory_searches.INDEX, Status.ANSWERED, 0.1, 5.0)
+            latencies.record_overload_sign(
+                memory_searches.INDEX, Status.ANSWERED, 0.1, 5.0
+            )
         self.assertFalse(latencies.is_overloaded(memory_searches.INDEX))
 
     def test_no_hedge_beyond_the_budget(self) -> None:
--- a/tests/failure/test_merged_crossing.py
+++ b/tests/failure/test_merged_crossing.py
@@ -300,7 +300,9 @@
         search of many has too little, and waits for them until its deadline.
         """
         for _ in range(30):
-            self.desk.latencies.note('all', protocol.SubStatus.SHED, 0.0, 0.0)
+            self.desk.latencies.record_overload_sign(
+                'all', protocol.SubStatus.SHED, 0.0, 0.0
+            )
         self.assertTrue(self.desk.latencies.is_overloaded('all'))
         self.links.frozen = set(self.desk.mergers)
         await self._ask()
--- a/tests/failure/test_quarantine.py
+++ b/tests/failure/test_quarantine.py
@@ -183,7 +183,7 @@
         self.assert_refused(other.refusal('suspect'))
         await self.tier.move(2_000.0)
         self.assertIsNone(other.refusal('suspect'))
-        other.admit('suspect', 160.0)
+        other.begin_run('suspect', 160.0)
         await self.tier.move(1.0)
         self.assert_refused(first.refusal('suspect'))
 
--- a/tests/unit/test_suspects.py
+++ b/tests/unit/test_suspects.py
@@ -48,9 +48,9 @@
         self.lose('poison', 't2', 10.0)
         self.lose('a', 't3', 20.0)
         self.assert_suspects('poison')
-        self.assertTrue(self.suspects.get('poison', 30.0).is_convicted())
+        self.assertTrue(self.suspects.get('poison', 30.0).should_quarantine())
 
     def test_one_content_alone_is_never_an_outage(self) -> None:
         for number in range(4):
             self.lose('poison', f't{number}', 10.0 * number)
-        self.assertTrue(self.suspects.get('poison', 50.0).is_convicted())
+        self.assertTrue(self.suspects.get('poison', 50.0).should_quarantine())
