--- a/samphiredock/coordination/search/_scatter_attempts.py
+++ b/samphiredock/coordination/search/_scatter_attempts.py
@@ -90,7 +90,7 @@
         shard.tried.add(target)
         shard.started_on.add(target)
         shard.outstanding += 1
-        self._replicas.sent(target)
+        self._replicas.record_sent(target)
         key = (dispatcher, alone)
         box = self._outbox.get(key)
         if box is None:
@@ -110,7 +110,7 @@
         del self._outstanding[item.attempt_id]
         self._alone_count -= attempt.alone
         attempt.shard.outstanding -= 1
-        self._replicas.ended(item.target, took_ms)
+        self._replicas.record_ended(item.target, took_ms)
 
     def of_shard(
         self, shard: _scatter_round.ShardState
--- a/tests/failure/test_at_most_once.py
+++ b/tests/failure/test_at_most_once.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from samphiredock.coordination.once import _claim_bucket
-from samphiredock.coordination.once import _claim_holders
+from samphiredock.coordination.once import _claim_statuses
 from samphiredock.coordination.once import _run_orders
 from samphiredock import metrics
 from samphiredock import protocol
@@ -22,7 +22,7 @@
 _Fault = memory_platform.Fault
 
 
-class AtMostOnceTest(simulation_runs.RunnersCase):
+class AtMostOnceTest(simulation_runs.RunnerTestCase):
     """Single failures, driven step by step."""
 
     def setUp(self) -> None:
@@ -48,7 +48,7 @@
 
     def use_one_bucket(self) -> None:
         """Place every key in the same bucket."""
-        patch = mock.patch.object(_claims, 'BUCKETS', 1)
+        patch = mock.patch.object(_claims, 'BUCKET_COUNT', 1)
         patch.start()
         self.addCleanup(patch.stop)
 
@@ -221,7 +221,7 @@
         outcome = await self.ask(self.first, deadline_ms=3)
         self.assertIsInstance(outcome, protocol.NotRun)
         await self.system.clock.pass_ms(1_000)
-        self.assertEqual(0, self.first.runner.unrecorded())
+        self.assertEqual(0, self.first.runner.unrecorded_count())
         self.system.kill(self.first)
         self.assert_ran(await self.ask(self.second), 1)
 
@@ -287,7 +287,7 @@
 
     def setUp(self) -> None:
         """Let the claims of different keys meet in the same objects."""
-        patch = mock.patch.object(_claims, 'BUCKETS', 2)
+        patch = mock.patch.object(_claims, 'BUCKET_COUNT', 2)
         patch.start()
         self.addCleanup(patch.stop)
 
@@ -299,7 +299,7 @@
         found: list[str] = []
         counts: collections.Counter[str] = collections.Counter()
         for number in range(count):
-            storm = simulation_runs.Storm(
+            storm = simulation_runs.FaultSimulation(
                 simulation_runs.SEED + number, counters
             )
             asyncio.run(storm.run())
@@ -354,7 +354,7 @@
     ) -> protocol.ClaimAnswer:
         return protocol.ClaimAnswer(token, protocol.ClaimStatus.NEVER_SENT)
 
-    return mock.patch.object(_claim_holders.Holders, 'ask', ask)
+    return mock.patch.object(_claim_statuses.ClaimStatuses, 'ask', ask)
 
 
 def _trust_lost_puts() -> mock.Mock:
