--- a/benchmarks/object_slopes.py
+++ b/benchmarks/object_slopes.py
@@ -189,8 +189,8 @@
     kept = coordination.Quarantine(peers, peers, None, _CLOCK, _COUNTERS)
     for number in range(entries):
         fingerprint = f'{number:032x}'
-        kept.note_lost(fingerprint, 'server-1', 'service-1')
-        kept.note_lost(fingerprint, 'server-2', 'service-1')
+        kept.record_loss(fingerprint, 'server-1', 'service-1')
+        kept.record_loss(fingerprint, 'server-2', 'service-1')
     return kept
 
 
--- a/benchmarks/scatter_cost.py
+++ b/benchmarks/scatter_cost.py
@@ -42,13 +42,13 @@
         return target in self._owners
 
 
-class _NoSuspicions:
+class _NullCrashTracker:
     """Nothing crashes here."""
 
-    def note_lost(self, fingerprint: str, target: str, service: str) -> None:
+    def record_loss(self, fingerprint: str, target: str, service: str) -> None:
         """Ignore."""
 
-    def note_succeeded(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Ignore."""
 
     def is_suspect(self, fingerprint: str) -> bool:
@@ -89,24 +89,26 @@
     ]
 
 
-def _tools(snapshot: state.Snapshot, seed: int) -> coordination.Tools:
-    return coordination.Tools(
+def _context(
+    snapshot: state.Snapshot, seed: int
+) -> coordination.ScatterContext:
+    return coordination.ScatterContext(
         _Routes(snapshot),
         coordination.ReplicaSelector(random.Random(seed), lambda target: True),
         coordination.Latencies(),
         coordination.RetryBudget(),
-        _NoSuspicions(),
+        _NullCrashTracker(),
     )
 
 
 def open_queries(count: int) -> list:
     """Return queries that were just sent, with what they hold."""
     snapshot = _snapshot()
-    tools = _tools(snapshot, 1)
+    context = _context(snapshot, 1)
     rows = []
     for number in range(count):
         plan = _plan(snapshot, number)
-        scatter = coordination.Scatter(plan, tools, state.Limits())
+        scatter = coordination.Scatter(plan, context, state.Limits())
         rows.append((plan, scatter, scatter.start(0.0)))
     return rows
 
@@ -116,13 +118,13 @@
     snapshot = _snapshot()
     shards = snapshot.indexes['claims'].shards
     ranges = {shard.shard_id: shard.key_range for shard in shards}
-    tools = _tools(snapshot, seed)
+    context = _context(snapshot, seed)
     limits = state.Limits()
     spent_ns = 0
     for number in range(queries):
         plan = _plan(snapshot, number)
         began_ns = time.process_time_ns()
-        scatter = coordination.Scatter(plan, tools, limits)
+        scatter = coordination.Scatter(plan, context, limits)
         sends = scatter.start(0.0)
         spent_ns += time.process_time_ns() - began_ns
         for send in sends:
--- a/samphiredock/coordination/__init__.py
+++ b/samphiredock/coordination/__init__.py
@@ -40,7 +40,7 @@
             'Plan',
             'Scatter',
             'SendAttempts',
-            'Tools',
+            'ScatterContext',
         ),
         'targets': (
             'Dispatcher',
--- a/samphiredock/coordination/forwarding/__init__.py
+++ b/samphiredock/coordination/forwarding/__init__.py
@@ -39,7 +39,7 @@
             'successors',
         ),
         '_live_targets': ('LiveTargets',),
-        '_no_suspicions': ('NoSuspicions',),
+        '_null_crash_tracker': ('NullCrashTracker',),
         '_merger': ('Merger',),
         '_orders': (
             'ORDER_PATH',
--- a/samphiredock/coordination/forwarding/_end_notes.py
+++ b/samphiredock/coordination/forwarding/_end_notes.py
@@ -60,7 +60,7 @@
         labels = {'service': plan.route.name, 'request_class': name}
         self._metrics.observe('request_latency_ms', took_ms, **labels)
         tally = flight.scatter.tally
-        for counter in _scatter_types.COUNTED:
+        for counter in _scatter_types.COUNTER_NAMES:
             amount = getattr(tally, counter)
             if amount:
                 self._metrics.add_bulk(counter, amount, route=plan.route.name)
--- a/samphiredock/coordination/forwarding/_flight_sender.py
+++ b/samphiredock/coordination/forwarding/_flight_sender.py
@@ -82,7 +82,7 @@
             if exchange.task is not None:
                 exchange.task.cancel()
         now_ms = self._clock.now_ms()
-        self.carry_out(flight, flight.scatter.give_up(now_ms, unsent))
+        self.carry_out(flight, flight.scatter.finish_now(now_ms, unsent))
 
     def abandon(self, flight: _flights.Flight) -> None:
         """The caller has left: nobody wants what is under way."""
--- a/samphiredock/coordination/forwarding/_forwarder.py
+++ b/samphiredock/coordination/forwarding/_forwarder.py
@@ -46,7 +46,7 @@
         Its bounds.
     routing, targets
         What is known of routes and targets.
-    tools
+    context
         Records, latencies and the budget that all requests share.
     dialect, links
         The targets' protocol, and the connections to them.
@@ -64,7 +64,7 @@
         settings: _forward_types.ForwardSettings,
         routing: _forward_types.Routing,
         targets: _live_targets.LiveTargets,
-        tools: _scatter_types.Tools,
+        context: _scatter_types.ScatterContext,
         dialect: _forward_types.Dialect,
         links: _forward_types.Links,
         clock: timers.Timers,
@@ -76,13 +76,13 @@
         self._settings = settings
         self._routing = routing
         self._targets = targets
-        self._tools = tools
+        self._context = context
         self._orders = orders
         self.asker = _asking.TargetAsker(
             targets, dialect, links, clock, settings.once_kept_ms, crashes
         )
         self._sender = _flight_sender.FlightSender(
-            self.asker, orders, tools.replicas, clock
+            self.asker, orders, context.replicas, clock
         )
         self._clock = clock
         self._metrics = counters
@@ -215,11 +215,13 @@
     async def _run(
         self, plan: _route_plans.ForwardPlan, started_ms: float
     ) -> protocol.ForwardOutcome:
-        tools, ways = self._tools, None
+        context, ways = self._context, None
         if self._orders is not None and plan.is_gather:
             ways = self._orders.ways(plan.scatter.shards)
-            tools = dataclasses.replace(tools, routes=ways)
-        scatter = _scatter.Scatter(plan.scatter, tools, self._settings.limits)
+            context = dataclasses.replace(context, targets=ways)
+        scatter = _scatter.Scatter(
+            plan.scatter, context, self._settings.limits
+        )
         done = asyncio.get_running_loop().create_future()
         flight = _flights.Flight(
             plan, scatter, done, _request_log.Trail(started_ms), ways=ways
@@ -230,7 +232,7 @@
             self._sender.carry_out(flight, scatter.start(started_ms))
             finish: _scatter_types.Finish = await done
         except asyncio.CancelledError:
-            scatter.abandon()
+            scatter.cancel()
             self._sender.abandon(flight)
             self._metrics.add('requests_left', route=plan.route.name)
             self._notes.ended(flight, None)
--- a/samphiredock/coordination/forwarding/_no_suspicions.py
+++ b/samphiredock/coordination/forwarding/_null_crash_tracker.py
@@ -1,13 +1,13 @@
 """Nothing is suspected."""
 
 
-class NoSuspicions:
+class NullCrashTracker:
     """Suspicions for contents that no target has been lost to."""
 
-    def note_lost(self, fingerprint: str, target: str, service: str) -> None:
+    def record_loss(self, fingerprint: str, target: str, service: str) -> None:
         """Count nothing."""
 
-    def note_succeeded(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Count nothing."""
 
     def is_quarantined(self, fingerprint: str) -> bool:
--- a/samphiredock/coordination/forwarding/_route_plans.py
+++ b/samphiredock/coordination/forwarding/_route_plans.py
@@ -121,8 +121,8 @@
         route.attempts,
         route.repeatable,
         may_restart=False,
-        first_hedge_ms=first_hedge_ms,
-        orders=bool(route.shards),
+        initial_hedge_delay_ms=first_hedge_ms,
+        uses_orders=bool(route.shards),
     )
     key_ranges = {shard.shard_id: shard.key_range for shard in shards}
     return ForwardPlan(request, route, services, plan, key_ranges)
--- a/samphiredock/coordination/forwarding/_window_budget.py
+++ b/samphiredock/coordination/forwarding/_window_budget.py
@@ -51,7 +51,7 @@
         then no slack is used: too many would use it twice.
     """
 
-    also_charged = frozenset(
+    charged_refusals = frozenset(
         {
             protocol.SubStatus.SHED,
             protocol.SubStatus.EXPIRED,
@@ -81,7 +81,9 @@
         self._slack = slack
         self._window_ms = window_ms
 
-    def note_needed(self, shards: typing.Sequence[str], share: float) -> None:
+    def record_first_attempts(
+        self, shards: typing.Sequence[str], share: float
+    ) -> None:
         """Count the first request to each shard; ``share`` is not used."""
         now_ms = self._clock.now_ms()
         for shard in shards:
@@ -107,10 +109,10 @@
     def _spend(self, shard: str, part: float) -> bool:
         if self.left(shard, part) < 1.0:
             return False
-        self.owe(shard)
+        self.charge(shard)
         return True
 
-    def owe(self, shard: str = '') -> None:
+    def charge(self, shard: str = '') -> None:
         """Count an extra request that cannot be refused."""
         self._groups[shard].extra.append(self._clock.now_ms())
 
--- a/samphiredock/coordination/once/_run_request.py
+++ b/samphiredock/coordination/once/_run_request.py
@@ -28,10 +28,10 @@
     def refusal(self, fingerprint: str) -> protocol.NotRun | None:
         """Return the refusal of a quarantined request."""
 
-    def note_lost(self, fingerprint: str, target: str) -> None:
+    def record_loss(self, fingerprint: str, target: str) -> None:
         """A target was lost while it ran the request."""
 
-    def note_succeeded(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """A target answered the request."""
 
 
@@ -42,10 +42,10 @@
         """Return no refusal."""
         return None
 
-    def note_lost(self, fingerprint: str, target: str) -> None:
+    def record_loss(self, fingerprint: str, target: str) -> None:
         """Ignore it."""
 
-    def note_succeeded(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Ignore it."""
 
 
@@ -105,7 +105,7 @@
     ) -> None:
         """Tell the quarantine if a target was lost under the request."""
         if report is not None and report.target_lost:
-            self._quarantine.note_lost(admitted.fingerprint, report.target)
+            self._quarantine.record_loss(admitted.fingerprint, report.target)
 
     def complete(
         self,
@@ -114,7 +114,7 @@
         report: protocol.RunReport,
     ) -> protocol.Completed:
         """A target ran it: tell who asked, and record it in background."""
-        self._quarantine.note_succeeded(admitted.fingerprint)
+        self._quarantine.record_success(admitted.fingerprint)
         outcome = protocol.Completed(report.result, report.accepted, False)
         self._statuses.update(token, _Status.DONE, outcome)
         self._metrics.add('runs_completed')
--- a/samphiredock/coordination/quarantine/_crash_tracker.py
+++ b/samphiredock/coordination/quarantine/_crash_tracker.py
@@ -60,15 +60,15 @@
         """Whether the content lately succeeded."""
         return self._known.is_known(fingerprint, self._clock.now_ms())
 
-    def note_lost(self, fingerprint: str, target: str, service: str) -> None:
+    def record_loss(self, fingerprint: str, target: str, service: str) -> None:
         """Count a target lost while it ran this content alone."""
         self._known.forget(fingerprint)
-        self._quarantine.note_lost(fingerprint, target, service)
+        self._quarantine.record_loss(fingerprint, target, service)
 
-    def note_succeeded(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """The content ran alone and its target lives."""
         self._known.remember(fingerprint, self._clock.now_ms())
-        self._quarantine.note_succeeded(fingerprint)
+        self._quarantine.record_success(fingerprint)
 
     def is_quarantined(self, fingerprint: str) -> bool:
         """Whether the content is refused from now on."""
--- a/samphiredock/coordination/quarantine/_quarantine.py
+++ b/samphiredock/coordination/quarantine/_quarantine.py
@@ -123,7 +123,7 @@
         now_ms = self._clock.now_ms()
         return self._suspects.get(fingerprint, now_ms) is not None
 
-    def note_lost(
+    def record_loss(
         self, fingerprint: str, target: str, service: str = ''
     ) -> None:
         """Count a target lost while it ran this content alone."""
@@ -158,7 +158,7 @@
             _PUBLISH_DELAY_MS, lambda: self._publish(fingerprint)
         )
 
-    def note_succeeded(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """The content ran alone and its target lives."""
         case = self._suspects.get(fingerprint, self._clock.now_ms())
         if case is None or case.entry is not None:
@@ -169,7 +169,7 @@
 
     # What operators ask.
 
-    def listed(self) -> list[protocol.QuarantineEntry]:
+    def entries(self) -> list[protocol.QuarantineEntry]:
         """Return the quarantines in force."""
         return self._suspects.entries(self._clock.wall_ms())
 
@@ -242,7 +242,7 @@
     def _count_loss(
         self, fingerprint: str, target: str, service: str
     ) -> _suspects.Suspect:
-        return self._suspects.note_lost(
+        return self._suspects.record_loss(
             fingerprint,
             service,
             target,
--- a/samphiredock/coordination/quarantine/_suspects.py
+++ b/samphiredock/coordination/quarantine/_suspects.py
@@ -98,7 +98,7 @@
             if case.entry is not None and case.entry.until_ms > wall_ms
         ]
 
-    def note_lost(
+    def record_loss(
         self,
         fingerprint: str,
         service: str,
--- a/samphiredock/coordination/search/__init__.py
+++ b/samphiredock/coordination/search/__init__.py
@@ -13,7 +13,7 @@
         '_scatter_types': (
             'DropAttempts',
             'SendAttempts',
-            'Tools',
+            'ScatterContext',
         ),
     },
 )
--- a/samphiredock/coordination/search/_admission.py
+++ b/samphiredock/coordination/search/_admission.py
@@ -106,7 +106,7 @@
             request.deadline_ms or operation.deadline_ms,
         )
 
-    def ended(self, service: str) -> None:
+    def release(self, service: str) -> None:
         """An admitted request has its outcome."""
         self._in_flight[service] -= 1
         if not self._in_flight[service]:
--- a/samphiredock/coordination/search/_coordinator.py
+++ b/samphiredock/coordination/search/_coordinator.py
@@ -34,7 +34,7 @@
 }
 
 
-class View(_scatter_types.Routes, typing.Protocol):
+class View(_scatter_types.TargetView, typing.Protocol):
     """What the coordinator reads of the daemon's knowledge."""
 
     @property
@@ -98,7 +98,7 @@
         self._crash_tracker = _crash_tracker.QuarantineCrashTracker(
             quarantine, clock
         )
-        self._tools = _scatter_types.Tools(
+        self._context = _scatter_types.ScatterContext(
             view,
             _replica_selector.ReplicaSelector(rng, self._is_near),
             _hedging.Latencies(),
@@ -113,14 +113,14 @@
         """Return how many searches are not answered yet."""
         return len(self._searches)
 
-    def member_lost(self, member: str) -> None:
+    def on_member_lost(self, member: str) -> None:
         """Send elsewhere what a dispatcher had when it was lost."""
         now_ms = self._clock.now_ms()
         for search in list(self._searches.values()):
             effects = search.scatter.on_member_lost(member, now_ms)
             self._apply_effects(search, effects)
 
-    def end(self) -> None:
+    def finish_all(self) -> None:
         """Answer every search with what there is; the daemon's time is up.
 
         The caller would otherwise lose its connection, with neither an
@@ -129,7 +129,7 @@
         now_ms = self._clock.now_ms()
         for search in list(self._searches.values()):
             if not search.done.done():
-                self._apply_effects(search, search.scatter.give_up(now_ms))
+                self._apply_effects(search, search.scatter.finish_now(now_ms))
 
     async def search(
         self, request: protocol.SearchRequest
@@ -171,14 +171,14 @@
             configuration.limits,
             plan.search.request_class,
             plan.deadline_at_ms - started_ms,
-            self._tools.latencies.quantile_ms(index, _FASTEST_QUANTILE),
+            self._context.latencies.quantile_ms(index, _FASTEST_QUANTILE),
         )
         if refusal is not None:
             return refusal
         try:
             outcome = await self._run_canaried(plan, configuration.limits)
         finally:
-            self._admission.ended(plan.service)
+            self._admission.release(plan.service)
         self._record_latency(plan, outcome, started_ms)
         return outcome
 
@@ -193,7 +193,9 @@
         left_ms = plan.deadline_at_ms - self._clock.now_ms()
         care = self._quarantine.begin_run(fingerprint, left_ms)
         suspect = care is _quarantine.RunMode.SUSPECT
-        scatter = _scatter.Scatter(plan, self._tools, limits, canary, suspect)
+        scatter = _scatter.Scatter(
+            plan, self._context, limits, canary, suspect
+        )
         return await self._run(plan, scatter)
 
     async def _run(
@@ -300,7 +302,7 @@
     def _record_tally(
         self, plan: _planner.Plan, tally: _scatter_types.Tally
     ) -> None:
-        for name in _scatter_types.COUNTED:
+        for name in _scatter_types.COUNTER_NAMES:
             amount = getattr(tally, name)
             if amount:
                 self._metrics.add_bulk(name, amount, service=plan.service)
--- a/samphiredock/coordination/search/_planner.py
+++ b/samphiredock/coordination/search/_planner.py
@@ -34,11 +34,11 @@
     snapshot: state.Snapshot
     deadline_at_ms: float
     answer_by_ms: float = math.inf
-    attempts_per_shard: int = 0
+    max_attempts_per_shard: int = 0
     repeatable: bool = True
     may_restart: bool = True
-    first_hedge_ms: float | None = None
-    orders: bool = False
+    initial_hedge_delay_ms: float | None = None
+    uses_orders: bool = False
 
     @property
     def shards(self) -> list[state.Shard]:
--- a/samphiredock/coordination/search/_scatter.py
+++ b/samphiredock/coordination/search/_scatter.py
@@ -34,7 +34,7 @@
     ----------
     plan
         What the search is; every merged answer is read at one snapshot.
-    tools
+    context
         Shared records and the budget.
     limits
         Limits in force when the search was planned.
@@ -48,19 +48,19 @@
     def __init__(
         self,
         plan: _planner.Plan,
-        tools: _scatter_types.Tools,
+        context: _scatter_types.ScatterContext,
         limits: state.Limits,
         canary: bool = False,
         suspect: bool = False,
     ) -> None:
         self._plan = plan
-        self._tools = tools
+        self._context = context
         self._limits = limits
         self._index = plan.search.index
         self._round = _scatter_round.Round(plan, plan.snapshot)
         self._best_older_round: _scatter_round.Round | None = None
         self._attempts = _scatter_attempts.Attempts(
-            plan.query_id, self._index, tools
+            plan.query_id, self._index, context
         )
         self._seen_statuses: dict[_Status, int] = {}
         self._may_have_begun = False
@@ -78,11 +78,11 @@
             sub_queries_needed=len(self._round.shards)
         )
         self._hedges = _scatter_hedges.Hedges(
-            tools,
+            context,
             self._index,
             limits,
             self.tally,
-            _scatter_hedges.first_delay_ms(plan),
+            _scatter_hedges.initial_delay_ms(plan),
         )
 
     # Inputs.
@@ -156,11 +156,11 @@
             if attempt.dispatcher == member and not self._finish_effect:
                 self._attempts.remove(attempt, None)
                 self._may_have_begun = True
-                self._tools.budget.owe(attempt.shard.shard.shard_id)
+                self._context.budget.charge(attempt.shard.shard.shard_id)
                 self._retry(attempt.shard, False, now_ms)
         return self._take_effects(now_ms)
 
-    def give_up(
+    def finish_now(
         self, now_ms: float, unsent: typing.Iterable[str] = ()
     ) -> list[_scatter_types.Effect]:
         """Nothing that is under way can be awaited any longer.
@@ -176,7 +176,7 @@
         self._finish()
         return self._take_effects(now_ms)
 
-    def abandon(self) -> None:
+    def cancel(self) -> None:
         """The caller has left: nothing that is under way is awaited.
 
         Each attempt counts as in flight at its target until it has ended;
@@ -209,7 +209,7 @@
 
     def _begin_round(self, now_ms: float) -> None:
         shards = self._round.shards
-        self._tools.budget.note_needed(
+        self._context.budget.record_first_attempts(
             [shard.shard.shard_id for shard in shards],
             self._limits.hedge_budget,
         )
@@ -222,10 +222,10 @@
             self._hedges.arm(now_ms)
 
     def _candidates_of(self, shard: _scatter_round.ShardState) -> list[str]:
-        limit = self._plan.attempts_per_shard
+        limit = self._plan.max_attempts_per_shard
         if limit and len(shard.started_on) >= limit:
             return []
-        is_usable = self._tools.routes.is_usable
+        is_usable = self._context.targets.is_usable
         tried = shard.tried
         return [
             name
@@ -244,8 +244,8 @@
         if not candidates:
             self._on_no_candidate(shard, now_ms)
             return
-        target = self._tools.replicas.choose(candidates)
-        dispatcher = self._tools.routes.owner(target)
+        target = self._context.replicas.choose(candidates)
+        dispatcher = self._context.targets.owner(target)
         self._attempts.send(
             shard,
             self._round,
@@ -254,7 +254,7 @@
             now_ms,
             self._canary_gate.must_run_alone(shard),
             hedge,
-            self._plan.orders and dispatcher != target,
+            self._plan.uses_orders and dispatcher != target,
         )
 
     def _on_answer(
@@ -267,12 +267,12 @@
         status = answer.status
         if not shard.hedge_refusals:
             # The second refusal of one hedge is no second sign of overload.
-            self._tools.latencies.record_overload_sign(
+            self._context.latencies.record_overload_sign(
                 self._index, status, answer.waited_ms, answer.service_ms
             )
         took_ms = answer.took_ms or now_ms - attempt.sent_ms
         if status is _Status.ANSWERED:
-            self._tools.latencies.observe(self._index, took_ms)
+            self._context.latencies.observe(self._index, took_ms)
         else:
             self._seen_statuses[status] = max(
                 self._seen_statuses.get(status, 0), answer.retry_after_ms
@@ -284,20 +284,22 @@
         useful = verdict is _Verdict.WHOLE
         self._attempts.remove(attempt, took_ms if useful else None)
         if verdict in _scatter_results.TARGET_FAULTS:
-            self._tools.replicas.record_failure(attempt.item.target)
+            self._context.replicas.record_failure(attempt.item.target)
         began = status not in protocol.NEVER_STARTED
-        charged = status in self._tools.budget.also_charged
+        charged = status in self._context.budget.charged_refusals
         if began:
             self._may_have_begun = True
         else:
             shard.started_on.discard(attempt.item.target)
         if attempt.item.hedge and not began and not charged:
-            self._tools.budget.refund(shard.shard.shard_id)
+            self._context.budget.refund(shard.shard.shard_id)
         if attempt.item.hedge and status is _Status.NO_IDLE_SLOT:
             self._hedges.on_refused(shard, now_ms)
         if attempt.alone and status is _Status.ANSWERED:
-            if self._canary_gate.note_succeeded(shard):
-                self._tools.suspicions.note_succeeded(self._plan.fingerprint)
+            if self._canary_gate.record_success(shard):
+                self._context.crash_tracker.record_success(
+                    self._plan.fingerprint
+                )
             self._release_held(now_ms)
         if verdict is _Verdict.WHOLE:
             self.tally.hedges_won += attempt.item.hedge
@@ -325,15 +327,15 @@
         Only a loss while the content ran alone counts against it; else it
         is run again alone, one shard at a time, which tells the two apart.
         """
-        self._canary_gate.note_lost(shard)
+        self._canary_gate.record_loss(shard)
         self._hedges.stop()
         self._next_alone_ms = now_ms + _LOSS_PAUSE_MS
-        self._tools.budget.owe(shard.shard.shard_id)
+        self._context.budget.charge(shard.shard.shard_id)
         if answer.ran_alone:
-            self._tools.suspicions.note_lost(
+            self._context.crash_tracker.record_loss(
                 self._plan.fingerprint, answer.target, self._plan.service
             )
-        if self._tools.suspicions.is_quarantined(self._plan.fingerprint):
+        if self._context.crash_tracker.is_quarantined(self._plan.fingerprint):
             self._finish()
 
     def _release_held(self, now_ms: float) -> None:
@@ -342,9 +344,9 @@
 
     def _run_next_alone(self, now_ms: float) -> None:
         """Ask one shard alone, unless the content has been judged."""
-        if self._tools.suspicions.is_suspect(self._plan.fingerprint):
+        if self._context.crash_tracker.is_suspect(self._plan.fingerprint):
             self._canary_gate.mark_suspect()
-        if self._tools.suspicions.is_quarantined(self._plan.fingerprint):
+        if self._context.crash_tracker.is_quarantined(self._plan.fingerprint):
             self._finish()
         elif self._canary_gate.has_enough_canaries():
             self._release_held(now_ms)
@@ -371,7 +373,7 @@
             self._on_no_candidate(shard, now_ms)
             return
         shard_id = shard.shard.shard_id
-        if costly and not self._tools.budget.spend_retry(shard_id):
+        if costly and not self._context.budget.spend_retry(shard_id):
             self.tally.retries_denied += 1
             self._settle(shard, now_ms)
             return
@@ -468,10 +470,10 @@
     def _check_snapshot_wait(self, now_ms: float) -> None:
         """Restart whole on a newer snapshot, or stop waiting for one."""
         newer = self._snapshot_wait.check(
-            self._tools.routes.snapshot,
+            self._context.targets.snapshot,
             self._round.snapshot,
             self._index,
-            self._tools.latencies.quantile_ms(self._index, 0.5),
+            self._context.latencies.quantile_ms(self._index, 0.5),
             now_ms,
         )
         if newer is not None:
--- a/samphiredock/coordination/search/_scatter_attempts.py
+++ b/samphiredock/coordination/search/_scatter_attempts.py
@@ -15,12 +15,12 @@
     """Outstanding attempts by id, and what is to be sent about them."""
 
     def __init__(
-        self, query_id: str, index: str, tools: _scatter_types.Tools
+        self, query_id: str, index: str, context: _scatter_types.ScatterContext
     ) -> None:
         self._query_id = query_id
         self._index = index
-        self._latencies = tools.latencies
-        self._replicas = tools.replicas
+        self._latencies = context.latencies
+        self._replicas = context.replicas
         self._outstanding: dict[str, _scatter_round.Attempt] = {}
         self._outbox: dict[
             tuple[str | None, bool], list[protocol.SubQuery]
--- a/samphiredock/coordination/search/_scatter_canary.py
+++ b/samphiredock/coordination/search/_scatter_canary.py
@@ -88,7 +88,7 @@
         """Ask a shard when the one that runs alone has ended."""
         self._queue.append(shard)
 
-    def note_lost(self, shard: _scatter_round.ShardState) -> None:
+    def record_loss(self, shard: _scatter_round.ShardState) -> None:
         """A target died under this content, alone or beside others."""
         self._is_suspect = True
         if self._is_canary or shard in self._lost:
@@ -97,7 +97,7 @@
             self._lost.append(shard)
         self._queue.append(shard)
 
-    def note_succeeded(self, shard: _scatter_round.ShardState) -> bool:
+    def record_success(self, shard: _scatter_round.ShardState) -> bool:
         """A shard answered alone; True if that clears the content.
 
         It does not while another shard's loss is unexplained: the content
--- a/samphiredock/coordination/search/_scatter_hedges.py
+++ b/samphiredock/coordination/search/_scatter_hedges.py
@@ -40,7 +40,7 @@
 
     Parameters
     ----------
-    tools
+    context
         Latencies, the budget and the owners of targets.
     index, limits
         An attempt later than the limits' quantile of the index's latency is
@@ -53,13 +53,13 @@
 
     def __init__(
         self,
-        tools: _scatter_types.Tools,
+        context: _scatter_types.ScatterContext,
         index: str,
         limits: state.Limits,
         tally: _scatter_types.Tally,
         first_ms: float,
     ) -> None:
-        self._tools = tools
+        self._context = context
         self._index = index
         self._quantile = limits.hedge_quantile
         self._fixed_ms = limits.hedge_after_ms
@@ -68,7 +68,7 @@
         self.due_ms = math.inf
 
     def _delay_ms(self) -> float | None:
-        latencies = self._tools.latencies
+        latencies = self._context.latencies
         if not self._fixed_ms:
             return latencies.hedge_delay_ms(
                 self._index, self._quantile, self._initial_delay_ms
@@ -135,7 +135,7 @@
                 elsewhere = [
                     name
                     for name in candidates
-                    if self._tools.routes.owner(name) != attempt.dispatcher
+                    if self._context.targets.owner(name) != attempt.dispatcher
                 ]
                 chosen.append((attempt.shard, elsewhere or candidates))
         return chosen
@@ -164,15 +164,15 @@
 
     def _spend_hedge(self, shard: _scatter_round.ShardState) -> bool:
         shard.hedged = True
-        if self._tools.budget.spend_hedge(shard.shard.shard_id):
+        if self._context.budget.spend_hedge(shard.shard.shard_id):
             self._tally.hedges_sent += 1
             return True
         self._tally.hedges_denied += 1
         return False
 
 
-def first_delay_ms(plan: _planner.Plan) -> float:
+def initial_delay_ms(plan: _planner.Plan) -> float:
     """Return when to hedge while no latencies are known."""
-    if plan.first_hedge_ms is not None:
-        return plan.first_hedge_ms
+    if plan.initial_hedge_delay_ms is not None:
+        return plan.initial_hedge_delay_ms
     return plan.search.deadline_ms * INITIAL_DELAY_SHARE
--- a/samphiredock/coordination/search/_scatter_types.py
+++ b/samphiredock/coordination/search/_scatter_types.py
@@ -12,13 +12,15 @@
 class Budget(typing.Protocol):
     """What sub-queries beyond the needed ones are drawn from.
 
-    ``also_charged`` are the endings without a run whose second try draws
+    ``charged_refusals`` are the endings without a run whose second try draws
     from the budget all the same.
     """
 
-    also_charged: frozenset[protocol.SubStatus]
+    charged_refusals: frozenset[protocol.SubStatus]
 
-    def note_needed(self, shards: typing.Sequence[str], share: float) -> None:
+    def record_first_attempts(
+        self, shards: typing.Sequence[str], share: float
+    ) -> None:
         """Earn for the first sub-query of each shard."""
 
     def spend_hedge(self, shard: str = '') -> bool:
@@ -27,14 +29,14 @@
     def spend_retry(self, shard: str = '') -> bool:
         """Take from it for a second try of a shard, if there is enough."""
 
-    def owe(self, shard: str = '') -> None:
+    def charge(self, shard: str = '') -> None:
         """Take from it for a try that cannot be refused."""
 
     def refund(self, shard: str = '') -> None:
         """Give back what was taken for a hedge that no target began."""
 
 
-class Routes(typing.Protocol):
+class TargetView(typing.Protocol):
     """Where attempts may go."""
 
     def owner(self, target: str) -> str | None:
@@ -48,13 +50,13 @@
         """The newest snapshot known here."""
 
 
-class Suspicions(typing.Protocol):
+class CrashTracker(typing.Protocol):
     """Where losses of targets are judged; see the quarantine."""
 
-    def note_lost(self, fingerprint: str, target: str, service: str) -> None:
+    def record_loss(self, fingerprint: str, target: str, service: str) -> None:
         """Count a target lost while it ran this content alone."""
 
-    def note_succeeded(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """The content ran and its target lives."""
 
     def is_quarantined(self, fingerprint: str) -> bool:
@@ -118,16 +120,16 @@
         setattr(self, name, getattr(self, name) + 1)
 
 
-COUNTED = tuple(field.name for field in dataclasses.fields(Tally))
+COUNTER_NAMES = tuple(field.name for field in dataclasses.fields(Tally))
 """The metrics that a search's tally is added to."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tools:
+class ScatterContext:
     """What the searches of one coordinator share."""
 
-    routes: Routes
+    targets: TargetView
     replicas: _replica_selector.ReplicaSelector
     latencies: _hedging.Latencies
     budget: Budget
-    suspicions: Suspicions
+    crash_tracker: CrashTracker
--- a/samphiredock/coordination/targets/_budget.py
+++ b/samphiredock/coordination/targets/_budget.py
@@ -22,14 +22,16 @@
         self._reserve = burst / 4.0
         self._tokens = burst
 
-    also_charged: frozenset[protocol.SubStatus] = frozenset()
+    charged_refusals: frozenset[protocol.SubStatus] = frozenset()
 
     @property
     def tokens(self) -> float:
         """What is left."""
         return self._tokens
 
-    def note_needed(self, shards: typing.Sequence[str], share: float) -> None:
+    def record_first_attempts(
+        self, shards: typing.Sequence[str], share: float
+    ) -> None:
         """Earn ``share`` of a token for each shard's first sub-query."""
         self.deposit(len(shards), share)
 
@@ -51,7 +53,7 @@
         self._tokens -= 1.0
         return True
 
-    def owe(self, shard: str = '') -> None:
+    def charge(self, shard: str = '') -> None:
         """Take a token that cannot be refused, down to a bounded debt.
 
         For the retries after a lost dispatcher or target: each happens at
--- a/samphiredock/daemon/_entry_service.py
+++ b/samphiredock/daemon/_entry_service.py
@@ -162,12 +162,12 @@
         knowledge.targets.on_gone(
             lambda target: replicas.forget(target.target_id)
         )
-        tools = coordination.Tools(
+        context = coordination.ScatterContext(
             knowledge.targets,
             replicas,
             coordination.Latencies(),
             self._budget,
-            forwarding.NoSuspicions(),
+            forwarding.NullCrashTracker(),
         )
         return forwarding.Forwarder(
             forwarding.ForwardSettings(
@@ -178,7 +178,7 @@
             ),
             knowledge.routing,
             knowledge.targets,
-            tools,
+            context,
             self._adapter,
             self._links,
             self._clock,
@@ -208,7 +208,7 @@
     ) -> forwarding.Forwarder:
         settings = self._settings
         knowledge = self._knowledge
-        tools = coordination.Tools(
+        context = coordination.ScatterContext(
             knowledge.peers,
             coordination.ReplicaSelector(
                 random.Random(settings.name),
@@ -218,13 +218,13 @@
             ),
             coordination.Latencies(),
             coordination.RetryBudget(),
-            forwarding.NoSuspicions(),
+            forwarding.NullCrashTracker(),
         )
         return forwarding.Forwarder(
             forwarding.ForwardSettings(settings.site, 0.0, state.Limits()),
             forwarding.HandoverRouting(knowledge.routing),
             knowledge.peers,
-            tools,
+            context,
             dialect,
             self._peer_links,
             self._clock,
--- a/samphiredock/daemon/_node.py
+++ b/samphiredock/daemon/_node.py
@@ -92,7 +92,7 @@
         try:
             return await self._parts.runner.run(request, idempotency_key)
         finally:
-            admission.ended(request.service)
+            admission.release(request.service)
 
     async def _serve(
         self, work: typing.Coroutine[typing.Any, typing.Any, protocol.Outcome]
@@ -249,7 +249,7 @@
         """Answer what is open: a closed connection would tell nothing."""
         self._parts.dispatcher.stop()
         left = self.in_flight()
-        self._parts.coordinator.end()
+        self._parts.coordinator.finish_all()
         self._parts.runner.finish_all()
         self._desk.end()
         if left:
--- a/samphiredock/daemon/_operations.py
+++ b/samphiredock/daemon/_operations.py
@@ -186,7 +186,7 @@
         typing.Sequence[protocol.QuarantineEntry], protocol.OperatorError
     ]:
         """Return the request contents that are refused."""
-        return result.Success(self._parts.quarantine.listed())
+        return result.Success(self._parts.quarantine.entries())
 
     async def release(
         self, fingerprint: str
@@ -197,7 +197,7 @@
     async def _release(
         self, fingerprint: str
     ) -> result.Result[None, protocol.OperatorError]:
-        listed = {row.fingerprint for row in self._parts.quarantine.listed()}
+        listed = {row.fingerprint for row in self._parts.quarantine.entries()}
         released = await self._parts.quarantine.release(fingerprint)
         if isinstance(released, result.Success):
             return result.Success(None)
--- a/samphiredock/daemon/_parts.py
+++ b/samphiredock/daemon/_parts.py
@@ -216,7 +216,7 @@
     ) -> None:
         self.ownership.refresh()
         for member in lost:
-            self.coordinator.member_lost(member.name)
+            self.coordinator.on_member_lost(member.name)
 
     # Life.
 
--- a/standins/memory_links.py
+++ b/standins/memory_links.py
@@ -175,12 +175,12 @@
             for number in range(count):
                 self.put(f'{service}-{number}', service)
         self.replicas = self.make_replicas()
-        tools = coordination.Tools(
+        context = coordination.ScatterContext(
             self.targets,
             self.replicas,
             self.latencies,
             self.budget,
-            forwarding.NoSuspicions(),
+            forwarding.NullCrashTracker(),
         )
         self.forwarder = forwarding.Forwarder(
             forwarding.ForwardSettings(
@@ -188,7 +188,7 @@
             ),
             self.routing,
             self.targets,
-            tools,
+            context,
             PlainDialect(),
             self.links,
             self.clock,
--- a/standins/search_desk.py
+++ b/standins/search_desk.py
@@ -38,7 +38,7 @@
         self.succeeded = 0
         self.quarantine_after = 2
         self.suspected = False
-        self.tools = coordination.Tools(
+        self.context = coordination.ScatterContext(
             self,
             coordination.ReplicaSelector(
                 random.Random(SEED), lambda target: True
@@ -50,13 +50,13 @@
         self.begin()
 
     def begin(self) -> None:
-        """Plan one more search with the same tools."""
+        """Plan one more search with the same context."""
         plan = coordination.Plan(
             'q', 'desk', 'bole-a', self.search, {}, self.search.limit, 'f',
             self.snapshot, self.now_ms + self.search.deadline_ms,
         )  # fmt: skip
         self.scatter = coordination.Scatter(
-            plan, self.tools, self.limits, self.canary
+            plan, self.context, self.limits, self.canary
         )
         self.sent: dict[str, protocol.SubQuery] = {}
         self.waiting: dict[str, protocol.SubQuery] = {}
@@ -73,10 +73,10 @@
     def is_usable(self, target: str) -> bool:
         return target not in self.unusable
 
-    def note_lost(self, fingerprint: str, target: str, service: str) -> None:
+    def record_loss(self, fingerprint: str, target: str, service: str) -> None:
         self.lost.append(target)
 
-    def note_succeeded(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         self.succeeded += 1
 
     def is_quarantined(self, fingerprint: str) -> bool:
--- a/tests/failure/test_hedging.py
+++ b/tests/failure/test_hedging.py
@@ -15,7 +15,7 @@
     """Return a desk whose index answers in 5 ms, in 9 of 10 cases."""
     desk = search_desk.Desk()
     for number in range(200):
-        desk.tools.latencies.observe(
+        desk.context.latencies.observe(
             memory_searches.INDEX, 20.0 if number % 20 == 0 else 5.0
         )
     desk.begin()
@@ -73,7 +73,7 @@
         for shard in index.shards:
             shard.replicas[:] = ['t0', 't4', 't1']
         for _ in range(10):
-            self.desk.tools.budget.deposit(100, 1.0)
+            self.desk.context.budget.deposit(100, 1.0)
             self.desk.begin()
             first = {
                 row.shard_id: self.desk.owner(row.target)
@@ -88,9 +88,9 @@
     def test_refused_hedge_leaves_the_first_attempt(self) -> None:
         """No idle slot: nothing is lost but the hedge, nor paid for it."""
         (hedge,) = self.desk.tick(100.0)
-        tokens = self.desk.tools.budget.tokens
+        tokens = self.desk.context.budget.tokens
         self.desk.give(self.desk.failed(hedge, Status.NO_IDLE_SLOT))
-        self.assertEqual(tokens + 1.0, self.desk.tools.budget.tokens)
+        self.assertEqual(tokens + 1.0, self.desk.context.budget.tokens)
         self.desk.give(self.desk.good(self.late))
         self.assertIsInstance(self.desk.outcome, protocol.Answered)
 
@@ -100,7 +100,7 @@
         Refused four times it is left to the first attempt, and only the
         first refusal counts as a sign of overload.
         """
-        latencies = self.desk.tools.latencies
+        latencies = self.desk.context.latencies
         self.desk.tick(50.0)
         for number in range(4):
             (hedge,) = [row for row in self.desk.waiting.values() if row.hedge]
@@ -116,14 +116,14 @@
     def test_no_hedge_while_overloaded(self) -> None:
         """With targets shedding, late shards wait: a hedge is more load."""
         for _ in range(30):
-            self.desk.tools.latencies.record_overload_sign(
+            self.desk.context.latencies.record_overload_sign(
                 memory_searches.INDEX, Status.SHED, 0.0, 0.0
             )
         self.assertEqual([], self.desk.tick(100.0))
 
     def test_queues_are_a_sign_of_overload_and_pass(self) -> None:
         """Long waits stop hedges, quick answers bring them back."""
-        latencies = self.desk.tools.latencies
+        latencies = self.desk.context.latencies
         for _ in range(30):
             latencies.record_overload_sign(
                 memory_searches.INDEX, Status.ANSWERED, 60.0, 5.0
@@ -137,7 +137,7 @@
 
     def test_no_hedge_beyond_the_budget(self) -> None:
         """A slow replica set cannot draw more than the budget's share."""
-        while self.desk.tools.budget.spend_hedge():
+        while self.desk.context.budget.spend_hedge():
             pass
         self.assertEqual([], self.desk.tick(100.0))
         self.assertEqual(1, self.desk.scatter.tally.hedges_denied)
@@ -148,10 +148,10 @@
         Left out, the losers would leave only quick samples, the delay would
         fall, and more would be hedged each time.
         """
-        latencies = self.desk.tools.latencies
+        latencies = self.desk.context.latencies
         before = latencies.hedge_delay_ms(memory_searches.INDEX, 0.95, 0.0)
         for _ in range(250):
-            self.desk.tools.budget.deposit(100, 1.0)
+            self.desk.context.budget.deposit(100, 1.0)
             self.desk.begin()
             others = list(self.desk.waiting.values())[1:]
             self.desk.now_ms += 5.0
--- a/tests/failure/test_not_run.py
+++ b/tests/failure/test_not_run.py
@@ -19,10 +19,10 @@
             return None
         return protocol.NotRun(_Reason.QUARANTINED, 'crashed', 60_000)
 
-    def note_lost(self, fingerprint: str, target: str) -> None:
+    def record_loss(self, fingerprint: str, target: str) -> None:
         self.lost.append(target)
 
-    def note_succeeded(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         pass
 
 
--- a/tests/failure/test_quarantine.py
+++ b/tests/failure/test_quarantine.py
@@ -111,7 +111,7 @@
             self.assertEqual(2, len(self.tier.targets.dead))
             await self.tier.move(5_000.0)
             for daemon in self.tier.daemons.values():
-                (entry,) = daemon.quarantine.listed()
+                (entry,) = daemon.quarantine.entries()
                 self.assertEqual(2, len(entry.targets))
 
     async def test_lost_twice_beside_another_is_no_conviction(self) -> None:
@@ -123,13 +123,13 @@
         """
         quarantine = self.tier.daemons['d0'].quarantine
         for target in ('t1', 't2'):
-            quarantine.note_lost('innocent', target)
-            quarantine.note_lost('guilty', target)
+            quarantine.record_loss('innocent', target)
+            quarantine.record_loss('guilty', target)
         self.assertFalse(quarantine.is_quarantined('innocent'))
         self.assertFalse(quarantine.is_quarantined('guilty'))
-        quarantine.note_lost('guilty', 't3')
+        quarantine.record_loss('guilty', 't3')
         self.assertTrue(quarantine.is_quarantined('guilty'))
-        quarantine.note_succeeded('innocent')
+        quarantine.record_success('innocent')
         self.assertIsNone(quarantine.refusal('innocent'))
 
     async def test_a_loss_beside_others_is_tried_again_alone(self) -> None:
@@ -178,7 +178,7 @@
         """
         first = self.tier.daemons['d0'].quarantine
         other = self.tier.daemons['d1'].quarantine
-        first.note_lost('suspect', 't1')
+        first.record_loss('suspect', 't1')
         await self.tier.move(1.0)
         self.assert_refused(other.refusal('suspect'))
         await self.tier.move(2_000.0)
@@ -200,7 +200,7 @@
         fresh = self.tier.add('d9')
         fresh.quarantine.on_stored(stored)
         self.assert_refused(await fresh.coordinator.search(_POISON))
-        (entry,) = fresh.quarantine.listed()
+        (entry,) = fresh.quarantine.entries()
         other = self.tier.daemons['d1'].quarantine
         released = await other.release(entry.fingerprint)
         self.assertIsInstance(released, result.Success)
@@ -209,7 +209,7 @@
         for daemon in self.tier.daemons.values():
             daemon.quarantine.on_stored(mark)
             daemon.quarantine.on_stored(stored)
-            self.assertEqual([], daemon.quarantine.listed())
+            self.assertEqual([], daemon.quarantine.entries())
 
     async def test_store_outage_is_no_hole(self) -> None:
         """The refusal holds at all daemons while the store is down.
@@ -231,7 +231,7 @@
         await self.ask('d0', _POISON)
         self.tier.clock.advance(700_000.0)
         for daemon in self.tier.daemons.values():
-            self.assertEqual([], daemon.quarantine.listed())
+            self.assertEqual([], daemon.quarantine.entries())
 
     async def test_a_lost_canary_target_is_no_loss_of_the_content(self):
         """A target that is down already does not make a content suspect.
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -42,7 +42,7 @@
             self.assertIsNone(self.admit(self.desk))
         self.assertIs(Reason.SHARE_EXCEEDED, self.admit(self.desk))
         self.assertIsNone(self.admit(self.field))
-        self.admission.ended('desk')
+        self.admission.release('desk')
         self.assertIsNone(self.admit(self.desk))
 
     def test_batch_gives_way_to_interactive(self) -> None:
@@ -62,13 +62,13 @@
             for _ in range(200):
                 self.admission._enter('desk')
                 self.clock.advance(gap_ms)
-                self.admission.ended('desk')
+                self.admission.release('desk')
             for _ in range(10):
                 self.admission._enter('field')
             self.assertIs(Reason.OVERLOADED, self.admit(self.desk))
             waits.append(self.refusal.retry_after_ms)
             for _ in range(10):
-                self.admission.ended('field')
+                self.admission.release('field')
             self.clock.advance(1.0)
         self.assertLess(waits[0], waits[1])
         self.assertLessEqual(waits[1], 5_000)
--- a/tests/unit/test_coordinator.py
+++ b/tests/unit/test_coordinator.py
@@ -47,7 +47,7 @@
             self.daemon.coordinator.search(memory_searches.ask())
         )
         started_ms = self.tier.clock.now_ms()
-        self.tier.clock.after(100.0, self.daemon.coordinator.end)
+        self.tier.clock.after(100.0, self.daemon.coordinator.finish_all)
         (outcome,) = await search
         self.assertIsInstance(outcome, protocol.Partial)
         self.assertEqual(0.5, outcome.coverage)
@@ -60,7 +60,7 @@
         search = self.tier.gather(
             self.daemon.coordinator.search(memory_searches.ask())
         )
-        self.tier.clock.after(100.0, self.daemon.coordinator.end)
+        self.tier.clock.after(100.0, self.daemon.coordinator.finish_all)
         (outcome,) = await search
         self.assertIsInstance(outcome, protocol.Unknown)
 
@@ -81,7 +81,7 @@
 
     def _lose(self) -> None:
         self.tier.owner = lambda target: 'd0'
-        self.daemon.coordinator.member_lost('d1')
+        self.daemon.coordinator.on_member_lost('d1')
 
     async def test_admission_ends_with_the_search(self) -> None:
         """A search frees its place, whatever its outcome."""
@@ -107,7 +107,7 @@
 
     def test_the_quicker_replica_gets_most_and_the_other_some(self) -> None:
         """A slow replica is avoided, but seen when it recovers."""
-        replicas = search_desk.Desk().tools.replicas
+        replicas = search_desk.Desk().context.replicas
         for _ in range(50):
             for target, took_ms in (('fast', 2.0), ('slow', 40.0)):
                 replicas.record_sent(target)
@@ -118,7 +118,7 @@
 
     def test_work_in_flight_counts(self) -> None:
         """Equal replicas share a burst."""
-        replicas = search_desk.Desk().tools.replicas
+        replicas = search_desk.Desk().context.replicas
         chosen = []
         for _ in range(100):
             chosen.append(replicas.choose(['a', 'b']))
--- a/tests/unit/test_docs.py
+++ b/tests/unit/test_docs.py
@@ -62,7 +62,7 @@
     def test_every_counter_and_exit_code_is_described(self) -> None:
         """A counter that nobody can look up helps nobody."""
         page = _page('OPERATIONS.md')
-        found = {*_counters(), *_scatter_types.COUNTED}
+        found = {*_counters(), *_scatter_types.COUNTER_NAMES}
         self.assertGreater(len(found), 10)
         missing = sorted(name for name in found if f'`{name}`' not in page)
         self.assertEqual([], missing)
--- a/tests/unit/test_operations.py
+++ b/tests/unit/test_operations.py
@@ -61,7 +61,7 @@
                 set_leaving=lambda name, leaving: self.store.put('', b'', 0)
             ),
             quarantine=types.SimpleNamespace(
-                listed=lambda: [],
+                entries=lambda: [],
                 release=lambda name: self.store.put('', b'', 0),
             ),
         )
--- a/tests/unit/test_suspects.py
+++ b/tests/unit/test_suspects.py
@@ -14,7 +14,7 @@
 
     def lose(self, content: str, target: str, at_ms: float) -> None:
         """Count a target lost under a content."""
-        self.suspects.note_lost(content, 's', target, at_ms, int(at_ms))
+        self.suspects.record_loss(content, 's', target, at_ms, int(at_ms))
 
     def assert_suspects(self, *contents: str) -> None:
         """The contents that have a case against them."""
--- a/tests/unit/test_window_budget.py
+++ b/tests/unit/test_window_budget.py
@@ -45,7 +45,7 @@
         budgets = [self._budget() for _ in range(8)]
         needed = [100, 0, 3, 40, 7, 250, 1, 60]
         for budget, count in zip(budgets, needed, strict=True):
-            budget.note_needed(['s'] * count, 0.0)
+            budget.record_first_attempts(['s'] * count, 0.0)
         spent = sum(self._spend_all(budget) for budget in budgets)
         self.assertLessEqual(spent, RATIO * sum(needed) + SLACK)
         self.assertGreater(spent, 0.7 * (RATIO * sum(needed) + SLACK))
@@ -55,7 +55,7 @@
         self.daemons = None
         budget = self._budget()
         self.assertEqual(0, self._spend_all(budget))
-        budget.note_needed(['s'] * 100, 0.0)
+        budget.record_first_attempts(['s'] * 100, 0.0)
         self.assertEqual(int(0.95 * RATIO * 100), self._spend_all(budget))
 
     def test_every_window_keeps_it(self) -> None:
@@ -79,7 +79,7 @@
     def test_the_last_part_is_kept_for_retries(self) -> None:
         """Hedges stop first: a missing shard is worse than a late one."""
         budget = self._budget()
-        budget.note_needed(['s'] * 100, 0.0)
+        budget.record_first_attempts(['s'] * 100, 0.0)
         self._spend_all(budget, hedges=True)
         self.assertTrue(budget.spend_retry('s'))
 
@@ -90,5 +90,7 @@
         budget.spend_hedge('s')
         budget.refund('s')
         self.assertEqual(left, budget.left('s'))
-        self.assertIn(protocol.SubStatus.SHED, budget.also_charged)
-        self.assertNotIn(protocol.SubStatus.UNREACHABLE, budget.also_charged)
+        self.assertIn(protocol.SubStatus.SHED, budget.charged_refusals)
+        self.assertNotIn(
+            protocol.SubStatus.UNREACHABLE, budget.charged_refusals
+        )
--- a/tests/unit/test_wire_names.py
+++ b/tests/unit/test_wire_names.py
@@ -648,7 +648,7 @@
     def test_metrics_of_a_search_are_pinned(self) -> None:
         """Each field of a tally is the name of a counter."""
         self.assertEqual(_TALLY, _keys_of(_scatter_types.Tally))
-        self.assertEqual(tuple(_TALLY.split()), _scatter_types.COUNTED)
+        self.assertEqual(tuple(_TALLY.split()), _scatter_types.COUNTER_NAMES)
 
     def test_log_fields_of_an_end_are_pinned(self) -> None:
         """Those that are read off a search's tally, and the others."""
@@ -666,6 +666,6 @@
             name: value.attr
             for name, value in given.items()
             if isinstance(value, ast.Attribute)
-            and value.attr in _scatter_types.COUNTED
+            and value.attr in _scatter_types.COUNTER_NAMES
         }
         self.assertEqual(_END_TALLY, from_tally)
