--- a/tests/failure/test_limits.py
+++ b/tests/failure/test_limits.py
@@ -1,4 +1,4 @@
-"""A target's slots and connections are never exceeded."""
+"""A target's limits of slots and connections are never exceeded."""
 
 import asyncio
 import os
@@ -28,8 +28,8 @@
 _QUERIES = 400
 
 
-class _Bench:
-    """One dispatcher against one stand-in target, both in this process."""
+class _System:
+    """One dispatcher and one stand-in target, both in this process."""
 
     def __init__(self) -> None:
         self.random = random.Random(os.environ['SAMPHIREDOCK_SEED'])
@@ -71,7 +71,7 @@
         self.counters.close()
 
     async def load(self) -> None:
-        """Offer queries; cancel some, swallow the answers of others."""
+        """Send queries; cancel some, drop the answers of others."""
         for number in range(_QUERIES):
             budget_ms = self.random.choice([40.0, 150.0, 400.0])
             message = dispatching.batch(
@@ -90,53 +90,48 @@
 
     @property
     def stats(self) -> target_limits.Stats:
-        """What the target counted."""
+        """The counters of the target."""
         return self.target._stats
 
 
 class LimitsTest(unittest.TestCase):
-    """One target of two slots and four connections under bad luck.
+    """One target of two slots and four connections, under faults.
 
-    The time is counted: how many queries reach the target before their
-    callers give up does not depend on the machine.
+    Time is simulated, so that the results do not depend on the machine.
     """
 
     def test_no_breach_under_lost_answers_and_cancels(self) -> None:
-        """Callers give up or cancel, connections go silent with answers due.
+        """Attempts expire or are cancelled, and connections go silent.
 
-        Each attempt is answered exactly once, and the target itself counts
-        no breach: a slot whose exchange was lost stays taken until the
-        deadline at the target, and a retired connection counts until it is
-        closed.
+        Each attempt is answered exactly once, and the target counts no use
+        beyond its limits.
         """
         counted_time.run(self._check_lost_answers_and_cancels())
 
     async def _check_lost_answers_and_cancels(self) -> None:
-        async with _Bench() as bench:
-            await bench.load()
-            statuses = bench.peers.statuses()
-            self.assertGreater(bench.stats.items, 40)
-            self.assertGreater(bench.counters.total('target_errors'), 2)
-        self.assertEqual(0, bench.stats.slot_breaches)
-        self.assertEqual(0, bench.stats.connection_breaches)
+        async with _System() as system:
+            await system.load()
+            statuses = system.peers.statuses()
+            self.assertGreater(system.stats.items, 40)
+            self.assertGreater(system.counters.total('target_errors'), 2)
+        self.assertEqual(0, system.stats.slot_breaches)
+        self.assertEqual(0, system.stats.connection_breaches)
         once = {name: 1 for name in map(str, range(_QUERIES))}
         counts = {name: len(rows) for name, rows in statuses.items()}
         self.assertEqual(once, counts)
 
-    def test_target_that_works_on_is_breached_without_the_hold(self) -> None:
-        """A slow target keeps working after its connection went silent.
+    def test_slots_are_exceeded_without_holding_lost_exchanges(self) -> None:
+        """A slow target goes on working after the dispatcher gave up.
 
-        The dispatcher gives up after 80 ms, the target works for up to
-        400.  With the slot held the target sees no breach; freed at the
-        caller's end, as a naive pool does, it sees several.
+        If the slot were freed then, the target would exceed its slots.
         """
         counted_time.run(self._check_hold())
 
     async def _check_hold(self) -> None:
         counts = []
         for naive in (False, True):
-            async with _Bench() as bench:
-                bench.faults.service_ms, bench.faults.sigma = 300.0, 0.0
+            async with _System() as system:
+                system.faults.service_ms, system.faults.sigma = 300.0, 0.0
                 ended = _scheduler.TargetScheduler.end_exchange
 
                 def free(scheduler, ticket, exchange_end, now_ms):
@@ -154,16 +149,16 @@
                     patched.start()
                 try:
                     for number in range(30):
-                        bench.peers.deliver(
+                        system.peers.deliver(
                             dispatching.batch(
                                 dispatching.item(f'{number}'), alone=True
                             )
                         )
                         await asyncio.sleep(0.01)
-                    await bench.dispatcher.drain()
+                    await system.dispatcher.drain()
                 finally:
                     if naive:
                         patched.stop()
-                counts.append(bench.stats.slot_breaches)
+                counts.append(system.stats.slot_breaches)
         self.assertEqual(0, counts[0])
         self.assertGreater(counts[1], 0)
--- a/tests/failure/test_shares.py
+++ b/tests/failure/test_shares.py
@@ -1,4 +1,4 @@
-"""No site takes more than its share."""
+"""No site gets more than its share of a target while others need theirs."""
 
 import dataclasses
 import unittest
@@ -14,10 +14,10 @@
 _SHARES = _shares.Shares(_SITES, {}, {'svc': 1.0}, {})
 
 
-class _Run:
-    """A target of two slots at 10 ms a batch of two, on a manual clock.
+class _Simulation:
+    """A target of two slots, 10 ms for a batch of two, on a manual clock.
 
-    It serves 400 items a second.
+    Its capacity is 400 items a second.
     """
 
     def __init__(self, by_site: bool = True) -> None:
@@ -35,7 +35,7 @@
         self.shed = dict.fromkeys(_SITES, 0)
 
     def offer(self, from_ms: int, to_ms: int, rates: dict[str, float]) -> None:
-        """Offer items by site, each rate in items per ms."""
+        """Offer items; ``rates`` are items per ms by site."""
         owed = dict.fromkeys(rates, 0.0)
         for now_ms in range(from_ms, to_ms):
             while self._ends and self._ends[0][0] <= now_ms:
@@ -43,7 +43,7 @@
                 for job in jobs:
                     self.served[job.request.site] += 1
                 exchange_end = _scheduler_types.ExchangeEnd.ANSWERED
-                self._take(
+                self._execute(
                     self._scheduler.end_exchange(ticket, exchange_end, now_ms),
                     now_ms,
                 )
@@ -52,17 +52,17 @@
                 while owed[site] >= 1.0:
                     owed[site] -= 1.0
                     self._submit(site, now_ms)
-            self._take(self._scheduler.pump(now_ms), now_ms)
+            self._execute(self._scheduler.pump(now_ms), now_ms)
 
     def _submit(self, site: str, now_ms: int) -> None:
         self._numbers += 1
         job = dispatching.job(f'{self._numbers}', now_ms + 2_000.0, site=site)
         if not self._by_site:
-            one_line = _shares.Flow('svc', 'all')
-            job = dataclasses.replace(job, flow=one_line)
-        self._take(self._scheduler.submit(job, now_ms), now_ms)
+            one_flow = _shares.Flow('svc', 'all')
+            job = dataclasses.replace(job, flow=one_flow)
+        self._execute(self._scheduler.submit(job, now_ms), now_ms)
 
-    def _take(
+    def _execute(
         self, effects: list[_scheduler_types.Effect], now_ms: int
     ) -> None:
         for effect in effects:
@@ -77,40 +77,36 @@
     """One site floods one target."""
 
     def test_flooding_site_leaves_the_others_their_share(self) -> None:
-        """Site a offers ten times the capacity, b and c half of theirs.
+        """Site a offers ten times the capacity, b and c half of their share.
 
-        Callers of b and c get every answer; a gets what is left and is
-        refused the rest at once.  One queue for all sites would fill with
-        a's work and refuse b and c as often as a.
+        Nothing of b and c is shed, and a gets the rest of the capacity.
         """
-        run = _Run()
-        run.offer(0, 5_000, {'a': 4.0, 'b': 0.06, 'c': 0.06})
-        self.assertEqual(0, run.shed['b'] + run.shed['c'])
+        simulation = _Simulation()
+        simulation.offer(0, 5_000, {'a': 4.0, 'b': 0.06, 'c': 0.06})
+        self.assertEqual(0, simulation.shed['b'] + simulation.shed['c'])
         for site in 'bc':
-            self.assertGreaterEqual(run.served[site], 290)
-        self.assertGreaterEqual(run.served['a'], 1_300)
+            self.assertGreaterEqual(simulation.served[site], 290)
+        self.assertGreaterEqual(simulation.served['a'], 1_300)
 
-    def test_lent_share_comes_back_at_once(self) -> None:
-        """Site a alone uses everything; then b and c ask for their share.
+    def test_unused_share_is_returned_at_once(self) -> None:
+        """Site a uses the whole target while alone; then b and c send too.
 
-        Within the next second each is served at its share although a goes
-        on flooding: their work overtakes what a has queued.
+        Within the next second each site is served at its share.
         """
-        run = _Run()
-        run.offer(0, 2_000, {'a': 4.0})
-        self.assertGreaterEqual(run.served['a'], 780)
-        before = dict(run.served)
-        run.offer(2_000, 3_000, {'a': 4.0, 'b': 4.0, 'c': 4.0})
-        got = {site: run.served[site] - before[site] for site in _SITES}
+        simulation = _Simulation()
+        simulation.offer(0, 2_000, {'a': 4.0})
+        self.assertGreaterEqual(simulation.served['a'], 780)
+        before = dict(simulation.served)
+        simulation.offer(2_000, 3_000, {'a': 4.0, 'b': 4.0, 'c': 4.0})
+        got = {site: simulation.served[site] - before[site] for site in _SITES}
         for site, share in _SITES.items():
             self.assertAlmostEqual(share * 400, got[site], delta=16)
 
-    def test_one_line_for_all_sites_lets_the_others_starve(self) -> None:
-        """The same flood without the queue by site, to see what it does.
+    def test_one_queue_for_all_sites_starves_the_others(self) -> None:
+        """Without queues by site, the same flood sheds most of b and c.
 
-        Callers of b and c are refused most of what they ask, although
-        together they want less than a third of the target.
+        Together they need less than a third of the capacity.
         """
-        run = _Run(by_site=False)
-        run.offer(0, 5_000, {'a': 4.0, 'b': 0.06, 'c': 0.06})
-        self.assertGreater(run.shed['b'] + run.shed['c'], 300)
+        simulation = _Simulation(by_site=False)
+        simulation.offer(0, 5_000, {'a': 4.0, 'b': 0.06, 'c': 0.06})
+        self.assertGreater(simulation.shed['b'] + simulation.shed['c'], 300)
