--- a/samphiredock/coordination/forwarding/_presence.py
+++ b/samphiredock/coordination/forwarding/_presence.py
@@ -1,8 +1,8 @@
-"""Which daemons there are, by an object of each in the store.
+"""Registers this daemon in the store and lists the other daemons.
 
-The daemons share the retry budget.  One that counts too few would use more
-than its part, so an object that was left behind by a lost daemon does no
-harm: it only makes the parts smaller.
+The daemons share the retry budget.  An entry left behind by a lost daemon only
+makes each daemon's part smaller; one that is missing would let the others
+exceed the budget.
 """
 
 import asyncio
@@ -22,21 +22,20 @@
 
 DAEMONS_PREFIX = 'samphiredock-daemons/'
 
-LIST_EVERY_MS = 5_000.0
-"""How soon a daemon that was added gets its part of the budget.  The list
-may be stale, which costs the store a tenth of a call."""
+LIST_INTERVAL_MS = 5_000.0
+"""Interval between lists in a small system, and so the time until a new daemon
+gets its part of the budget."""
 
-FIRST_LIST_MS = 1_000.0
-"""When the list is read again after a start; then in doubling steps, while
-daemons that start together register."""
+FIRST_INTERVAL_MS = 1_000.0
+"""Interval before the second list after a start.  It doubles for the next
+ones, while daemons that start together register."""
 
-_SIZE_OF_LIST = 30
-"""Daemons up to which each lists them at the full pace.  Beyond, the bytes
-of all lists would grow with the square: 62 daemons read 115 KB/s of them,
-two thirds of it from other sites."""
+_FULL_RATE_DAEMONS = 30
+"""Number of daemons beyond which the interval grows.  At a constant interval
+the traffic of all lists would grow with the square of the number."""
 
-_STARTING_LISTS = 3
-_STARTING_FACTOR = 2
+_STARTUP_LISTS = 3
+_STARTUP_FACTOR = 2
 _RETRY_MS = 1_000.0
 
 _log = logs.logger('presence')
@@ -58,13 +57,13 @@
     Parameters
     ----------
     me
-        This daemon; a restart has the same name.
+        This daemon; its name is the same after a restart.
     store
-        Where the objects are.
+        The object store.
     clock
         The timers of this daemon.
     on_list
-        Called with the daemons each time that they were listed.
+        Called with all daemons after each list.
     """
 
     def __init__(
@@ -82,19 +81,19 @@
         self._daemons: tuple[_roles.Daemon, ...] = ()
         self._has_listed = False
         self._is_listed = False
-        self._is_new = True
+        self._must_register = True
         self._task: asyncio.Task | None = None
         self._version = 0
-        self._first = asyncio.Event()
+        self._first_list_done = asyncio.Event()
 
     def daemons(self) -> tuple[_roles.Daemon, ...]:
-        """Return the daemons of the newest list, empty before the first."""
+        """Return the daemons last listed, empty before the first list."""
         return self._daemons
 
     def on_introduction(self, daemons: tuple[_roles.Daemon, ...]) -> bool:
-        """Take what another daemon tells; True if it is of use.
+        """Take the daemons that another one sent; return whether used.
 
-        It is only while the list has not been read: what others have seen
+        They are ignored once this daemon has read the list itself, since they
         may be older.
         """
         if self._has_listed:
@@ -106,12 +105,12 @@
         return True
 
     def start(self) -> None:
-        """Register and list in the background."""
+        """Start to register and list in the background."""
         self._task = background.start(self._run(), 'presence')
 
     async def wait_listed(self) -> None:
-        """Wait until the list has been asked for once."""
-        await self._first.wait()
+        """Wait until the first list was attempted, successfully or not."""
+        await self._first_list_done.wait()
 
     async def leave(self) -> None:
         """Remove this daemon's object."""
@@ -125,38 +124,39 @@
 
     async def _run(self) -> None:
         await self._join()
-        self._first.set()
+        self._first_list_done.set()
         for number in itertools.count():
-            starting = number < _STARTING_LISTS
-            every_ms = self._every_ms()
+            starting = number < _STARTUP_LISTS
+            interval_ms = self._interval_ms()
             if starting:
-                every_ms = FIRST_LIST_MS * _STARTING_FACTOR**number
-            await _pause.pause(self._clock, every_ms)
+                interval_ms = FIRST_INTERVAL_MS * _STARTUP_FACTOR**number
+            await _pause.pause(self._clock, interval_ms)
             await self._list(may_be_stale=True)
-            if self._is_new:
+            if self._must_register:
                 await self._register()
 
     async def _join(self) -> None:
-        """Learn of the others, and have an object that tells of this one.
+        """List the other daemons and register this one, until both succeed.
 
-        One that starts among others knows them by a list that may be stale,
-        which costs a tenth; its object is there from before if it is not
-        new.  Where all are new, the list is empty until they have
-        registered.
+        A stale read is cheaper and usually complete.  Only if it shows no
+        other daemon is the newest list read, since daemons that start together
+        would each take themselves for the only one.
         """
         while not await self._list(may_be_stale=True) or (
-            self._is_new and not await self._register()
+            self._must_register and not await self._register()
         ):
-            # The store is away: nobody is known, so this daemon reads for
-            # itself.
-            self._first.set()
+            # The store is unreachable and no daemon is known, so this one
+            # goes on without waiting.
+            self._first_list_done.set()
             await _pause.pause(self._clock, _RETRY_MS)
         if len(self._daemons) <= 1:
             await self._list(may_be_stale=False)
 
-    def _every_ms(self) -> float:
-        """Return the time between lists; all together read as many rows."""
-        return LIST_EVERY_MS * max(1.0, len(self._daemons) / _SIZE_OF_LIST)
+    def _interval_ms(self) -> float:
+        """Return the interval between lists, longer in a large system."""
+        return LIST_INTERVAL_MS * max(
+            1.0, len(self._daemons) / _FULL_RATE_DAEMONS
+        )
 
     async def _register(self) -> bool:
         expected = transport.CREATE_ONLY
@@ -165,10 +165,10 @@
         reply = await self._store.put(self._key, self._value(), expected)
         if isinstance(reply, result.Success):
             self._version = reply.unwrap()
-            self._is_new = False
+            self._must_register = False
             return True
-        # A conflict is this daemon's own object, from before a restart; the
-        # next list shows it.
+        # A conflict means that its object from before a restart exists; the
+        # next list reads it.
         return reply.failure().kind is transport.StoreErrorKind.CONFLICT
 
     def _value(self) -> bytes:
@@ -178,7 +178,7 @@
         )
 
     def set_near(self, near: bool) -> None:
-        """Tell the others whether this daemon is near the targets."""
+        """Publish whether this daemon is near the targets."""
         if near != self._me.near:
             self._me = dataclasses.replace(self._me, near=near)
             background.start(self._rewrite(), 'presence')
@@ -186,7 +186,8 @@
     async def _rewrite(self) -> None:
         reply = await self._store.put(self._key, self._value(), self._version)
         if isinstance(reply, result.Failure):
-            # Wrong for a while: it gets requests that others serve nearer.
+            # Until the next write, requests come here that a daemon nearer
+            # to the targets should get.
             _log.info('object not written', why=reply.failure().detail)
             return
         self._version = reply.unwrap()
@@ -200,11 +201,12 @@
         rows = {row.key: row for row in reply.unwrap()}
         self._is_listed = self._key in rows
         if self._is_listed:
-            self._take_own(rows[self._key])
+            self._adopt_own_object(rows[self._key])
         else:
-            # Removed when this daemon stopped before, and shown by an older
-            # list since; or not in this one yet, which costs a refused write.
-            self._is_new = True
+            # Either an older list still showed the object that this daemon
+            # removed when it last stopped, or this stale list does not show
+            # the new one yet; then the write is refused, which is harmless.
+            self._must_register = True
         found = {self._me.name: self._me}
         for row in rows.values():
             daemon = _read(row)
@@ -218,19 +220,19 @@
         self._on_list(self._daemons)
         return True
 
-    def _take_own(self, stored: transport.StoredObject) -> None:
-        """See whether the object from before tells what is so now.
+    def _adopt_own_object(self, stored: transport.StoredObject) -> None:
+        """Check whether this daemon's stored object is up to date.
 
-        Where the targets were is kept until they have been listed again.
+        Its ``near`` is kept until the targets have been listed again.
         """
         self._version = stored.version
         before = _read(stored)
         if before is None:
             return
-        self._is_new = before != dataclasses.replace(
+        self._must_register = before != dataclasses.replace(
             self._me, near=before.near
         )
-        if not self._is_new:
+        if not self._must_register:
             self._me = before
 
 
--- a/samphiredock/coordination/once/__init__.py
+++ b/samphiredock/coordination/once/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that may not be repeated: claim, send, tell what became of it."""
+"""Runs non-repeatable requests at most once, by claims in the store."""
 
 from samphiredock import lazy
 
--- a/tests/unit/test_wire_names.py
+++ b/tests/unit/test_wire_names.py
@@ -17,9 +17,9 @@
 
 from samphiredock.coordination.config import _current_state
 from samphiredock.coordination.fleet import _directory
-from samphiredock.coordination.forwarding import _end_notes
+from samphiredock.coordination.forwarding import _freshness_check
+from samphiredock.coordination.forwarding import _outcome_log
 from samphiredock.coordination.forwarding import _presence
-from samphiredock.coordination.forwarding import _vouching
 from samphiredock.coordination.quarantine import _quarantine
 from samphiredock.coordination.search import _scatter_types
 from samphiredock.coordination.targets import _target_signs
@@ -356,7 +356,7 @@
         name: kind
         for package in (protocol, state)
         for name, kind in _defined(package, msgspec.Struct).items()
-        if kind not in (*_NOT_SENT, _claims._Stored)
+        if kind not in (*_NOT_SENT, _claims._StoredBucket)
     }
 
 
@@ -604,7 +604,7 @@
         """Objects and bodies whose type is private to one package."""
         cases = (
             ('site address cores near', _presence._Entry),
-            ('version hears', _vouching.Vouch),
+            ('version hears', _freshness_check.StoreStatus),
             ('leaving at_ms', _target_signs.TargetObject),
             ('key version value', _platform_http.ObjectRow),
             ('objects gone position', _platform_http.ObjectPage),
@@ -629,13 +629,13 @@
     def test_parts_of_the_configuration_are_pinned(self) -> None:
         """The base, the overlays and the keys file, and their parts."""
         cases = (
-            ('services sites indexes targets limits', _compiler._BASE),
-            ('share_cap services targets', _overlay._OVERLAY),
-            ('cap', _overlay._SERVICE),
-            ('url slots connections', _overlay._TARGET),
-            ('limits share region indexes sites', _overlay._COMMON),
-            ('operator_token curve admitted', _keys._KEYS),
-            ('public secret', _keys._PAIR),
+            ('services sites indexes targets limits', _compiler._BASE_RULES),
+            ('share_cap services targets', _overlay._OVERLAY_RULES),
+            ('cap', _overlay._SERVICE_RULES),
+            ('url slots connections', _overlay._TARGET_RULES),
+            ('limits share region indexes sites', _overlay._BASE_ONLY_FIELDS),
+            ('operator_token curve admitted', _keys._KEYS_RULES),
+            ('public secret', _keys._CURVE_PAIR_RULES),
         )
         for keys, rules in cases:
             self.assertEqual(keys, ' '.join(rules))
@@ -652,7 +652,7 @@
 
     def test_log_fields_of_an_end_are_pinned(self) -> None:
         """Those that are read off a search's tally, and the others."""
-        tree = ast.parse(inspect.getsource(_end_notes))
+        tree = ast.parse(inspect.getsource(_outcome_log))
         ends = [
             node
             for node in ast.walk(tree)
