--- a/samphiredock/coordination/once/_run_request.py
+++ b/samphiredock/coordination/once/_run_request.py
@@ -28,10 +28,10 @@
     def refusal(self, fingerprint: str) -> protocol.NotRun | None:
         """Return the refusal of a quarantined request, None for others."""
 
-    def note_lost(self, fingerprint: str, target: str) -> None:
+    def record_loss(self, fingerprint: str, target: str) -> None:
         """Count a target that was lost while it ran the request."""
 
-    def note_succeeded(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Record that a target answered the request."""
 
 
@@ -42,10 +42,10 @@
         """Return None."""
         return None
 
-    def note_lost(self, fingerprint: str, target: str) -> None:
+    def record_loss(self, fingerprint: str, target: str) -> None:
         """Do nothing."""
 
-    def note_succeeded(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Do nothing."""
 
 
@@ -106,7 +106,7 @@
     ) -> None:
         """Tell the quarantine if the report says that a target was lost."""
         if report is not None and report.target_lost:
-            self._quarantine.note_lost(admitted.fingerprint, report.target)
+            self._quarantine.record_loss(admitted.fingerprint, report.target)
 
     def complete(
         self,
@@ -119,7 +119,7 @@
         Waiting peers are told at once; the store is written in the
         background.
         """
-        self._quarantine.note_succeeded(admitted.fingerprint)
+        self._quarantine.record_success(admitted.fingerprint)
         outcome = protocol.Completed(report.result, report.accepted, False)
         self._statuses.update(token, _Status.DONE, outcome)
         self._metrics.add('runs_completed')
