--- a/samphiredock/coordination/forwarding/_attempt_sender.py
+++ b/samphiredock/coordination/forwarding/_attempt_sender.py
@@ -192,7 +192,7 @@
         """
         exchange = pending.exchanges.pop(attempt_id)
         if exchange.is_dropped:
-            took_ms = self._clock.now_ms() - exchange.sent_ms
+            took_ms = self._clock.now_ms() - exchange.started_ms
             self._replicas.record_ended(exchange.target, took_ms)
 
     def _drop(
@@ -213,7 +213,7 @@
         if exchange is None or exchange.task is None:
             return
         exchange.is_dropped = True
-        self._replicas.keep_in_flight(exchange.target, exchange.sent_ms)
+        self._replicas.keep_in_flight(exchange.target, exchange.started_ms)
         self._clock.after(
             _pending_requests.LOSER_GRACE_MS, exchange.task.cancel
         )
--- a/samphiredock/coordination/forwarding/_forward_types.py
+++ b/samphiredock/coordination/forwarding/_forward_types.py
@@ -92,7 +92,7 @@
 
     ``site`` is this daemon's own.  ``caller_way_ms`` is the part of a route's
     aim taken by the network between caller and daemon, both ways, without
-    connecting.  ``once_kept_ms`` is the longest idle time of a connection used
+    connecting.  ``max_idle_once_ms`` is the longest idle time of a connection used
     for a request that must run at most once: if the target has closed the
     connection meanwhile, the request is lost and may not be sent again.
     """
@@ -100,4 +100,4 @@
     site: str
     caller_way_ms: float
     limits: state.Limits
-    once_kept_ms: float = math.inf
+    max_idle_once_ms: float = math.inf
--- a/samphiredock/coordination/forwarding/_forwarder.py
+++ b/samphiredock/coordination/forwarding/_forwarder.py
@@ -78,7 +78,7 @@
         self._tools = tools
         self._order_client = order_client
         self.target_client = _target_client.TargetClient(
-            targets, dialect, links, clock, settings.once_kept_ms, crashes
+            targets, dialect, links, clock, settings.max_idle_once_ms, crashes
         )
         self._sender = _attempt_sender.AttemptSender(
             self.target_client, order_client, tools.replicas, clock
--- a/samphiredock/coordination/forwarding/_pending_requests.py
+++ b/samphiredock/coordination/forwarding/_pending_requests.py
@@ -24,13 +24,13 @@
 class Exchange:
     """One exchange with a target.
 
-    ``sent_ms`` is when the attempt was decided; ``is_sent`` is set when a
+    ``started_ms`` is when the attempt was decided; ``is_sent`` is set when a
     connection was available and the request was written.  ``is_dropped`` is
     set when the reply is no longer needed.
     """
 
     target: str
-    sent_ms: float
+    started_ms: float
     task: asyncio.Task | None = None
     is_dropped: bool = False
     is_sent: bool = False
--- a/samphiredock/coordination/forwarding/_target_client.py
+++ b/samphiredock/coordination/forwarding/_target_client.py
@@ -45,7 +45,7 @@
         The targets' HTTP protocol, and the connections to them.
     clock
         The timers of this daemon.
-    once_kept_ms
+    max_idle_once_ms
         Longest idle time of a connection used for a request that must run
         at most once.
     crashes
@@ -58,14 +58,14 @@
         dialect: _forward_types.Dialect,
         links: _forward_types.Links,
         clock: timers.Timers,
-        once_kept_ms: float = math.inf,
+        max_idle_once_ms: float = math.inf,
         crashes: _crash_guard.CrashGuard | None = None,
     ) -> None:
         self._targets = targets
         self._dialect = dialect
         self._links = links
         self._clock = clock
-        self._max_idle_once_ms = once_kept_ms
+        self._max_idle_once_ms = max_idle_once_ms
         self._crashes = crashes
 
     async def send(
