--- a/samphiredock/coordination/forwarding/_forward_types.py
+++ b/samphiredock/coordination/forwarding/_forward_types.py
@@ -92,8 +92,8 @@
 
     ``site`` is this daemon's own.  ``caller_way_ms`` is the part of a route's
     aim taken by the network between caller and daemon, both ways, without
-    connecting.  ``max_idle_once_ms`` is the longest idle time of a connection used
-    for a request that must run at most once: if the target has closed the
+    connecting.  ``max_idle_once_ms`` is the longest idle time of a connection
+    used for a request that must run at most once: if the target has closed the
     connection meanwhile, the request is lost and may not be sent again.
     """
 
--- a/samphiredock/coordination/forwarding/_freshness_check.py
+++ b/samphiredock/coordination/forwarding/_freshness_check.py
@@ -3,8 +3,8 @@
 Its routing table may be old: a daemon that has contact with the store may know
 a newer one, and its callers would see a change undone.  So a coordinator that
 has lost contact regularly asks some other coordinators for their version.  It
-may serve if a peer with contact to the store knows no newer version, or if no
-peer that answers has contact, since an old table is the best available then.
+may serve if any of them answers and none that has contact with the store knows
+a newer version.  If none has contact, an old table is the best available.
 Asking in the background keeps the check off the path of requests.
 """
 
--- a/samphiredock/coordination/forwarding/_live_targets.py
+++ b/samphiredock/coordination/forwarding/_live_targets.py
@@ -142,7 +142,7 @@
         return before is not None and before.leaving != target.leaving
 
     def remove(self, target_id: str) -> None:
-        """Remove a target, after a grace time if the store was unreachable."""
+        """Remove a target; after a store outage only after a grace time."""
         if target_id not in self._targets:
             return
         now_ms = self._clock.now_ms()
