--- a/tests/failure/test_at_most_once.py
+++ b/tests/failure/test_at_most_once.py
@@ -17,7 +17,7 @@
 from tests import history_runs
 from tests import simulation_runs
 
-_STORMS = 30
+_SIMULATIONS = 30
 _KEY = 'payout-7'
 _Fault = memory_platform.Fault
 
@@ -30,14 +30,14 @@
         super().setUp()
         self.system.use('answer')
 
-    async def ask(
+    async def run_request(
         self, daemon: memory_runners.Daemon, **request: object
     ) -> protocol.RunOutcome:
         """Return a daemon's outcome of the one request."""
         call = self.system.call(daemon, _KEY, **request)
         return await self.system.outcome(call)
 
-    async def hold_claimed(self) -> asyncio.Task:
+    async def freeze_after_claim(self) -> asyncio.Task:
         """Freeze the first daemon when its claim is in the store."""
         call = self.system.call(self.first, _KEY)
         await self.system.clock.pass_ms(
@@ -52,7 +52,9 @@
         patch.start()
         self.addCleanup(patch.stop)
 
-    def assert_ran(self, outcome: protocol.RunOutcome, times: int) -> None:
+    def assert_completed(
+        self, outcome: protocol.RunOutcome, times: int
+    ) -> None:
         """Assert an outcome of a run, and the number of executions."""
         self.assertIsInstance(outcome, protocol.Completed)
         self.assertEqual(times, self.system.executions())
@@ -65,10 +67,10 @@
         claim stays in the way for good.
         """
         self.system.store.script.append(_Fault.LOST_AFTER)
-        await self.hold_claimed()
+        await self.freeze_after_claim()
         self.system.kill(self.first)
         for daemon in (self.second, self.system.start('entry-1')):
-            outcome = await self.ask(daemon)
+            outcome = await self.run_request(daemon)
             self.assertIsInstance(outcome, protocol.Unknown)
             self.assertEqual(1_000, outcome.retry_after_ms)
         self.assertEqual(0, self.system.executions())
@@ -81,11 +83,13 @@
         may: its claim cannot have been taken, and nobody was told that the
         request was not run.
         """
-        call = await self.hold_claimed()
-        self.assertIsInstance(await self.ask(self.second), protocol.Unknown)
+        call = await self.freeze_after_claim()
+        self.assertIsInstance(
+            await self.run_request(self.second), protocol.Unknown
+        )
         self.first.host.wake(self.system.random)
-        self.assert_ran(await self.system.outcome(call), 1)
-        self.assert_ran(await self.ask(self.second), 1)
+        self.assert_completed(await self.system.outcome(call), 1)
+        self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_frozen_holder_wakes_after_its_deadline(self) -> None:
         """The holder sends nothing any more, and frees the key.
@@ -93,13 +97,15 @@
         It was frozen between claim and send for longer than its deadline.
         Only after it has said so does another daemon run the request.
         """
-        call = await self.hold_claimed()
+        call = await self.freeze_after_claim()
         await self.system.clock.pass_ms(5_000)
-        self.assertIsInstance(await self.ask(self.second), protocol.Unknown)
+        self.assertIsInstance(
+            await self.run_request(self.second), protocol.Unknown
+        )
         self.first.host.wake(self.system.random)
-        await self.assert_told(call, protocol.NotRun)
+        await self.assert_outcome_type(call, protocol.NotRun)
         self.assertEqual(0, self.system.executions())
-        self.assert_ran(await self.ask(self.second), 1)
+        self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_holder_killed_between_send_and_record(self) -> None:
         """Every retry reads "unknown", though the request did run.
@@ -108,14 +114,14 @@
         killed before it can record the outcome.
         """
         call = self.system.call(self.first, _KEY)
-        await self.system.executed()
+        await self.system.wait_executed()
         self.system.store.outage = True
-        self.assert_ran(await self.system.outcome(call), 1)
+        self.assert_completed(await self.system.outcome(call), 1)
         await self.system.clock.pass_ms(50)
         self.system.kill(self.first)
         self.system.store.outage = False
         for daemon in (self.second, self.system.start('entry-1')):
-            outcome = await self.ask(daemon)
+            outcome = await self.run_request(daemon)
             self.assertIsInstance(outcome, protocol.Unknown)
         self.assertEqual(1, self.system.executions())
 
@@ -131,7 +137,7 @@
             for daemon in (self.first, self.second) * 2
         ]
         outcomes = [await self.system.outcome(call) for call in calls]
-        self.assert_ran(outcomes[0], 1)
+        self.assert_completed(outcomes[0], 1)
         self.assertEqual(1, len({str(row.result) for row in outcomes}))
         replayed = [outcome.replayed for outcome in outcomes]
         self.assertEqual([False, True, True, True], sorted(replayed))
@@ -142,23 +148,23 @@
         The caller keeps its key but issues it anew: seconds, then hours
         later, at another daemon.
         """
-        self.assert_ran(await self.ask(self.first), 1)
+        self.assert_completed(await self.run_request(self.first), 1)
         for pause_ms in (6_000, 20 * 3_600_000):
             await self.system.clock.pass_ms(pause_ms)
-            self.assert_ran(await self.ask(self.second), 1)
+            self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_key_with_another_body(self) -> None:
         """The other request is refused while the first runs and after.
 
         Its refusal says that it is this request that was not run.
         """
-        call = await self.hold_claimed()
+        call = await self.freeze_after_claim()
         self.first.host.wake(self.system.random)
         for daemon in (self.first, self.second, self.second):
-            outcome = await self.ask(daemon, body='household-8')
+            outcome = await self.run_request(daemon, body='household-8')
             self.assertIs(protocol.NotRunReason.KEY_REUSED, outcome.reason)
             self.assertIn('this request', outcome.detail)
-        self.assert_ran(await self.system.outcome(call), 1)
+        self.assert_completed(await self.system.outcome(call), 1)
 
     async def test_given_up_claim_passes_on(self) -> None:
         """The retry runs at another daemon, once.
@@ -168,29 +174,29 @@
         store is back, the claim is found open; its holder is asked.
         """
         self.system.store.script.append(_Fault.LOST_AFTER)
-        call = await self.hold_claimed()
+        call = await self.freeze_after_claim()
         self.system.store.outage = True
         self.first.host.wake(self.system.random)
-        await self.assert_told(call, protocol.NotRun)
+        await self.assert_outcome_type(call, protocol.NotRun)
         await self.system.clock.pass_ms(50)
         self.system.store.outage = False
-        self.assert_ran(await self.ask(self.second), 1)
+        self.assert_completed(await self.run_request(self.second), 1)
         self.assertEqual(1, self.metrics.total('claims_passed_on'))
-        self.assert_ran(await self.ask(self.first), 1)
+        self.assert_completed(await self.run_request(self.first), 1)
 
     async def assert_refused_and_freed(
         self, fault: memory_platform.Fault
     ) -> None:
         """Assert that a put with a wrong answer leaves the key usable."""
         self.system.store.script.append(fault)
-        call = await self.hold_claimed()
+        call = await self.freeze_after_claim()
         self.system.store.outage = True
         self.first.host.wake(self.system.random)
-        await self.assert_told(call, protocol.NotRun)
+        await self.assert_outcome_type(call, protocol.NotRun)
         self.system.store.outage = False
         await self.system.clock.pass_ms(3_000)
         self.system.kill(self.first)
-        self.assert_ran(await self.ask(self.second), 1)
+        self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_conflict_with_the_own_put(self) -> None:
         """The caller is refused truthfully, and the retry runs.
@@ -218,12 +224,12 @@
         """
         self.system.store.script.append(_Fault.LATE)
         self.first.host.frozen = False
-        outcome = await self.ask(self.first, deadline_ms=3)
+        outcome = await self.run_request(self.first, deadline_ms=3)
         self.assertIsInstance(outcome, protocol.NotRun)
         await self.system.clock.pass_ms(1_000)
         self.assertEqual(0, self.first.runner.unrecorded_count())
         self.system.kill(self.first)
-        self.assert_ran(await self.ask(self.second), 1)
+        self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_late_report_is_read_by_the_retry(self) -> None:
         """The first caller reads "unknown", the retry the receipt.
@@ -232,11 +238,11 @@
         deadline; the holder records it then.
         """
         self.system.use('late')
-        first = await self.ask(self.first, deadline_ms=400)
+        first = await self.run_request(self.first, deadline_ms=400)
         self.assertIsInstance(first, protocol.Unknown)
         await self.system.clock.pass_ms(5_000)
         self.system.kill(self.first)
-        self.assert_ran(await self.ask(self.second), 1)
+        self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_conflicts_on_one_bucket(self) -> None:
         """Forty requests on one bucket all run, each once.
@@ -254,7 +260,7 @@
             for number, key in enumerate(keys)
         ]
         for call in calls:
-            await self.assert_told(call, protocol.Completed)
+            await self.assert_outcome_type(call, protocol.Completed)
         self.assertEqual(40, self.system.executions())
         self.assertGreater(self.metrics.total('claim_conflicts'), 2)
 
@@ -282,7 +288,7 @@
         self.assertLess(max(sizes), transport.VALUE_LIMIT_BYTES)
 
 
-class StormTest(unittest.TestCase):
+class FaultSimulationTest(unittest.TestCase):
     """Many failures at once, from a seed."""
 
     def setUp(self) -> None:
@@ -291,24 +297,24 @@
         patch.start()
         self.addCleanup(patch.stop)
 
-    def storms(
-        self, count: int, is_first_enough: bool = False
+    def simulate(
+        self, count: int, stop_at_first: bool = False
     ) -> tuple[list[str], collections.Counter[str]]:
-        """Return the violations of some storms and their ingredients."""
+        """Return the violations of some simulate and their ingredients."""
         counters = metrics.Metrics('test')
         found: list[str] = []
         counts: collections.Counter[str] = collections.Counter()
         for number in range(count):
-            storm = simulation_runs.FaultSimulation(
+            simulation = simulation_runs.FaultSimulation(
                 simulation_runs.SEED + number, counters
             )
-            asyncio.run(storm.run())
-            system = storm.system
+            asyncio.run(simulation.run())
+            system = simulation.system
             found += [
                 f'seed {simulation_runs.SEED + number}: {text}'
                 for text in history_runs.violations(system.history)
             ]
-            if found and is_first_enough:
+            if found and stop_at_first:
                 break
             counts.update(system.faults)
             counts['message lost'] += system.hub.faults['loss']
@@ -322,7 +328,7 @@
         counters.close()
         return found, counts
 
-    def test_storms(self) -> None:
+    def test_random_faults(self) -> None:
         """Callers retry at every daemon while nearly everything fails.
 
         Daemons freeze, wake and are killed; the store is out, loses
@@ -330,8 +336,8 @@
         break; messages are lost.  Each key runs once at most, and what
         callers were told agrees with it.
         """
-        found, counts = self.storms(_STORMS)
-        print(f'storms from seed {simulation_runs.SEED}: {dict(counts)}')
+        found, counts = self.simulate(_SIMULATIONS)
+        print(f'simulate from seed {simulation_runs.SEED}: {dict(counts)}')
         self.assertEqual([], found)
         self.assertGreater(counts['Called'], 1_000)
         self.assertGreater(counts['Executed'], 200)
@@ -340,37 +346,41 @@
         for fault in _Fault:
             self.assertGreater(counts[fault.value], 10, fault)
 
-    def test_storms_find_each_missing_safeguard(self) -> None:
-        """With a safeguard switched off, the same storms see a breach."""
+    def test_each_missing_safeguard_is_detected(self) -> None:
+        """With a safeguard switched off, the same simulate see a breach."""
         for name, switched_off in _SAFEGUARDS.items():
             with self.subTest(name), switched_off():
-                found, _ = self.storms(_STORMS, True)
+                found, _ = self.simulate(_SIMULATIONS, True)
                 self.assertTrue(found, f'{name}: no breach seen')
 
 
-def _take_from_silent_holders() -> mock.Mock:
-    async def ask(
+def _take_over_from_silent_holders() -> mock.Mock:
+    async def run_request(
         holders: object, token: str, until_ms: float
     ) -> protocol.ClaimAnswer:
         return protocol.ClaimAnswer(token, protocol.ClaimStatus.NEVER_SENT)
 
-    return mock.patch.object(_claim_statuses.ClaimStatuses, 'ask', ask)
+    return mock.patch.object(
+        _claim_statuses.ClaimStatuses, 'run_request', run_request
+    )
 
 
-def _trust_lost_puts() -> mock.Mock:
+def _treat_lost_puts_as_written() -> mock.Mock:
     put = _claim_bucket.BucketWriter._put
 
-    async def trusting(
+    async def put_without_read_back(
         writer: object, *arguments: object
     ) -> transport.StoreError | None:
         error = await put(writer, *arguments)
         is_lost = error and error.kind is transport.StoreErrorKind.LOST
         return None if is_lost else error
 
-    return mock.patch.object(_claim_bucket.BucketWriter, '_put', trusting)
+    return mock.patch.object(
+        _claim_bucket.BucketWriter, '_put', put_without_read_back
+    )
 
 
-def _take_breaks_for_proof() -> mock.Mock:
+def _treat_failures_as_proof() -> mock.Mock:
     def proves(report: protocol.RunReport) -> bool:
         return report.status is not protocol.SubStatus.ANSWERED
 
@@ -378,7 +388,7 @@
 
 
 _SAFEGUARDS = {
-    'claims are not taken from silent holders': _take_from_silent_holders,
-    'a lost put is read back': _trust_lost_puts,
-    'only proof leads to another target': _take_breaks_for_proof,
+    'claims are not taken from silent holders': _take_over_from_silent_holders,
+    'a lost put is read back': _treat_lost_puts_as_written,
+    'only proof leads to another target': _treat_failures_as_proof,
 }
--- a/tests/failure/test_configuration.py
+++ b/tests/failure/test_configuration.py
@@ -64,7 +64,7 @@
         self.unready[name] = floor if not self.network.cuts else 0
         daemon.current_state.subscribe(
             lambda new: self.events.append(
-                history.InForce(
+                history.Applied(
                     self.now_ms,
                     name,
                     daemon.incarnation,
@@ -88,12 +88,12 @@
             if name in self.unready and daemon.is_ready:
                 floor = self.unready.pop(name)
                 self.events.append(
-                    history.Presented(
+                    history.BecameReady(
                         self.now_ms, name, daemon.incarnation, revision, floor
                     )
                 )
             self.events.append(
-                history.Held(
+                history.Observed(
                     self.now_ms, name, self.reachable_ms[name], revision
                 )
             )
@@ -121,12 +121,12 @@
 
     def race(self, number: int) -> None:
         """Let two operators change the same base at two daemons."""
-        for place in self.rng.sample(self.running(), 2):
-            name = f'change-{number}-{place.name}'
-            task = asyncio.create_task(self.operate(place, name))
+        for daemon in self.rng.sample(self.running(), 2):
+            name = f'change-{number}-{daemon.name}'
+            task = asyncio.create_task(self.operate(daemon, name))
             self.operators.append(task)
 
-    def _site(self, site: str) -> list[memory_daemons.SimDaemon]:
+    def _daemons_of(self, site: str) -> list[memory_daemons.SimDaemon]:
         return [d for d in self.network.daemons.values() if d.site == site]
 
     async def fault(self, number: int) -> None:
@@ -136,7 +136,7 @@
         site = self.rng.choice(list(SITES))
         await _FAULTS[kind](self, number, site)
 
-    async def _store_dies(self, number: int, site: str) -> None:
+    async def _store_outage(self, number: int, site: str) -> None:
         self.race(number)
         # The outage begins as soon as the first write has taken effect.
         before = self.store.position
@@ -148,8 +148,8 @@
         await self.run(8_000)
         self.store.outage = False
 
-    async def _site_frozen(self, number: int, site: str) -> None:
-        frozen = self._site(site)
+    async def _freeze_site(self, number: int, site: str) -> None:
+        frozen = self._daemons_of(site)
         for daemon in frozen:
             daemon.clock.frozen = True
         self.race(number)
@@ -158,7 +158,7 @@
             self.reachable_ms[daemon.name] = self.now_ms
             daemon.clock.wake()
 
-    async def _site_cut(self, number: int, site: str) -> None:
+    async def _partition_site(self, number: int, site: str) -> None:
         self.network.cuts = {
             frozenset((site, other)) for other in SITES if other != site
         }
@@ -172,20 +172,20 @@
             self.reachable_ms[name] = self.now_ms
             self.unready[name] = 0
 
-    async def _restarted(self, number: int, site: str) -> None:
+    async def _restart_site(self, number: int, site: str) -> None:
         self.race(number)
         await self.run(self.rng.uniform(0, 200))
-        for daemon in self._site(site):
+        for daemon in self._daemons_of(site):
             daemon.kill()
             self.start(daemon.name, site)
         await self.run(3_000)
 
-    async def _stale_start(self, number: int, site: str) -> None:
+    async def _start_on_stale_reads(self, number: int, site: str) -> None:
         # Every read is old: only the peers know what is in force.
         self.race(number)
         await self.run(3_000)
         self.store.chances = {_Fault.STALE: 1.0}
-        daemon = self._site(site)[0]
+        daemon = self._daemons_of(site)[0]
         daemon.kill()
         self.start(daemon.name, site)
         await self.run(4_000)
@@ -201,15 +201,15 @@
 
 
 _FAULTS: dict[str, typing.Callable] = {
-    'store': Schedule._store_dies,
-    'freeze': Schedule._site_frozen,
-    'cut': Schedule._site_cut,
-    'restart': Schedule._restarted,
-    'old': Schedule._stale_start,
+    'store': Schedule._store_outage,
+    'freeze': Schedule._freeze_site,
+    'cut': Schedule._partition_site,
+    'restart': Schedule._restart_site,
+    'old': Schedule._start_on_stale_reads,
 }
 
 
-async def play(seed: int) -> Schedule:
+async def run_schedule(seed: int) -> Schedule:
     """Run one schedule to its quiet end."""
     run = Schedule(seed)
     run.store.write(coordination.CONFIGURATION_KEY, source(1, 'first'))
@@ -229,7 +229,7 @@
     return run
 
 
-async def started(revision: int, daemons: int) -> Schedule:
+async def start_daemons(revision: int, daemons: int) -> Schedule:
     """Return settled daemons with a revision in force, spread over sites."""
     run = Schedule(SEED)
     run.store.write(coordination.CONFIGURATION_KEY, source(revision, 'first'))
@@ -253,9 +253,9 @@
         totals: collections.Counter = collections.Counter()
         for number in range(SCHEDULES):
             seed = SEED + number
-            run = asyncio.run(play(seed))
+            run = asyncio.run(run_schedule(seed))
             with self.subTest(seed=seed):
-                self.judge(run)
+                self.assert_invariants(run)
             totals.update(run.faults)
             totals.update(run.network.faults)
             totals.update(
@@ -266,22 +266,22 @@
                 for event in run.events
             )
         print(f'configuration, {SCHEDULES} seeds from {SEED}: {dict(totals)}')
-        for name in ('ChangeAccepted', 'ChangeConflict', 'Presented'):
+        for name in ('ChangeAccepted', 'ChangeConflict', 'BecameReady'):
             self.assertGreaterEqual(totals[name], 20, name)
         lost, outage = _Fault.LOST_AFTER.value, _Fault.OUTAGE.value
         for name in (*_FAULTS, 'loss', f'store {lost}', f'store {outage}'):
             self.assertGreaterEqual(totals[name], 3, name)
 
-    def judge(self, run: Schedule) -> None:
+    def assert_invariants(self, run: Schedule) -> None:
         """Assert every promise on a run's history."""
         events = run.events
         self.assertEqual([], history.reverted(events)[:3])
-        self.assertEqual([], history.presented_too_old(events)[:3])
-        self.assertEqual([], history.two_of_one_revision(events)[:3])
-        self.assertEqual([], history.refused_but_in_force(events)[:3])
+        self.assertEqual([], history.ready_too_old(events)[:3])
+        self.assertEqual([], history.conflicting_revisions(events)[:3])
+        self.assertEqual([], history.refused_but_applied(events)[:3])
         lost = history.accepted_but_lost(events, run.stored())
         self.assertEqual([], lost[:3])
-        self.assertEqual([], history.late(events, IN_FORCE_LIMIT_MS)[:3])
+        self.assertEqual([], history.overdue(events, IN_FORCE_LIMIT_MS)[:3])
         final = {
             d.current_state.revision for d in run.network.daemons.values()
         }
@@ -300,8 +300,8 @@
         When it wakes it still holds the old revision: it is not ready
         until its peers have told it, and then holds the new one.
         """
-        run = await started(1, 6)
-        frozen = run._site('yeka-c')
+        run = await start_daemons(1, 6)
+        frozen = run._daemons_of('yeka-c')
         for daemon in frozen:
             daemon.clock.frozen = True
         task = asyncio.create_task(
@@ -330,7 +330,7 @@
         """
 
         async def body(seeds: tuple[str, ...]) -> tuple[bool, int, int]:
-            run = await started(1, 6)
+            run = await start_daemons(1, 6)
             task = asyncio.create_task(
                 run.network.daemons['entry-1'].apply('two', 1)
             )
@@ -355,7 +355,7 @@
         It is counted and not applied; an operator's next change, made
         from the revision in force, is numbered above that.
         """
-        run = await started(5, 3)
+        run = await start_daemons(5, 3)
         run.store.write(coordination.CONFIGURATION_KEY, source(3, 'three'))
         await run.run(2_000)
         daemons = list(run.network.daemons.values())
--- a/tests/failure/test_not_run.py
+++ b/tests/failure/test_not_run.py
@@ -34,7 +34,7 @@
     ) -> None:
         """Assert a refusal by the first daemon, and that nothing ran."""
         call = self.system.call(self.first, _KEY, **request)
-        outcome = await self.assert_told(call, protocol.NotRun)
+        outcome = await self.assert_outcome_type(call, protocol.NotRun)
         self.assertIs(reason, outcome.reason)
         self.assertEqual(0, self.system.executions())
 
@@ -43,7 +43,7 @@
     ) -> None:
         """Assert the second daemon's outcome and the executions so far."""
         call = self.system.call(self.second, _KEY, **request)
-        await self.assert_told(call, kind)
+        await self.assert_outcome_type(call, kind)
         self.assertEqual(executions, self.system.executions())
 
     async def test_store_down(self) -> None:
@@ -85,14 +85,14 @@
         """
         self.system.use('answer')
         call = self.system.call(self.first, _KEY)
-        await self.system.executed()
+        await self.system.wait_executed()
         self.system.store.outage = True
-        await self.assert_told(call, protocol.Completed)
-        leaving = self.system.start_drain(self.first)
+        await self.assert_outcome_type(call, protocol.Completed)
+        drain = self.system.start_drain(self.first)
         await self.system.clock.pass_ms(3_000)
-        self.assertFalse(leaving.done())
+        self.assertFalse(drain.done())
         self.system.store.outage = False
-        self.assertEqual(0, await self.system.outcome(leaving))
+        self.assertEqual(0, await self.system.outcome(drain))
         self.system.kill(self.first)
         await self.assert_outcome(protocol.Completed, 1)
 
@@ -103,14 +103,14 @@
         """
         self.system.use('answer')
         call = self.system.call(self.first, 'payout-1')
-        await self.system.executed()
+        await self.system.wait_executed()
         self.system.store.outage = True
         await self.system.outcome(call)
-        leaving = self.system.start_drain(self.first)
+        drain = self.system.start_drain(self.first)
         refused = self.system.call(self.first, _KEY)
         outcome = await self.system.outcome(refused)
         self.assertIs(_Reason.SHUTTING_DOWN, outcome.reason)
-        self.assertEqual(1, await self.system.outcome(leaving, 20_000))
+        self.assertEqual(1, await self.system.outcome(drain, 20_000))
 
     async def test_dispatcher_frozen_with_the_order(self) -> None:
         """The caller reads "unknown", never "not run".
@@ -159,7 +159,7 @@
         for behaviour, executions in (('break', 0), ('break-after', 1)):
             self.system.use(behaviour)
             call = self.system.call(self.first, behaviour)
-            await self.assert_told(call, protocol.Unknown)
+            await self.assert_outcome_type(call, protocol.Unknown)
             self.assertEqual(executions, self.system.executions())
 
     async def test_refused_by_every_target(self) -> None:
@@ -209,7 +209,7 @@
         daemon = self.system.start('entry-3', quarantine)
         self.system.use('lose-target')
         call = self.system.call(daemon, _KEY)
-        await self.assert_told(call, protocol.Unknown)
+        await self.assert_outcome_type(call, protocol.Unknown)
         self.assertEqual(1, len(quarantine.lost))
         writes = self.system.store.calls['put']
         outcome = await self.system.outcome(self.system.call(daemon, 'new'))
--- a/tests/failure/test_stopped_runs.py
+++ b/tests/failure/test_stopped_runs.py
@@ -12,23 +12,23 @@
 from tests import simulation_runs
 
 _KEY = 'payout-7'
-_STORMS = 20
-_LAST_WORDS_MS = 1_000.0
+_SIMULATIONS = 20
+_EXIT_DELAY_MS = 1_000.0
 """Between a daemon's end and its exit: answers leave, claims are closed."""
 _Reason = protocol.NotRunReason
 
 
 class StoppedRunsTest(simulation_runs.RunnerTestCase):
-    """The first daemon ends while a request waits, seconds to its deadline."""
+    """The first daemon stops while a request waits, seconds to its deadline."""
 
-    async def _ended(self, waited_ms: float, kind: type) -> object:
+    async def _finish_early(self, waited_ms: float, kind: type) -> object:
         """Call, end the daemon after a while; return the outcome."""
         call = self.system.call(self.first, _KEY)
         await self.system.clock.pass_ms(waited_ms)
         self.assertFalse(call.done())
         before_ms = self.system.clock.now_ms()
         self.first.runner.finish_all()
-        outcome = await self.assert_told(call, kind)
+        outcome = await self.assert_outcome_type(call, kind)
         self.assertLess(
             self.system.clock.now_ms() - before_ms,
             memory_runners.DEADLINE_MS / 2,
@@ -38,14 +38,14 @@
     async def _assert_retry(self, kind: type, executions: int) -> None:
         """Assert a retry at the second daemon, and all that ever ran."""
         call = self.system.call(self.second, _KEY)
-        await self.assert_told(call, kind)
+        await self.assert_outcome_type(call, kind)
         await self.system.clock.pass_ms(60_000)
         self.assertEqual(executions, self.system.executions())
 
     async def test_begun(self) -> None:
         """The caller reads "unknown": a target has the request."""
         self.system.use('silent')
-        await self._ended(50, protocol.Unknown)
+        await self._finish_early(50, protocol.Unknown)
         self.assertEqual(1, self.system.executions())
 
     async def test_queued_at_its_dispatcher(self) -> None:
@@ -57,7 +57,7 @@
         self.system.use('queue')
         for dispatcher in self.system.dispatchers:
             dispatcher.queue_ms = 60_000
-        outcome = await self._ended(50, protocol.NotRun)
+        outcome = await self._finish_early(50, protocol.NotRun)
         self.assertIs(_Reason.SHUTTING_DOWN, outcome.reason)
         orders = [len(row.orders) for row in self.system.dispatchers]
         self.assertEqual(1, sum(orders))
@@ -73,7 +73,7 @@
         for dispatcher in self.system.dispatchers:
             dispatcher.deaf_to_cancels = True
             dispatcher.queue_ms = 60_000
-        await self._ended(40, protocol.Unknown)
+        await self._finish_early(40, protocol.Unknown)
 
     async def test_store_silent(self) -> None:
         """The caller reads "not run", and the retry runs.
@@ -83,7 +83,7 @@
         """
         self.system.use('answer')
         self.system.store.silent = True
-        outcome = await self._ended(100, protocol.NotRun)
+        outcome = await self._finish_early(100, protocol.NotRun)
         self.assertIs(_Reason.SHUTTING_DOWN, outcome.reason)
         self.assertEqual(0, self.system.executions())
         self.system.store.silent = False
@@ -94,19 +94,19 @@
         """The caller reads "unknown": the other daemon may have run it."""
         self.system.use('silent')
         other = self.system.call(self.second, _KEY)
-        await self.system.executed()
-        await self._ended(200, protocol.Unknown)
-        await self.assert_told(other, protocol.Unknown)
+        await self.system.wait_executed()
+        await self._finish_early(200, protocol.Unknown)
+        await self.assert_outcome_type(other, protocol.Unknown)
         self.assertEqual(1, self.system.executions())
 
     async def test_two_callers_with_one_key(self) -> None:
         """Both read the same."""
         self.system.use('silent')
         calls = [self.system.call(self.first, _KEY) for _ in range(2)]
-        await self.system.executed()
+        await self.system.wait_executed()
         self.first.runner.finish_all()
         for call in calls:
-            await self.assert_told(call, protocol.Unknown)
+            await self.assert_outcome_type(call, protocol.Unknown)
         self.assertEqual(1, self.system.executions())
 
     async def test_request_after_the_end(self) -> None:
@@ -114,19 +114,19 @@
         self.system.use('answer')
         self.first.runner.finish_all()
         call = self.system.call(self.first, _KEY)
-        outcome = await self.assert_told(call, protocol.NotRun)
+        outcome = await self.assert_outcome_type(call, protocol.NotRun)
         self.assertIs(_Reason.SHUTTING_DOWN, outcome.reason)
         await self._assert_retry(protocol.Completed, 1)
 
 
-class _StopStorm(simulation_runs.FaultSimulation):
+class _StopSimulation(simulation_runs.FaultSimulation):
     """Daemons end truthfully before they are gone, instead of being killed."""
 
     def _kill(self) -> None:
         daemon = self._any()
         daemon.runner.finish_all()
         self.system.faults['end'] += 1
-        self.system.clock.after(_LAST_WORDS_MS, lambda: self._exit(daemon))
+        self.system.clock.after(_EXIT_DELAY_MS, lambda: self._exit(daemon))
 
     def _exit(self, daemon: memory_runners.Daemon) -> None:
         if self.system.daemons[daemon.name] is daemon:
@@ -134,10 +134,10 @@
             self.system.start(daemon.name)
 
 
-class StopStormTest(unittest.TestCase):
+class StopSimulationTest(unittest.TestCase):
     """Many failures at once, from a seed, while daemons are stopped."""
 
-    def test_storms(self) -> None:
+    def test_random_faults(self) -> None:
         """Callers retry at every daemon while daemons end under them.
 
         Each key runs once at most, and what callers were told, at a
@@ -146,18 +146,18 @@
         counters = metrics.Metrics('test')
         self.addCleanup(counters.close)
         found: list[str] = []
-        ends = refused = 0
+        stops = refused = 0
         with mock.patch.object(_claims, 'BUCKET_COUNT', 2):
-            for number in range(_STORMS):
+            for number in range(_SIMULATIONS):
                 seed = simulation_runs.SEED + number
-                storm = _StopStorm(seed, counters)
-                asyncio.run(storm.run())
-                history = storm.system.history
+                simulation = _StopSimulation(seed, counters)
+                asyncio.run(simulation.run())
+                history = simulation.system.history
                 found += [
                     f'seed {seed}: {text}'
                     for text in history_runs.violations(history)
                 ]
-                ends += storm.system.faults['end']
+                stops += simulation.system.faults['end']
                 refused += sum(
                     isinstance(outcome, protocol.NotRun)
                     and outcome.reason is _Reason.SHUTTING_DOWN
@@ -166,5 +166,5 @@
                     )
                 )
         self.assertEqual([], found)
-        self.assertGreater(ends, 30)
+        self.assertGreater(stops, 30)
         self.assertGreater(refused, 30)
--- a/tests/history_configuration.py
+++ b/tests/history_configuration.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class InForce:
+class Applied:
     """A daemon (one start of it) applied a revision."""
 
     at_ms: float
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Presented:
+class BecameReady:
     """A fresh daemon became ready.
 
     ``floor`` is the highest revision that a daemon which it could reach
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Held:
+class Observed:
     """What a daemon, reachable since ``reachable_ms``, has in force."""
 
     at_ms: float
@@ -54,16 +54,16 @@
     revision: int
 
 
-Event = InForce | Presented | Answered | Held
+Event = Applied | BecameReady | Answered | Observed
 _NEVER_IN_FORCE = ('ChangeConflict', 'ChangeInvalid', 'ChangeUnavailable')
 
 
-def reverted(events: typing.Sequence[Event]) -> list[InForce]:
+def reverted(events: typing.Sequence[Event]) -> list[Applied]:
     """Return revisions applied that were not above the one in force."""
     held: dict[tuple[str, int], int] = {}
     bad = []
     for event in events:
-        if not isinstance(event, InForce):
+        if not isinstance(event, Applied):
             continue
         key = event.daemon, event.start
         if event.revision <= held.get(key, 0):
@@ -72,30 +72,30 @@
     return bad
 
 
-def presented_too_old(events: typing.Sequence[Event]) -> list[Presented]:
+def ready_too_old(events: typing.Sequence[Event]) -> list[BecameReady]:
     """Return fresh daemons that became ready below what was reachable."""
     return [
         event
         for event in events
-        if isinstance(event, Presented) and event.revision < event.floor
+        if isinstance(event, BecameReady) and event.revision < event.floor
     ]
 
 
-def two_of_one_revision(events: typing.Sequence[Event]) -> list[InForce]:
+def conflicting_revisions(events: typing.Sequence[Event]) -> list[Applied]:
     """Return revisions that were in force with two contents."""
     first: dict[int, str] = {}
     return [
         event
         for event in events
-        if isinstance(event, InForce)
+        if isinstance(event, Applied)
         and first.setdefault(event.revision, event.change_id)
         != event.change_id
     ]
 
 
-def refused_but_in_force(events: typing.Sequence[Event]) -> list[Answered]:
+def refused_but_applied(events: typing.Sequence[Event]) -> list[Answered]:
     """Return changes told as refused, and never accepted, yet in force."""
-    applied = {e.change_id for e in events if isinstance(e, InForce)}
+    applied = {e.change_id for e in events if isinstance(e, Applied)}
     return [
         event
         for event in events
@@ -118,9 +118,9 @@
     ]
 
 
-def late(
+def overdue(
     events: typing.Sequence[Event], limit_ms: float
-) -> list[tuple[Answered, Held]]:
+) -> list[tuple[Answered, Observed]]:
     """Return reachable daemons behind an accepted change past the limit.
 
     A daemon that holds a later revision is not behind: the change has
@@ -134,7 +134,7 @@
     return [
         (change, event)
         for event in events
-        if isinstance(event, Held)
+        if isinstance(event, Observed)
         for change in accepted
         if event.revision < change.revision
         and event.at_ms - max(change.at_ms, event.reachable_ms) > limit_ms
--- a/tests/simulation_runs.py
+++ b/tests/simulation_runs.py
@@ -77,7 +77,7 @@
         await self.clock.pass_ms(within_ms, call.done)
         return call.result()
 
-    async def executed(self) -> None:
+    async def wait_executed(self) -> None:
         """Move time until a target has run a request."""
         await self.clock.pass_ms(1_000, lambda: self.executions() > 0)
 
@@ -123,7 +123,7 @@
         """Judge what was recorded."""
         self.assertEqual([], history_runs.violations(self.system.history))
 
-    async def assert_told(
+    async def assert_outcome_type(
         self, call: asyncio.Task, kind: type
     ) -> protocol.RunOutcome:
         """Assert the kind of a call's outcome; return it."""
@@ -142,7 +142,7 @@
     def __init__(self, seed: int, counters: metrics.Metrics) -> None:
         self.system = System(seed, counters, latency_ms=8.0)
         self._random = self.system.random
-        self._steps = 0
+        self._step_number = 0
 
     async def run(self) -> None:
         """Run to the end; the history is judged by the test."""
@@ -160,12 +160,12 @@
             memory_platform.Fault.STALE: 0.20,
         }
         for number in range(self.STEPS):
-            self._steps = number
+            self._step_number = number
             self._step()
             await system.clock.pass_ms(
                 self._random.choice((0, 0, 3, 10, 60, 700))
             )
-        self._calm()
+        self._end_faults()
         await system.clock.pass_ms(10_000)
         for key in self.KEYS:
             for name in self.NAMES:
@@ -189,7 +189,7 @@
         other = key is None and self._random.random() < 0.05
         self.system.call(
             self.system.daemons[name or self._random.choice(self.NAMES)],
-            key or self._random.choice(self._near()),
+            key or self._random.choice(self._active_keys()),
             'household-8' if other else 'household-7',
             deadline_ms=self._random.choice((None, 300, 5_000)),
         )
@@ -203,28 +203,28 @@
         self.system.faults['outage'] += 1
 
     def _freeze(self) -> None:
-        daemon = self._any()
+        daemon = self._random_daemon()
         if not daemon.host.frozen:
             daemon.host.frozen = True
             self.system.faults['freeze'] += 1
 
     def _wake(self) -> None:
-        self._any().host.wake(self._random)
+        self._random_daemon().host.wake(self._random)
 
     def _kill(self) -> None:
-        daemon = self._any()
+        daemon = self._random_daemon()
         self.system.kill(daemon)
         self.system.start(daemon.name)
 
-    def _near(self) -> tuple[str, ...]:
+    def _active_keys(self) -> tuple[str, ...]:
         """Return the few keys in use now: calls of one key must meet."""
-        first = self._steps * len(self.KEYS) // self.STEPS
+        first = self._step_number * len(self.KEYS) // self.STEPS
         return self.KEYS[max(0, first - 2) : first + 1]
 
-    def _any(self) -> memory_runners.Daemon:
+    def _random_daemon(self) -> memory_runners.Daemon:
         return self.system.daemons[self._random.choice(self.NAMES)]
 
-    def _calm(self) -> None:
+    def _end_faults(self) -> None:
         self.system.store.outage = False
         self.system.store.chances = {}
         self.system.hub.loss = 0.0
--- a/tests/unit/test_claim_registry.py
+++ b/tests/unit/test_claim_registry.py
@@ -21,7 +21,7 @@
     )
 
 
-class ClaimBookTest(unittest.IsolatedAsyncioTestCase):
+class ClaimRegistryTest(unittest.IsolatedAsyncioTestCase):
     """One daemon's claims against the fake store."""
 
     def setUp(self) -> None:
@@ -44,7 +44,7 @@
             self.clock.now_ms() + 2_000,
         )
 
-    async def open_and_close(self, count: int) -> list[float]:
+    async def calls_per_claim(self, count: int) -> list[float]:
         """Run claims from start to end; return gets and puts a request."""
         tasks = [asyncio.create_task(self.open(row)) for row in range(count)]
         await self.clock.pass_ms(100)
@@ -63,13 +63,13 @@
 
     async def test_calls_of_a_request_alone(self) -> None:
         """A claim costs a read and a write, its outcome a write."""
-        self.assertEqual([1.0, 2.0], await self.open_and_close(1))
+        self.assertEqual([1.0, 2.0], await self.calls_per_claim(1))
 
     async def test_calls_of_many_at_once(self) -> None:
         """The calls a request do not grow with their number."""
         for count in (10, 100):
             self.setUp()
-            gets, puts = await self.open_and_close(count)
+            gets, puts = await self.calls_per_claim(count)
             print(f'calls a request, {count} at once: {gets} + {puts}')
             self.assertLessEqual(gets, 1.0)
             self.assertLessEqual(puts, 2.0)
@@ -77,7 +77,7 @@
     async def test_changes_of_one_bucket_share_a_write(self) -> None:
         """A hundred claims and outcomes take two writes."""
         with mock.patch.object(_claims, 'BUCKET_COUNT', 1):
-            gets, puts = await self.open_and_close(100)
+            gets, puts = await self.calls_per_claim(100)
         self.assertEqual([0.01, 0.02], [gets, puts])
 
     async def test_lost_answers_are_read_back(self) -> None:
@@ -105,7 +105,7 @@
 
     async def test_memory_does_not_grow_with_the_slices(self) -> None:
         """A writer goes when its bucket is idle."""
-        await self.open_and_close(50)
+        await self.calls_per_claim(50)
         await self.clock.pass_ms(1_000)
         self.assertEqual({}, self.registry._writers)
 
--- a/tests/unit/test_claim_statuses.py
+++ b/tests/unit/test_claim_statuses.py
@@ -15,7 +15,7 @@
 _DONE = protocol.Completed({'receipt': 'r-1'}, True, False)
 
 
-class HoldersTest(unittest.IsolatedAsyncioTestCase):
+class ClaimStatusesTest(unittest.IsolatedAsyncioTestCase):
     """Two daemons, one holds a claim."""
 
     def setUp(self) -> None:
@@ -23,10 +23,10 @@
         self.clock = memory_hosts.SteppedTimers()
         self.hub = memory_peers.MemoryNetwork(self.clock, random.Random(1))
         self.metrics = metrics.Metrics('test')
-        self.holder = self.make('entry-1')
-        self.asker = self.make('entry-2')
+        self.holder = self.start_daemon('entry-1')
+        self.asker = self.start_daemon('entry-2')
 
-    def make(self, name: str) -> _claim_statuses.ClaimStatuses:
+    def start_daemon(self, name: str) -> _claim_statuses.ClaimStatuses:
         """Return one daemon's side."""
         endpoint = self.hub.join(name)
         return _claim_statuses.ClaimStatuses(
@@ -51,7 +51,7 @@
         await self.clock.pass_ms(_claim_statuses.SILENT_MS + 300)
         self.assertIsNone(ask.result())
         self.hub.loss = 0.0
-        self.make('entry-1')
+        self.start_daemon('entry-1')
         ask = asyncio.create_task(self.asker.ask(_TOKEN, 60_000))
         await self.clock.pass_ms(10)
         self.assertIs(_Status.UNTRACKED, ask.result().status)
--- a/tests/unit/test_exchange.py
+++ b/tests/unit/test_exchange.py
@@ -31,7 +31,7 @@
             counters,
         )
 
-    def receive(self, sender: str, message: object) -> None:
+    def deliver(self, sender: str, message: object) -> None:
         """Deliver a message."""
         self.peers.deliver(message, sender)
 
@@ -39,21 +39,21 @@
         """Many tell of a large object; only one has to send it."""
         notice = protocol.ObjectVersion(KEY, 2, 'origin')
         ask = protocol.ObjectAsk(KEY, 2)
-        self.receive('a', notice)
-        self.receive('b', notice)
+        self.deliver('a', notice)
+        self.deliver('b', notice)
         self.assertEqual([('a', ask)], self.peers.take())
         self.clock.advance(700)
-        self.receive('b', notice)
+        self.deliver('b', notice)
         self.assertEqual([('b', ask)], self.peers.take())
 
     def test_who_asks_too_early_is_served_later(self) -> None:
         """A child asks before the object has reached its parent."""
         value = test_configuration.source(2, 'two')
-        self.receive('a', protocol.ObjectVersion(KEY, 2, 'origin'))
-        self.receive('child', protocol.ObjectAsk(KEY, 2))
+        self.deliver('a', protocol.ObjectVersion(KEY, 2, 'origin'))
+        self.deliver('child', protocol.ObjectAsk(KEY, 2))
         self.peers.take()
         changed = protocol.ObjectChanged(KEY, 2, value)
-        self.receive('a', changed)
+        self.deliver('a', changed)
         expected = [
             ('child', changed),
             ('origin', protocol.RevisionHeld(2)),
@@ -63,9 +63,9 @@
     def test_unreadable_object_is_not_asked_for_again(self) -> None:
         """A version that this daemon can't read is not fetched for ever."""
         notice = protocol.ObjectVersion(KEY, 2, 'origin')
-        self.receive('a', notice)
-        self.receive('a', protocol.ObjectChanged(KEY, 2, b'{'))
+        self.deliver('a', notice)
+        self.deliver('a', protocol.ObjectChanged(KEY, 2, b'{'))
         self.peers.take()
         self.clock.advance(700)
-        self.receive('a', notice)
+        self.deliver('a', notice)
         self.assertEqual([], self.peers.take())
--- a/tests/unit/test_history.py
+++ b/tests/unit/test_history.py
@@ -39,7 +39,7 @@
     ]
 
 
-def _whole(**change: object) -> history.Call:
+def _complete_answer(**change: object) -> history.Call:
     outcome = {
         'type': 'answered',
         'snapshot_id': 3,
@@ -59,7 +59,7 @@
 class CheckersTest(unittest.TestCase):
     """Good and bad histories, made by hand."""
 
-    def assert_judges(
+    def assert_tells_apart(
         self, good: history.Verdict, bad: history.Verdict
     ) -> None:
         """The good one passes, the bad one fails, both were judged."""
@@ -70,20 +70,20 @@
 
     def test_second_execution_is_seen(self) -> None:
         calls = [_run('completed'), _run('completed')]
-        self.assert_judges(
+        self.assert_tells_apart(
             history.check_at_most_once(calls, [_execution()]),
             history.check_at_most_once(calls, [_execution()] * 2),
         )
 
     def test_different_results_are_seen(self) -> None:
         calls = [_run('completed'), _run('completed', receipt='r2')]
-        self.assert_judges(
+        self.assert_tells_apart(
             history.check_at_most_once(calls[:1], [_execution()]),
             history.check_at_most_once(calls, [_execution()]),
         )
 
     def test_false_not_run_is_seen(self) -> None:
-        self.assert_judges(
+        self.assert_tells_apart(
             history.check_not_run(
                 [_run('not-run'), _run('completed')], [_execution()]
             ),
@@ -95,17 +95,19 @@
 
     def test_mixed_versions_are_seen(self) -> None:
         mixed = _rows()[:-1] + _rows('2')[-1:]
-        self.assert_judges(
-            history.check_one_snapshot([_whole()], {3: 3}),
-            history.check_one_snapshot([_whole(records=mixed)], {3: 3}),
+        self.assert_tells_apart(
+            history.check_one_snapshot([_complete_answer()], {3: 3}),
+            history.check_one_snapshot(
+                [_complete_answer(records=mixed)], {3: 3}
+            ),
         )
 
     def test_lost_and_doubled_records_are_seen(self) -> None:
         for rows in (_rows()[1:], _rows() + _rows()[:1]):
-            self.assert_judges(
-                history.check_coverage([_whole()], 'claims', 5_000),
+            self.assert_tells_apart(
+                history.check_coverage([_complete_answer()], 'claims', 5_000),
                 history.check_coverage(
-                    [_whole(records=rows)], 'claims', 5_000
+                    [_complete_answer(records=rows)], 'claims', 5_000
                 ),
             )
 
@@ -116,31 +118,33 @@
         foreign = {**covered[0], 'key': 'claims-999999'}
         good = [row for row in _rows() if row not in covered][:1] + covered
         for bad in (covered[1:], covered + covered[:1], [*covered, foreign]):
-            self.assert_judges(
+            self.assert_tells_apart(
                 history.check_coverage(
-                    [_whole(**half, records=good)], 'claims', 5_000
+                    [_complete_answer(**half, records=good)], 'claims', 5_000
                 ),
                 history.check_coverage(
-                    [_whole(**half, records=bad)], 'claims', 5_000
+                    [_complete_answer(**half, records=bad)], 'claims', 5_000
                 ),
             )
 
     def test_overstated_coverage_is_seen(self) -> None:
         missing = [[0, 2**31]]
         rows = _rows_above(2**31)
-        part = _whole(type='partial', missing=missing, records=rows)
+        part = _complete_answer(type='partial', missing=missing, records=rows)
         true_part = dataclasses.replace(
             part, outcome={**part.outcome, 'coverage': 0.5}
         )
-        self.assert_judges(
+        self.assert_tells_apart(
             history.check_coverage([true_part], 'claims', 5_000),
             history.check_coverage([part], 'claims', 5_000),
         )
 
     def test_crossed_answer_is_seen(self) -> None:
-        crossed = dataclasses.replace(_whole(), terms={'kebele': 'yeka'})
-        self.assert_judges(
-            history.check_matching_records([_whole()]),
+        crossed = dataclasses.replace(
+            _complete_answer(), terms={'kebele': 'yeka'}
+        )
+        self.assert_tells_apart(
+            history.check_matching_records([_complete_answer()]),
             history.check_matching_records([crossed]),
         )
 
@@ -159,14 +163,14 @@
             )
 
         good = check(sample(0, 1), sample(200, 2), sample(9_000, 2))
-        self.assert_judges(good, check(sample(0, 2), sample(1, 1)))
-        self.assert_judges(good, check(sample(9_000, 1)))
+        self.assert_tells_apart(good, check(sample(0, 2), sample(1, 1)))
+        self.assert_tells_apart(good, check(sample(9_000, 1)))
         again = check(sample(0, 2), sample(1, 1, 2, False), sample(2, 2, 2))
-        self.assert_judges(again, check(sample(0, 2), sample(1, 1, 2)))
+        self.assert_tells_apart(again, check(sample(0, 2), sample(1, 1, 2)))
         self.assertEqual((), check(sample(9_000, 1), excused=True).violations)
 
     def test_work_at_a_left_target_is_seen(self) -> None:
-        self.assert_judges(
+        self.assert_tells_apart(
             history.check_draining_targets(
                 [_execution()], {'t1': 0.0}, 5_000.0
             ),
@@ -176,8 +180,8 @@
         )
 
     def test_cut_request_is_seen(self) -> None:
-        cut = dataclasses.replace(_whole(), status=502, outcome=None)
-        self.assert_judges(
-            history.check_all_answered([_whole()]),
+        cut = dataclasses.replace(_complete_answer(), status=502, outcome=None)
+        self.assert_tells_apart(
+            history.check_all_answered([_complete_answer()]),
             history.check_all_answered([cut]),
         )
--- a/tests/unit/test_run_orders.py
+++ b/tests/unit/test_run_orders.py
@@ -24,12 +24,12 @@
         self.clock = memory_hosts.SteppedTimers()
         self.hub = memory_peers.MemoryNetwork(self.clock, random.Random(1))
         self.metrics = metrics.Metrics('test')
-        self.late: list[protocol.RunReport] = []
+        self.late_reports: list[protocol.RunReport] = []
         self.orders = _run_orders.Orders(
             self.hub.join('entry-1'),
             self.clock,
             self.metrics,
-            lambda token, report: self.late.append(report),
+            lambda token, report: self.late_reports.append(report),
         )
         self.hub.join('owner')
         self.assertTrue(self.orders.send('entry-1/1/1', 'owner', _ORDER))
@@ -69,7 +69,9 @@
         await self.report(_Status.ANSWERED)
         self.orders.abandon(_ORDER.attempt_id)
         await self.report(_Status.ANSWERED)
-        self.assertEqual([_Status.ANSWERED], [row.status for row in self.late])
+        self.assertEqual(
+            [_Status.ANSWERED], [row.status for row in self.late_reports]
+        )
         self.assertEqual(1, self.metrics.total('run_reports_unmatched'))
 
     async def test_order_to_an_unknown_member_never_left(self) -> None:
