--- a/tests/failure/test_at_most_once.py
+++ b/tests/failure/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""An unrepeatable request runs at most once, whatever fails."""
+"""A non-repeatable request runs at most once, whatever fails."""
 
 import asyncio
 import collections
@@ -23,22 +23,22 @@
 
 
 class AtMostOnceTest(simulation_runs.RunnerTestCase):
-    """Single failures, driven step by step."""
+    """Single failures, step by step."""
 
     def setUp(self) -> None:
-        """Have the targets answer."""
+        """Start two daemons; the targets answer."""
         super().setUp()
         self.system.use('answer')
 
     async def run_request(
         self, daemon: memory_runners.Daemon, **request: object
     ) -> protocol.RunOutcome:
-        """Return a daemon's outcome of the one request."""
+        """Send the request to a daemon; return its outcome."""
         call = self.system.call(daemon, _KEY, **request)
         return await self.system.outcome(call)
 
     async def freeze_after_claim(self) -> asyncio.Task:
-        """Freeze the first daemon when its claim is in the store."""
+        """Freeze the first daemon once its claim is in the store."""
         call = self.system.call(self.first, _KEY)
         await self.system.clock.pass_ms(
             1_000, lambda: bool(self.system.store.objects)
@@ -47,7 +47,7 @@
         return call
 
     def use_one_bucket(self) -> None:
-        """Place every key in the same bucket."""
+        """Place all keys in one bucket."""
         patch = mock.patch.object(_claims, 'BUCKET_COUNT', 1)
         patch.start()
         self.addCleanup(patch.stop)
@@ -55,16 +55,15 @@
     def assert_completed(
         self, outcome: protocol.RunOutcome, times: int
     ) -> None:
-        """Assert an outcome of a run, and the number of executions."""
+        """Assert a completed outcome and the number of executions."""
         self.assertIsInstance(outcome, protocol.Completed)
         self.assertEqual(times, self.system.executions())
 
     async def test_lost_answer_then_killed_holder(self) -> None:
-        """The second caller reads "unknown", and nothing ever runs.
+        """A claim whose holder was killed is never taken over.
 
-        The claim takes effect, the store's answer is lost, the daemon is
-        killed.  Nobody can tell whether it had sent the request, so the
-        claim stays in the way for good.
+        The put succeeds, its answer is lost and the holder is killed: whether it
+        sent the request is unknown, so every retry is answered "unknown".
         """
         self.system.store.script.append(_Fault.LOST_AFTER)
         await self.freeze_after_claim()
@@ -76,12 +75,10 @@
         self.assertEqual(0, self.system.executions())
 
     async def test_frozen_holder_wakes_within_its_deadline(self) -> None:
-        """The caller of the retry reads "unknown", never "not run".
+        """A holder frozen before sending may still send when it wakes.
 
-        The holder freezes between claim and send; the balancer sends the
-        caller's retry to another daemon; the holder wakes and runs it.  It
-        may: its claim cannot have been taken, and nobody was told that the
-        request was not run.
+        Its claim cannot have been taken over: a retry at another daemon meanwhile
+        is answered "unknown", never "not run".
         """
         call = await self.freeze_after_claim()
         self.assertIsInstance(
@@ -92,10 +89,9 @@
         self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_frozen_holder_wakes_after_its_deadline(self) -> None:
-        """The holder sends nothing any more, and frees the key.
+        """A holder that wakes after the deadline sends nothing and frees the key.
 
-        It was frozen between claim and send for longer than its deadline.
-        Only after it has said so does another daemon run the request.
+        Another daemon runs the request only after the holder has said so.
         """
         call = await self.freeze_after_claim()
         await self.system.clock.pass_ms(5_000)
@@ -108,10 +104,9 @@
         self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_holder_killed_between_send_and_record(self) -> None:
-        """Every retry reads "unknown", though the request did run.
+        """A holder killed before recording leaves every retry "unknown".
 
-        The target runs it while the store is down, and the daemon is
-        killed before it can record the outcome.
+        The target runs the request while the store is down.
         """
         call = self.system.call(self.first, _KEY)
         await self.system.wait_executed()
@@ -126,11 +121,10 @@
         self.assertEqual(1, self.system.executions())
 
     async def test_same_instant(self) -> None:
-        """Four callers read one receipt, of one run.
+        """Four concurrent callers at two daemons share one execution.
 
-        Two daemons get the key in the same instant, from two callers each.
-        One claim wins; the other daemon asks its holder and waits, and the
-        second call at a daemon joins the first.
+        One daemon gets the claim, the other asks it and waits; a second call at a
+        daemon joins the first.
         """
         calls = [
             self.system.call(daemon, _KEY, deadline_ms=5_000)
@@ -143,10 +137,9 @@
         self.assertEqual([False, True, True, True], sorted(replayed))
 
     async def test_retry_with_a_new_issue_time(self) -> None:
-        """The retry reads the receipt of the first try.
+        """A retry with the same key and a new issue time gets the first receipt.
 
-        The caller keeps its key but issues it anew: seconds, then hours
-        later, at another daemon.
+        At another daemon, seconds and hours later.
         """
         self.assert_completed(await self.run_request(self.first), 1)
         for pause_ms in (6_000, 20 * 3_600_000):
@@ -154,9 +147,9 @@
             self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_key_with_another_body(self) -> None:
-        """The other request is refused while the first runs and after.
+        """A key used with another body is refused, while the first runs and after.
 
-        Its refusal says that it is this request that was not run.
+        The refusal says that it is this request that was not run.
         """
         call = await self.freeze_after_claim()
         self.first.host.wake(self.system.random)
@@ -167,11 +160,10 @@
         self.assert_completed(await self.system.outcome(call), 1)
 
     async def test_given_up_claim_passes_on(self) -> None:
-        """The retry runs at another daemon, once.
+        """An abandoned claim passes to another daemon, which runs the request.
 
-        The claim takes effect, its answer is lost, the store goes down:
-        the first daemon refuses, and promises never to send.  When the
-        store is back, the claim is found open; its holder is asked.
+        The put succeeds, its answer is lost and the store goes down: the first
+        daemon refuses and never sends, but its open claim is in the store.
         """
         self.system.store.script.append(_Fault.LOST_AFTER)
         call = await self.freeze_after_claim()
@@ -199,28 +191,25 @@
         self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_conflict_with_the_own_put(self) -> None:
-        """The caller is refused truthfully, and the retry runs.
+        """A claim written by a put that reported a conflict is freed.
 
-        The HTTP client sends the put again after a lost connection, meets
-        its own first one and reports a conflict; then the store goes down.
-        The claim is in the store all the same, and must be freed.
+        The HTTP client repeats the put after a lost connection and conflicts with
+        its own first one; then the store goes down.
         """
         await self.assert_refused_and_freed(_Fault.CONFLICT_AFTER)
 
     async def test_outage_after_the_own_put(self) -> None:
-        """The caller is refused truthfully, and the retry runs.
+        """A claim written by a put that reported an outage is freed.
 
-        As above, but the second put meets an outage: the daemon reads that
-        the store took nothing.
+        As above, but the repeated put meets an outage.
         """
         await self.assert_refused_and_freed(_Fault.OUTAGE_AFTER)
 
     async def test_put_that_arrives_late(self) -> None:
-        """A refused claim that reaches the store afterwards stops nobody.
+        """A put that arrives after its caller was refused blocks nobody.
 
-        The put is lost, the caller's deadline passes and it is told "not
-        run"; the end of the claim is written all the same, so that the put
-        fails on the object's version when it arrives.
+        The closed claim is written first, so that the late put fails on the
+        object's version.
         """
         self.system.store.script.append(_Fault.LATE)
         self.first.host.frozen = False
@@ -232,10 +221,9 @@
         self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_late_report_is_read_by_the_retry(self) -> None:
-        """The first caller reads "unknown", the retry the receipt.
+        """A report that comes after the deadline is recorded for the retry.
 
-        The target runs the request and its report comes after the
-        deadline; the holder records it then.
+        The first caller is answered "unknown".
         """
         self.system.use('late')
         first = await self.run_request(self.first, deadline_ms=400)
@@ -245,10 +233,9 @@
         self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_conflicts_on_one_bucket(self) -> None:
-        """Forty requests on one bucket all run, each once.
+        """Forty requests on one bucket each run once despite conflicts.
 
-        Another writer is ahead of two puts of three; the puts are tried
-        again within the deadlines, after growing pauses.
+        Two puts of three conflict; they are retried with backoff.
         """
         self.system.store.chances = {_Fault.CONFLICT: 0.66}
         self.use_one_bucket()
@@ -265,10 +252,10 @@
         self.assertGreater(self.metrics.total('claim_conflicts'), 2)
 
     async def test_bucket_near_the_value_limit(self) -> None:
-        """A claim that finds no room is refused; the others stay.
+        """A claim without room in its bucket is refused.
 
-        The outcomes of all open claims are recorded, and the object stays
-        below the store's limit.
+        The outcomes of the other claims are recorded, and the object stays below
+        the store's value limit.
         """
         self.use_one_bucket()
         keys = [f'batch-{number}' for number in range(240)]
@@ -289,10 +276,10 @@
 
 
 class FaultSimulationTest(unittest.TestCase):
-    """Many failures at once, from a seed."""
+    """Random faults from a seed."""
 
     def setUp(self) -> None:
-        """Let the claims of different keys meet in the same objects."""
+        """Make the claims of different keys share objects."""
         patch = mock.patch.object(_claims, 'BUCKET_COUNT', 2)
         patch.start()
         self.addCleanup(patch.stop)
@@ -300,7 +287,7 @@
     def simulate(
         self, count: int, stop_at_first: bool = False
     ) -> tuple[list[str], collections.Counter[str]]:
-        """Return the violations of some simulate and their ingredients."""
+        """Run simulations; return the violations and counts of events."""
         counters = metrics.Metrics('test')
         found: list[str] = []
         counts: collections.Counter[str] = collections.Counter()
@@ -329,15 +316,14 @@
         return found, counts
 
     def test_random_faults(self) -> None:
-        """Callers retry at every daemon while nearly everything fails.
+        """Under random faults each key runs once and all answers agree.
 
-        Daemons freeze, wake and are killed; the store is out, loses
-        answers, conflicts, reads stale; dispatchers are silent, late or
-        break; messages are lost.  Each key runs once at most, and what
-        callers were told agrees with it.
+        Daemons freeze, wake and are killed; the store fails, loses answers,
+        conflicts and returns stale objects; dispatchers are silent, late or break;
+        messages are lost.
         """
         found, counts = self.simulate(_SIMULATIONS)
-        print(f'simulate from seed {simulation_runs.SEED}: {dict(counts)}')
+        print(f'simulations from seed {simulation_runs.SEED}: {dict(counts)}')
         self.assertEqual([], found)
         self.assertGreater(counts['Called'], 1_000)
         self.assertGreater(counts['Executed'], 200)
@@ -347,22 +333,20 @@
             self.assertGreater(counts[fault.value], 10, fault)
 
     def test_each_missing_safeguard_is_detected(self) -> None:
-        """With a safeguard switched off, the same simulate see a breach."""
+        """With a safeguard disabled, the simulations find a violation."""
         for name, switched_off in _SAFEGUARDS.items():
             with self.subTest(name), switched_off():
                 found, _ = self.simulate(_SIMULATIONS, True)
-                self.assertTrue(found, f'{name}: no breach seen')
+                self.assertTrue(found, f'{name}: no violation found')
 
 
 def _take_over_from_silent_holders() -> mock.Mock:
-    async def run_request(
+    async def ask(
         holders: object, token: str, until_ms: float
     ) -> protocol.ClaimAnswer:
         return protocol.ClaimAnswer(token, protocol.ClaimStatus.NEVER_SENT)
 
-    return mock.patch.object(
-        _claim_statuses.ClaimStatuses, 'run_request', run_request
-    )
+    return mock.patch.object(_claim_statuses.ClaimStatuses, 'ask', ask)
 
 
 def _treat_lost_puts_as_written() -> mock.Mock:
@@ -388,7 +372,7 @@
 
 
 _SAFEGUARDS = {
-    'claims are not taken from silent holders': _take_over_from_silent_holders,
+    'claims of silent holders are not taken over': _take_over_from_silent_holders,
     'a lost put is read back': _treat_lost_puts_as_written,
-    'only proof leads to another target': _treat_failures_as_proof,
+    'another target is tried only after proof': _treat_failures_as_proof,
 }
--- a/tests/failure/test_not_run.py
+++ b/tests/failure/test_not_run.py
@@ -1,4 +1,4 @@
-"""A refusal that says "not run" means that the request was not run."""
+"""A request answered "not run" was not run by any target."""
 
 from samphiredock import protocol
 from standins import memory_runners
@@ -9,7 +9,7 @@
 
 
 class _Quarantine:
-    """Refuses after one lost target."""
+    """Refuses every request after one lost target."""
 
     def __init__(self) -> None:
         self.lost: list[str] = []
@@ -27,12 +27,12 @@
 
 
 class NotRunTest(simulation_runs.RunnerTestCase):
-    """What each failure after the claim lets a caller be told."""
+    """The outcome for each failure after the claim."""
 
     async def assert_not_run(
         self, reason: protocol.NotRunReason, **request: object
     ) -> None:
-        """Assert a refusal by the first daemon, and that nothing ran."""
+        """Assert that the first daemon refuses and nothing runs."""
         call = self.system.call(self.first, _KEY, **request)
         outcome = await self.assert_outcome_type(call, protocol.NotRun)
         self.assertIs(reason, outcome.reason)
@@ -47,10 +47,9 @@
         self.assertEqual(executions, self.system.executions())
 
     async def test_store_down(self) -> None:
-        """The caller is refused at once, and the retry runs.
+        """A request is refused after one failed call, not at its deadline.
 
-        The claim cannot be written while the store is down, so nothing is
-        sent; the refusal comes after one failed call, not at the deadline.
+        No claim can be written while the store is down; the retry runs.
         """
         self.system.use('answer')
         self.system.store.outage = True
@@ -61,10 +60,10 @@
         await self.assert_outcome(protocol.Completed, 1)
 
     async def test_store_silent(self) -> None:
-        """Callers are refused at once, and a retry runs.
+        """A silent store does not hold every request until its deadline.
 
-        The store takes calls and answers none.  The first request waits
-        for it; then only one in a quarter of a second does.
+        After the first requests only probes are sent to it; the others are refused
+        at once.
         """
         self.system.use('answer')
         self.system.store.silent = True
@@ -78,10 +77,9 @@
         await self.assert_outcome(protocol.Completed, 1)
 
     async def test_store_down_after_the_run(self) -> None:
-        """The caller has its outcome at once; the retry reads it later.
+        """A drain waits until an outcome is recorded in a store that was down.
 
-        The store goes down between send and record; the daemon is told to
-        leave, and stays until the outcome is recorded.
+        The caller has its outcome at once; the retry reads it later.
         """
         self.system.use('answer')
         call = self.system.call(self.first, _KEY)
@@ -97,9 +95,9 @@
         await self.assert_outcome(protocol.Completed, 1)
 
     async def test_drain_is_bounded(self) -> None:
-        """A store that stays down does not keep a daemon for ever.
+        """A drain ends although the store stays down.
 
-        It refuses new requests meanwhile, and says what it leaves.
+        Meanwhile new requests are refused; the drain returns what is unrecorded.
         """
         self.system.use('answer')
         call = self.system.call(self.first, 'payout-1')
@@ -113,10 +111,9 @@
         self.assertEqual(1, await self.system.outcome(drain, 20_000))
 
     async def test_dispatcher_frozen_with_the_order(self) -> None:
-        """The caller reads "unknown", never "not run".
+        """An order that a frozen dispatcher may still run is "unknown".
 
-        The dispatcher has the order and does not read the cancel; it wakes
-        long after the caller's deadline and runs the request.
+        The dispatcher wakes long after the deadline and runs the request.
         """
         self.system.use('frozen')
         await self.assert_outcome(protocol.Unknown, 0, deadline_ms=300)
@@ -124,10 +121,9 @@
         await self.assert_outcome(protocol.Completed, 1)
 
     async def test_cancel_proved(self) -> None:
-        """The caller is refused truthfully, and the key is free again.
+        """A confirmed cancel is answered "not run" and frees the key.
 
-        Both dispatchers keep the order in their queues; each confirms that
-        it dropped it.  The retry at another daemon runs.
+        Both dispatchers confirm that they dropped the order from their queues.
         """
         self.system.use('queue')
         for dispatcher in self.system.dispatchers:
@@ -139,9 +135,9 @@
         self.assertEqual(1, self.system.executions())
 
     async def test_cancel_lost(self) -> None:
-        """The caller reads "unknown", and a late run is recorded.
+        """A lost cancel is answered "unknown"; the late run is recorded.
 
-        The order waits in the dispatcher's queue; the cancel never comes.
+        The order waits in the dispatcher's queue.
         """
         self.system.use('queue')
         for dispatcher in self.system.dispatchers:
@@ -151,10 +147,9 @@
         await self.assert_outcome(protocol.Completed, 1)
 
     async def test_broken_connection(self) -> None:
-        """The caller reads "unknown", whether or not the target ran it.
+        """A broken connection is answered "unknown", run or not.
 
-        The connection broke under the request, and no other target is
-        tried.
+        No other target is tried.
         """
         for behaviour, executions in (('break', 0), ('break-after', 1)):
             self.system.use(behaviour)
@@ -163,10 +158,9 @@
             self.assertEqual(executions, self.system.executions())
 
     async def test_refused_by_every_target(self) -> None:
-        """The caller is refused after each target was tried once.
+        """Each target is tried once if reports prove that none began.
 
-        A report that proves that nothing began allows another target, and
-        a later retry.
+        The caller is refused, and a later retry runs.
         """
         self.system.use('refuse')
         await self.assert_not_run(_Reason.OVERLOADED)
@@ -176,17 +170,16 @@
         await self.assert_outcome(protocol.Completed, 1)
 
     async def test_no_dispatcher_and_no_target(self) -> None:
-        """The caller is refused; the order never left."""
+        """A request for which no order can be sent is refused."""
         self.system.view.owner = lambda target: None
         await self.assert_not_run(_Reason.NO_TARGET)
         self.system.view.unusable = set(memory_runners.TARGETS)
         await self.assert_not_run(_Reason.NO_TARGET)
 
     async def test_caller_cut_off(self) -> None:
-        """The retry reads the outcome of the request it gave up.
+        """A request goes on when its caller disconnects.
 
-        The balancer drops the caller's connection under the request; the
-        daemon goes on with it.
+        The retry gets its outcome.
         """
         self.system.use('answer')
         call = self.system.call(self.first, _KEY)
@@ -195,7 +188,7 @@
         await self.assert_outcome(protocol.Completed, 1)
 
     async def test_key_too_old_or_from_the_future(self) -> None:
-        """The caller is refused, for its claim may have been deleted."""
+        """A key whose claim may have been deleted is refused."""
         now_ms = self.system.clock.wall_ms()
         limits = self.system.view.configuration.limits
         for age_ms in (limits.key_retention_ms + 1, -400_000):
@@ -204,7 +197,7 @@
             )
 
     async def test_quarantined(self) -> None:
-        """A request that cost a target is refused before it is claimed."""
+        """A quarantined request is refused before it is claimed."""
         quarantine = _Quarantine()
         daemon = self.system.start('entry-3', quarantine)
         self.system.use('lose-target')
--- a/tests/failure/test_stopped_runs.py
+++ b/tests/failure/test_stopped_runs.py
@@ -1,4 +1,4 @@
-"""A daemon whose time is up tells what became of each request."""
+"""A daemon that is stopped answers each pending request truthfully."""
 
 import asyncio
 import unittest
@@ -14,15 +14,15 @@
 _KEY = 'payout-7'
 _SIMULATIONS = 20
 _EXIT_DELAY_MS = 1_000.0
-"""Between a daemon's end and its exit: answers leave, claims are closed."""
+"""Time between ``finish_all`` and the exit, to send answers and records."""
 _Reason = protocol.NotRunReason
 
 
 class StoppedRunsTest(simulation_runs.RunnerTestCase):
-    """The first daemon stops while a request waits, seconds to its deadline."""
+    """The first daemon finishes early, seconds before the deadline."""
 
     async def _finish_early(self, waited_ms: float, kind: type) -> object:
-        """Call, end the daemon after a while; return the outcome."""
+        """Call, then finish all requests after a while; return the outcome."""
         call = self.system.call(self.first, _KEY)
         await self.system.clock.pass_ms(waited_ms)
         self.assertFalse(call.done())
@@ -36,23 +36,22 @@
         return outcome
 
     async def _assert_retry(self, kind: type, executions: int) -> None:
-        """Assert a retry at the second daemon, and all that ever ran."""
+        """Assert the outcome at the second daemon and all executions."""
         call = self.system.call(self.second, _KEY)
         await self.assert_outcome_type(call, kind)
         await self.system.clock.pass_ms(60_000)
         self.assertEqual(executions, self.system.executions())
 
     async def test_begun(self) -> None:
-        """The caller reads "unknown": a target has the request."""
+        """A request that a target has is answered "unknown"."""
         self.system.use('silent')
         await self._finish_early(50, protocol.Unknown)
         self.assertEqual(1, self.system.executions())
 
     async def test_queued_at_its_dispatcher(self) -> None:
-        """The caller reads "not run", and the retry runs.
+        """A request whose cancel is confirmed is answered "not run".
 
-        The dispatcher confirms that it dropped the order.  No second
-        target is tried, for the daemon sends nothing any more.
+        No second target is tried, as the daemon sends nothing any more.
         """
         self.system.use('queue')
         for dispatcher in self.system.dispatchers:
@@ -65,7 +64,7 @@
         await self._assert_retry(protocol.Completed, 1)
 
     async def test_dispatcher_stopped_too(self) -> None:
-        """The caller reads "unknown": nothing proves that none began.
+        """A request whose cancel is not confirmed is answered "unknown".
 
         The dispatcher reads neither the order nor the cancel in time.
         """
@@ -76,10 +75,10 @@
         await self._finish_early(40, protocol.Unknown)
 
     async def test_store_silent(self) -> None:
-        """The caller reads "not run", and the retry runs.
+        """A request without a granted claim is answered "not run".
 
-        The claim was not granted, so that nothing was sent; it may reach
-        the store late, where the daemon takes it back.
+        The claim may reach the store late, where the daemon closes it; the retry
+        runs.
         """
         self.system.use('answer')
         self.system.store.silent = True
@@ -91,7 +90,7 @@
         await self._assert_retry(protocol.Completed, 1)
 
     async def test_another_holder_runs_it(self) -> None:
-        """The caller reads "unknown": the other daemon may have run it."""
+        """A request that another daemon may have run is answered "unknown"."""
         self.system.use('silent')
         other = self.system.call(self.second, _KEY)
         await self.system.wait_executed()
@@ -100,7 +99,7 @@
         self.assertEqual(1, self.system.executions())
 
     async def test_two_callers_with_one_key(self) -> None:
-        """Both read the same."""
+        """Both callers get the same outcome."""
         self.system.use('silent')
         calls = [self.system.call(self.first, _KEY) for _ in range(2)]
         await self.system.wait_executed()
@@ -110,7 +109,7 @@
         self.assertEqual(1, self.system.executions())
 
     async def test_request_after_the_end(self) -> None:
-        """The caller is refused; nothing is sent."""
+        """A request after ``finish_all`` is refused and not sent."""
         self.system.use('answer')
         self.first.runner.finish_all()
         call = self.system.call(self.first, _KEY)
@@ -120,10 +119,10 @@
 
 
 class _StopSimulation(simulation_runs.FaultSimulation):
-    """Daemons end truthfully before they are gone, instead of being killed."""
+    """Daemons finish their requests before they exit, instead of being killed."""
 
     def _kill(self) -> None:
-        daemon = self._any()
+        daemon = self._random_daemon()
         daemon.runner.finish_all()
         self.system.faults['end'] += 1
         self.system.clock.after(_EXIT_DELAY_MS, lambda: self._exit(daemon))
@@ -135,13 +134,12 @@
 
 
 class StopSimulationTest(unittest.TestCase):
-    """Many failures at once, from a seed, while daemons are stopped."""
+    """Random faults from a seed while daemons are stopped."""
 
     def test_random_faults(self) -> None:
-        """Callers retry at every daemon while daemons end under them.
+        """Each key runs at most once, and answers at a stop agree with it.
 
-        Each key runs once at most, and what callers were told, at a
-        daemon's end too, agrees with it.
+        Callers retry at every daemon.
         """
         counters = metrics.Metrics('test')
         self.addCleanup(counters.close)
