--- a/tests/failure/test_at_most_once.py
+++ b/tests/failure/test_at_most_once.py
@@ -62,8 +62,8 @@
     async def test_lost_answer_then_killed_holder(self) -> None:
         """A claim whose holder was killed is never taken over.
 
-        The put succeeds, its answer is lost and the holder is killed: whether it
-        sent the request is unknown, so every retry is answered "unknown".
+        The put succeeds, its answer is lost and the holder is killed: whether
+        it sent the request is unknown, so every retry is answered "unknown".
         """
         self.system.store.script.append(_Fault.LOST_AFTER)
         await self.freeze_after_claim()
@@ -77,8 +77,8 @@
     async def test_frozen_holder_wakes_within_its_deadline(self) -> None:
         """A holder frozen before sending may still send when it wakes.
 
-        Its claim cannot have been taken over: a retry at another daemon meanwhile
-        is answered "unknown", never "not run".
+        Its claim cannot have been taken over: a retry at another daemon
+        meanwhile is answered "unknown", never "not run".
         """
         call = await self.freeze_after_claim()
         self.assertIsInstance(
@@ -89,7 +89,7 @@
         self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_frozen_holder_wakes_after_its_deadline(self) -> None:
-        """A holder that wakes after the deadline sends nothing and frees the key.
+        """A holder that wakes too late sends nothing and frees the key.
 
         Another daemon runs the request only after the holder has said so.
         """
@@ -123,8 +123,8 @@
     async def test_same_instant(self) -> None:
         """Four concurrent callers at two daemons share one execution.
 
-        One daemon gets the claim, the other asks it and waits; a second call at a
-        daemon joins the first.
+        One daemon gets the claim, the other asks it and waits; a second call
+        at a daemon joins the first.
         """
         calls = [
             self.system.call(daemon, _KEY, deadline_ms=5_000)
@@ -137,7 +137,7 @@
         self.assertEqual([False, True, True, True], sorted(replayed))
 
     async def test_retry_with_a_new_issue_time(self) -> None:
-        """A retry with the same key and a new issue time gets the first receipt.
+        """A retry whose key is issued anew gets the first receipt.
 
         At another daemon, seconds and hours later.
         """
@@ -147,9 +147,10 @@
             self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_key_with_another_body(self) -> None:
-        """A key used with another body is refused, while the first runs and after.
+        """A key that is used with another body is refused.
 
-        The refusal says that it is this request that was not run.
+        While the first request runs, and after it. The refusal says that it is
+        this request that was not run.
         """
         call = await self.freeze_after_claim()
         self.first.host.wake(self.system.random)
@@ -193,8 +194,8 @@
     async def test_conflict_with_the_own_put(self) -> None:
         """A claim written by a put that reported a conflict is freed.
 
-        The HTTP client repeats the put after a lost connection and conflicts with
-        its own first one; then the store goes down.
+        The HTTP client repeats the put after a lost connection and conflicts
+        with its own first one; then the store goes down.
         """
         await self.assert_refused_and_freed(_Fault.CONFLICT_AFTER)
 
@@ -254,8 +255,8 @@
     async def test_bucket_near_the_value_limit(self) -> None:
         """A claim without room in its bucket is refused.
 
-        The outcomes of the other claims are recorded, and the object stays below
-        the store's value limit.
+        The outcomes of the other claims are recorded, and the object stays
+        below the store's value limit.
         """
         self.use_one_bucket()
         keys = [f'batch-{number}' for number in range(240)]
@@ -319,8 +320,8 @@
         """Under random faults each key runs once and all answers agree.
 
         Daemons freeze, wake and are killed; the store fails, loses answers,
-        conflicts and returns stale objects; dispatchers are silent, late or break;
-        messages are lost.
+        conflicts and returns stale objects; dispatchers are silent, late or
+        break; messages are lost.
         """
         found, counts = self.simulate(_SIMULATIONS)
         print(f'simulations from seed {simulation_runs.SEED}: {dict(counts)}')
@@ -372,7 +373,7 @@
 
 
 _SAFEGUARDS = {
-    'claims of silent holders are not taken over': _take_over_from_silent_holders,
+    'silent holders keep their claims': _take_over_from_silent_holders,
     'a lost put is read back': _treat_lost_puts_as_written,
     'another target is tried only after proof': _treat_failures_as_proof,
 }
--- a/tests/failure/test_not_run.py
+++ b/tests/failure/test_not_run.py
@@ -62,8 +62,8 @@
     async def test_store_silent(self) -> None:
         """A silent store does not hold every request until its deadline.
 
-        After the first requests only probes are sent to it; the others are refused
-        at once.
+        After the first requests only probes are sent to it; the others are
+        refused at once.
         """
         self.system.use('answer')
         self.system.store.silent = True
@@ -97,7 +97,8 @@
     async def test_drain_is_bounded(self) -> None:
         """A drain ends although the store stays down.
 
-        Meanwhile new requests are refused; the drain returns what is unrecorded.
+        Meanwhile new requests are refused; the drain returns what is
+        unrecorded.
         """
         self.system.use('answer')
         call = self.system.call(self.first, 'payout-1')
--- a/tests/failure/test_stopped_runs.py
+++ b/tests/failure/test_stopped_runs.py
@@ -77,8 +77,8 @@
     async def test_store_silent(self) -> None:
         """A request without a granted claim is answered "not run".
 
-        The claim may reach the store late, where the daemon closes it; the retry
-        runs.
+        The claim may reach the store late, where the daemon closes it; the
+        retry runs.
         """
         self.system.use('answer')
         self.system.store.silent = True
@@ -119,7 +119,7 @@
 
 
 class _StopSimulation(simulation_runs.FaultSimulation):
-    """Daemons finish their requests before they exit, instead of being killed."""
+    """Daemons finish their requests early and exit instead of being killed."""
 
     def _kill(self) -> None:
         daemon = self._random_daemon()
