--- a/tests/history.py
+++ b/tests/history.py
@@ -1,8 +1,8 @@
-"""What a process run records, and the checkers that judge it.
+"""The history that a process run records, and its checkers.
 
-Each checker is a pure function over the recorded history.  It returns how
-many operations it judged and every violation in words, so that a run whose
-faults kept it from judging anything cannot pass for a good one.
+Each checker is a pure function over the recorded history. It returns the
+violations it found and how many operations it judged, since a run in which
+faults left nothing to judge must not pass.
 """
 
 import collections
@@ -16,10 +16,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Call:
-    """One request of a caller and what came back.
+    """One request of a caller and its answer.
 
-    ``status`` and ``outcome`` are None when the connection broke or the
-    caller stopped waiting.
+    ``status`` and ``outcome`` are None if the connection broke or the caller
+    stopped waiting.
     """
 
     number: int
@@ -35,13 +35,13 @@
 
     @property
     def outcome_type(self) -> str:
-        """The outcome's tag, ``none`` without an answer."""
+        """The outcome's tag, ``'none'`` without an answer."""
         return self.outcome['type'] if self.outcome else 'none'
 
 
 @dataclasses.dataclass(frozen=True)
 class Execution:
-    """One piece of work that a target began."""
+    """One request or sub-request that a target began."""
 
     target: str
     kind: str
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RevisionSample:
-    """The revision that one life of a daemon had in force at a time."""
+    """The revision that one process of a daemon had in force at a time."""
 
     daemon: str
     incarnation: int
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class AcceptedChange:
-    """A configuration change that an operator was told is accepted."""
+    """A configuration change that was answered as accepted."""
 
     revision: int
     at_ms: float
@@ -71,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Verdict:
-    """How many operations were judged, and what was wrong."""
+    """How many operations were judged, and the violations found."""
 
     judged: int
     violations: tuple[str, ...]
@@ -80,7 +80,7 @@
 def check_at_most_once(
     calls: typing.Iterable[Call], executions: typing.Iterable[Execution]
 ) -> Verdict:
-    """No idempotency key is executed twice; repeats agree."""
+    """Check that no key is executed twice and all callers get one result."""
     by_key = collections.defaultdict(list)
     for execution in executions:
         if execution.kind == 'run':
@@ -100,9 +100,9 @@
             key = call.idempotency_key
             results[key].add(str(sorted(call.outcome['result'].items())))
             if key not in by_key:
-                violations.append(f'{key}: completed, never executed')
+                violations.append(f'{key}: completed, but never executed')
     violations += [
-        f'{key}: callers were told different results {sorted(told)}'
+        f'{key}: callers got different results {sorted(told)}'
         for key, told in results.items()
         if len(told) > 1
     ]
@@ -112,7 +112,7 @@
 def check_not_run(
     calls: typing.Iterable[Call], executions: typing.Iterable[Execution]
 ) -> Verdict:
-    """A key whose every request was told "not run" was never executed."""
+    """Check that a key never ran if all its calls were answered "not run"."""
     told = collections.defaultdict(list)
     for call in calls:
         if call.kind == 'run':
@@ -134,7 +134,7 @@
             )
             if not explained:
                 violations.append(
-                    f'{key}: told not run, yet executed: {execution}, '
+                    f'{key}: answered "not run" but executed: {execution}, '
                     f'calls {rows}'
                 )
     return Verdict(judged, tuple(violations))
@@ -143,7 +143,7 @@
 def check_one_snapshot(
     calls: typing.Iterable[Call], versions: typing.Mapping[int, int]
 ) -> Verdict:
-    """Every record of an answer was read at the answer's snapshot.
+    """Check that every record of an answer was read at its snapshot.
 
     ``versions`` gives the index version of each published snapshot.
     """
@@ -168,10 +168,11 @@
 def check_coverage(
     calls: typing.Iterable[Call], index: str, limit: int
 ) -> Verdict:
-    """An answer holds every record of the ranges it covers, each once.
+    """Check that an answer holds every record of the ranges it covers, once.
 
-    Of a range that it reports as missing it may hold some: a target that
-    stopped early gives true records, and proves no coverage by them.
+    Of a range that is reported missing an answer may hold some records: a
+    target that stopped early returns correct ones without covering its range.
+    Answers that may exceed ``limit`` records are checked for coverage only.
     """
     violations = []
     judged = 0
@@ -179,7 +180,9 @@
         judged += 1
         missing = [tuple(row) for row in call.outcome.get('missing', ())]
         if call.outcome_type == 'answered' and missing:
-            violations.append(f'call {call.number}: whole, yet missing')
+            violations.append(
+                f'call {call.number}: answered whole, with missing ranges'
+            )
         gap = sum(high - low for low, high in missing)
         stated = call.outcome['coverage']
         if abs(stated - (1 - gap / 2**32)) > 1e-6:
@@ -202,7 +205,7 @@
 
 
 def check_matching_records(calls: typing.Iterable[Call]) -> Verdict:
-    """Every record of an answer matches the caller's own terms."""
+    """Check that every record of an answer matches the caller's terms."""
     violations = []
     judged = 0
     for call in answers(calls):
@@ -228,12 +231,11 @@
     in_force_within_ms: float,
     excused: typing.Callable[[str, float], bool],
 ) -> Verdict:
-    """Revisions only rise, and an accepted one is soon in force.
+    """Check that revisions only rise and are in force in time.
 
-    A daemon that was started again shows none older than before, once it
-    is ready.
+    A restarted daemon that is ready shows no older revision than before.
     ``excused(daemon, at_ms)`` tells whether a daemon was unreachable so
-    shortly before that the time limit does not hold for it.
+    recently that the time limit does not apply to it.
     """
     changes = list(accepted)
     highest: dict[tuple[str, int], int] = {}
@@ -275,8 +277,8 @@
 ) -> list[float]:
     """Return how long each daemon took to show each accepted change.
 
-    Daemons that were cut off at that time are left out, as are those that
-    were not seen again.
+    Daemons that were unreachable at the time of the change, or not sampled
+    after it, are left out.
     """
     by_daemon = collections.defaultdict(list)
     for sample in samples:
@@ -301,7 +303,7 @@
     left_at_ms: typing.Mapping[str, float],
     grace_ms: float,
 ) -> Verdict:
-    """A target that is leaving begins no work after the grace."""
+    """Check that a draining target begins nothing after the grace period."""
     violations = []
     judged = 0
     for execution in executions:
@@ -311,14 +313,16 @@
         judged += 1
         late_ms = execution.started_ms - left_ms
         if late_ms > grace_ms:
-            violations.append(f'{execution}: {late_ms:.0f} ms after leaving')
+            violations.append(
+                f'{execution}: {late_ms:.0f} ms after the drain began'
+            )
     return Verdict(judged, tuple(violations))
 
 
 def check_all_answered(calls: typing.Iterable[Call]) -> Verdict:
-    """Every request got an answer from a daemon that speaks for itself.
+    """Check that every request was answered by a daemon.
 
-    The balancer's own 502 and 503 have no outcome, so they count as cut.
+    The balancer's own 502 and 503 have no outcome and count as unanswered.
     """
     rows = list(calls)
     violations = tuple(
--- a/tests/history_configuration.py
+++ b/tests/history_configuration.py
@@ -1,7 +1,6 @@
-"""Checks of a recorded history of configuration changes.
+"""The history of configuration changes, and its checkers.
 
-Each function takes the events of one run and returns the offending ones,
-so that an empty list is a pass.
+Each checker takes the events of one run and returns the offending ones.
 """
 
 import dataclasses
@@ -10,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Applied:
-    """A daemon (one start of it) applied a revision."""
+    """A daemon applied a revision; ``start`` numbers its process."""
 
     at_ms: float
     daemon: str
@@ -21,10 +20,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BecameReady:
-    """A fresh daemon became ready.
+    """A new daemon became ready.
 
-    ``floor`` is the highest revision that a daemon which it could reach
-    had in force when it started.
+    ``floor`` is the highest revision that any daemon it could reach had in
+    force when it started.
     """
 
     at_ms: float
@@ -36,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answered:
-    """An operator was told the outcome of a change."""
+    """An operator got the outcome of a change."""
 
     at_ms: float
     change_id: str
@@ -46,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observed:
-    """What a daemon, reachable since ``reachable_ms``, has in force."""
+    """The revision in force at a daemon, reachable since ``reachable_ms``."""
 
     at_ms: float
     daemon: str
@@ -59,7 +58,7 @@
 
 
 def reverted(events: typing.Sequence[Event]) -> list[Applied]:
-    """Return revisions applied that were not above the one in force."""
+    """Return applied revisions that were not above the one in force."""
     held: dict[tuple[str, int], int] = {}
     bad = []
     for event in events:
@@ -73,7 +72,7 @@
 
 
 def ready_too_old(events: typing.Sequence[Event]) -> list[BecameReady]:
-    """Return fresh daemons that became ready below what was reachable."""
+    """Return new daemons that became ready below a reachable revision."""
     return [
         event
         for event in events
@@ -94,7 +93,7 @@
 
 
 def refused_but_applied(events: typing.Sequence[Event]) -> list[Answered]:
-    """Return changes told as refused, and never accepted, yet in force."""
+    """Return changes that were refused and are in force nevertheless."""
     applied = {e.change_id for e in events if isinstance(e, Applied)}
     return [
         event
@@ -108,7 +107,7 @@
 def accepted_but_lost(
     events: typing.Sequence[Event], stored: typing.Mapping[int, str]
 ) -> list[Answered]:
-    """Return accepted changes that the store's list shows otherwise."""
+    """Return accepted changes that the store's list does not have."""
     return [
         event
         for event in events
@@ -121,10 +120,10 @@
 def overdue(
     events: typing.Sequence[Event], limit_ms: float
 ) -> list[tuple[Answered, Observed]]:
-    """Return reachable daemons behind an accepted change past the limit.
+    """Return reachable daemons that lack an accepted change after the limit.
 
-    A daemon that holds a later revision is not behind: the change has
-    been overwritten.
+    A daemon with a later revision does not lack it: the change was
+    overwritten.
     """
     accepted = [
         event
--- a/tests/history_runs.py
+++ b/tests/history_runs.py
@@ -1,6 +1,6 @@
-"""Judge a recorded history of unrepeatable requests.
+"""The history of non-repeatable requests, and its checker.
 
-Events stand in the list in the order in which they happened.
+Events are listed in the order in which they happened.
 """
 
 import collections
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Called:
-    """A caller sent a request to one life of a daemon."""
+    """A caller sent a request to one process of a daemon."""
 
     call: int
     life: str
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ordered:
-    """A daemon handed the request to a dispatcher."""
+    """A daemon sent the request to a dispatcher."""
 
     life: str
     key: str
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Executed:
-    """A target ran it."""
+    """A target ran the request."""
 
     key: str
     attempt_id: str
@@ -51,7 +51,7 @@
 
 
 def violations(history: typing.Sequence[Event]) -> list[str]:
-    """Return every breach of the two promises, one line each."""
+    """Return every breach of "at most once" and "not run", one line each."""
     return [
         *_run_twice(history),
         *_not_run_but_run(history),
@@ -71,10 +71,10 @@
 
 
 def _not_run_but_run(history: typing.Sequence[Event]) -> list[str]:
-    """Each executed order must belong to calls not answered "not run".
+    """Check that an executed order has no call answered "not run".
 
-    At one daemon the calls of one key and body share one attempt, so an
-    order belongs to each such call that was open when it was sent.
+    Calls of one key and body at one daemon share one attempt, so an order
+    belongs to every such call that was open when it was sent.
     """
     executed = {
         event.attempt_id for event in history if isinstance(event, Executed)
--- a/tests/simulation_runs.py
+++ b/tests/simulation_runs.py
@@ -1,4 +1,4 @@
-"""Runners of several daemons in one process, under faults from a seed."""
+"""Simulates runners of several daemons in one process, with seeded faults."""
 
 import asyncio
 import itertools
@@ -17,7 +17,7 @@
 
 
 class System(memory_runners.RunnerSystem):
-    """Daemons, dispatchers, a store and the history of what they did."""
+    """Daemons, dispatchers and a store; records the history of requests."""
 
     def __init__(
         self,
@@ -38,9 +38,10 @@
         issued_at_ms: int | None = None,
         deadline_ms: int | None = None,
     ) -> asyncio.Task:
-        """Send a request as a caller; the task ends with its outcome.
+        """Send a request as a caller; the task returns its outcome.
 
-        Like many a caller it issues the key anew with each try.
+        By default the key is issued at the current time, as many callers do
+        with each retry.
         """
         number = next(self._calls)
         self.history.append(
@@ -67,18 +68,18 @@
         return outcome
 
     def start_drain(self, daemon: memory_runners.Daemon) -> asyncio.Task:
-        """Tell a daemon to leave."""
+        """Start to drain a daemon."""
         return asyncio.create_task(daemon.runner.drain())
 
     async def outcome(
         self, call: asyncio.Task, within_ms: float = 10_000.0
     ) -> typing.Any:
-        """Move time until a call is answered."""
+        """Advance the time until a call is answered; return its outcome."""
         await self.clock.pass_ms(within_ms, call.done)
         return call.result()
 
     async def wait_executed(self) -> None:
-        """Move time until a target has run a request."""
+        """Advance the time until a target has run a request."""
         await self.clock.pass_ms(1_000, lambda: self.executions() > 0)
 
     def executions(self) -> int:
@@ -88,7 +89,7 @@
         )
 
     def on_executed(self, order: protocol.RunOrder, receipt: str) -> None:
-        """Note it in the history."""
+        """Record an execution in the history."""
         self.history.append(
             history_runs.Executed(
                 order.idempotency_key, order.attempt_id, receipt
@@ -109,10 +110,10 @@
 
 
 class RunnerTestCase(unittest.IsolatedAsyncioTestCase):
-    """Two daemons; what was recorded is judged at the end of each test."""
+    """Two daemons; the recorded history is checked after each test."""
 
     def setUp(self) -> None:
-        """Start them."""
+        """Start both daemons."""
         self.metrics = metrics.Metrics('test')
         self.addCleanup(self.metrics.close)
         self.system = System(SEED, self.metrics, 4.0)
@@ -120,20 +121,20 @@
         self.second = self.system.start('entry-2')
 
     def tearDown(self) -> None:
-        """Judge what was recorded."""
+        """Check the recorded history."""
         self.assertEqual([], history_runs.violations(self.system.history))
 
     async def assert_outcome_type(
         self, call: asyncio.Task, kind: type
     ) -> protocol.RunOutcome:
-        """Assert the kind of a call's outcome; return it."""
+        """Assert the type of a call's outcome; return the outcome."""
         outcome = await self.system.outcome(call)
         self.assertIsInstance(outcome, kind)
         return outcome
 
 
 class FaultSimulation:
-    """A run of random calls and faults, then calm and last calls."""
+    """Random calls and faults, then calls of every key without faults."""
 
     NAMES = ('entry-1', 'entry-2', 'entry-3')
     KEYS = tuple(f'payout-{number}' for number in range(16))
@@ -145,7 +146,7 @@
         self._step_number = 0
 
     async def run(self) -> None:
-        """Run to the end; the history is judged by the test."""
+        """Run the simulation; the test checks the history."""
         system = self.system
         for name in self.NAMES:
             system.start(name)
@@ -217,7 +218,7 @@
         self.system.start(daemon.name)
 
     def _active_keys(self) -> tuple[str, ...]:
-        """Return the few keys in use now: calls of one key must meet."""
+        """Return the few keys in use now, so that calls share keys."""
         first = self._step_number * len(self.KEYS) // self.STEPS
         return self.KEYS[max(0, first - 2) : first + 1]
 
--- a/tests/unit/test_accept.py
+++ b/tests/unit/test_accept.py
@@ -1,4 +1,4 @@
-"""Where a change stands against what was read of the store."""
+"""The status of a configuration change against the stored object."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 
 def change(base_revision: int) -> protocol.ConfigurationChange:
-    """Return a change from a base."""
+    """Return a change based on a revision."""
     return protocol.ConfigurationChange(
         base_revision, 'mine', 'operator', {}, {}
     )
@@ -23,10 +23,10 @@
 
 
 class ChangeStatusTest(unittest.TestCase):
-    """One row for each situation."""
+    """One case for each status."""
 
     def test_status_of(self) -> None:
-        """A change is judged by the one row that can be its own."""
+        """A change is judged by the row of the revision after its base."""
         cases = (
             ('nothing stored', 0, 0, [], _accept.ChangeStatus.APPLICABLE),
             (
--- a/tests/unit/test_claim_buckets.py
+++ b/tests/unit/test_claim_buckets.py
@@ -13,7 +13,7 @@
 
 
 class BucketTest(unittest.TestCase):
-    """Opening and closing claims in a working copy."""
+    """Opens and closes claims in a decoded bucket."""
 
     def setUp(self) -> None:
         """Make a bucket with one open claim."""
@@ -21,13 +21,13 @@
         self.opened = self.bucket.open('key', _open('a/1/1'), None)
 
     def close(self, token: str, ended: state.ClaimState) -> bool:
-        """Close the claim as one holder."""
+        """Close the claim with a token; return whether it was its own."""
         return self.bucket.close(
             'key', state.Claim(token, 'body', ended, _SINCE_MS)
         )
 
     def test_only_a_holder_that_gave_up_is_replaced(self) -> None:
-        """The claim is met by others until its own token is named."""
+        """An open claim is replaced only by naming its token."""
         self.assertIs(GRANTED, self.opened.status)
         for replaces in (None, 'a/1/2'):
             met = self.bucket.open('key', _open('b/1/1'), replaces)
@@ -39,7 +39,7 @@
         self.assertIs(state.ClaimState.OPEN, self.bucket.claims['key'].state)
 
     def test_done_stays_done(self) -> None:
-        """Neither a replacement nor a late end changes a recorded run."""
+        """No replacement or later close changes a completed claim."""
         self.close('a/1/1', state.ClaimState.DONE)
         self.close('a/1/1', state.ClaimState.NOT_RUN)
         met = self.bucket.open('key', _open('b/1/1'), 'a/1/1')
@@ -53,7 +53,7 @@
         self.assertFalse(copy.changed)
 
     def test_end_of_a_missing_claim_is_written(self) -> None:
-        """The write moves the version, so that a late put must fail."""
+        """A missing claim is closed by a put, so that a late put conflicts."""
         empty = state.Bucket()
         ended = state.not_run_claim(_open('a/1/1'))
         self.assertTrue(empty.close('key', ended))
@@ -62,13 +62,13 @@
         self.assertIs(GRANTED, again.status)
 
     def test_other_content_is_refused_even_after_not_run(self) -> None:
-        """A key means one request."""
+        """A key stays bound to one content, even if that was not run."""
         self.close('a/1/1', state.ClaimState.NOT_RUN)
         reused = self.bucket.open('key', _open('b/1/1', 'other'), None)
         self.assertIs(state.OpenStatus.KEY_REUSED, reused.status)
 
     def test_every_granted_claim_has_room_for_its_outcome(self) -> None:
-        """A bucket is full before its open claims could outgrow it."""
+        """A bucket is full before its claims' outcomes could exceed it."""
         bucket = state.Bucket()
         tokens = []
         while (
@@ -86,16 +86,16 @@
         self.assertEqual(result, bucket.claims['key-0'].result)
 
     def test_too_large_result_is_dropped_and_said_so(self) -> None:
-        """The outcome is kept, its result is not."""
+        """A result that is too large is dropped and marked so."""
         large = {'receipt': 'x' * state.OUTCOME_LIMIT_BYTES}
         closed = state.done_claim(_open('a/1/1'), True, large)
         self.assertEqual((True, {}), (closed.result_dropped, closed.result))
 
     def test_only_claims_past_the_margin_go(self) -> None:
-        """Every key that may be accepted anywhere keeps its claim.
+        """A claim is kept as long as any daemon may accept its key.
 
-        The margin outlasts a clock that is half an hour wrong and the
-        longest deadline; the setting of the retention does not matter.
+        The margin covers clocks that are half an hour off and the longest
+        deadline, whatever retention is configured.
         """
         self.assertGreaterEqual(
             state.CLAIM_RETENTION_MS, state.KEY_RETENTION_LIMIT_MS + 3_600_000
@@ -106,12 +106,12 @@
         self.assertEqual({}, self.bucket.claims)
 
     def test_unreadable_bucket_is_not_an_empty_one(self) -> None:
-        """Neither garbage nor a later format passes for no claims."""
+        """Neither garbage nor a later format decodes to an empty bucket."""
         for value in (b'', b'\xff', b'{"format":2,"claims":{}}'):
             self.assertIsNone(state.decode_bucket(value))
 
     def test_digests_tell_requests_apart(self) -> None:
-        """Joining the parts in another way gives another digest."""
+        """Digests do not depend on how parts are joined or ordered."""
         first = state.locate_claim('a', 'b\0c')
         second = state.locate_claim('a\0b', 'c')
         self.assertNotEqual(first.digest, second.digest)
--- a/tests/unit/test_claim_registry.py
+++ b/tests/unit/test_claim_registry.py
@@ -1,4 +1,4 @@
-"""Group commit of claims, and the store calls that it costs."""
+"""Claims are committed in batches, with few store calls."""
 
 import asyncio
 import random
@@ -22,10 +22,10 @@
 
 
 class ClaimRegistryTest(unittest.IsolatedAsyncioTestCase):
-    """One daemon's claims against the fake store."""
+    """One daemon's claims in a store in memory."""
 
     def setUp(self) -> None:
-        """Make a book."""
+        """Make a registry."""
         self.clock = memory_hosts.SteppedTimers()
         self.store = memory_platform.MemoryStore(random.Random(1))
         self.platform = memory_platform.MemoryPlatform(
@@ -45,7 +45,7 @@
         )
 
     async def calls_per_claim(self, count: int) -> list[float]:
-        """Run claims from start to end; return gets and puts a request."""
+        """Open and close claims; return the gets and puts per claim."""
         tasks = [asyncio.create_task(self.open(row)) for row in range(count)]
         await self.clock.pass_ms(100)
         for number, task in enumerate(tasks):
@@ -62,26 +62,26 @@
         return [calls['get'] / count, calls['put'] / count]
 
     async def test_calls_of_a_request_alone(self) -> None:
-        """A claim costs a read and a write, its outcome a write."""
+        """Opening a claim costs a get and a put, closing it a put."""
         self.assertEqual([1.0, 2.0], await self.calls_per_claim(1))
 
     async def test_calls_of_many_at_once(self) -> None:
-        """The calls a request do not grow with their number."""
+        """The calls per claim do not grow with the number of claims."""
         for count in (10, 100):
             self.setUp()
             gets, puts = await self.calls_per_claim(count)
-            print(f'calls a request, {count} at once: {gets} + {puts}')
+            print(f'calls per claim, {count} at once: {gets} + {puts}')
             self.assertLessEqual(gets, 1.0)
             self.assertLessEqual(puts, 2.0)
 
     async def test_changes_of_one_bucket_share_a_write(self) -> None:
-        """A hundred claims and outcomes take two writes."""
+        """A hundred claims and outcomes in one bucket take two puts."""
         with mock.patch.object(_claims, 'BUCKET_COUNT', 1):
             gets, puts = await self.calls_per_claim(100)
         self.assertEqual([0.01, 0.02], [gets, puts])
 
     async def test_lost_answers_are_read_back(self) -> None:
-        """Each claim is granted with one effective write."""
+        """A put without an answer is read back and granted once."""
         faults = (_Fault.LOST_AFTER, _Fault.LOST_BEFORE, _Fault.LATE)
         for number, fault in enumerate(faults):
             with self.subTest(fault):
@@ -93,7 +93,7 @@
         self.assertEqual(3, self.metrics.total('claim_answers_lost'))
 
     async def test_unreadable_bucket_is_not_overwritten(self) -> None:
-        """A later version's bucket is refused, not taken for empty."""
+        """A bucket of a later format is refused, not taken for empty."""
         place = state.locate_claim('invoices', 'key-1')
         await self.platform_put(place.path, b'{"format":2,"claims":{}}')
         task = asyncio.create_task(self.open(1))
@@ -103,8 +103,8 @@
         self.assertNotIsInstance(ended.opened, state.OpenDecision)
         self.assertEqual(1, self.store.objects[place.path].version)
 
-    async def test_memory_does_not_grow_with_the_slices(self) -> None:
-        """A writer goes when its bucket is idle."""
+    async def test_memory_does_not_grow_with_buckets(self) -> None:
+        """A writer is dropped once its bucket is idle."""
         await self.calls_per_claim(50)
         await self.clock.pass_ms(1_000)
         self.assertEqual({}, self.registry._writers)
--- a/tests/unit/test_claim_statuses.py
+++ b/tests/unit/test_claim_statuses.py
@@ -1,4 +1,4 @@
-"""A holder's word on its claims."""
+"""A holder's answers on the status of its claims."""
 
 import asyncio
 import random
@@ -16,10 +16,10 @@
 
 
 class ClaimStatusesTest(unittest.IsolatedAsyncioTestCase):
-    """Two daemons, one holds a claim."""
+    """Two daemons, of which one holds a claim."""
 
     def setUp(self) -> None:
-        """Connect both."""
+        """Connect both daemons."""
         self.clock = memory_hosts.SteppedTimers()
         self.hub = memory_peers.MemoryNetwork(self.clock, random.Random(1))
         self.metrics = metrics.Metrics('test')
@@ -27,14 +27,14 @@
         self.asker = self.start_daemon('entry-2')
 
     def start_daemon(self, name: str) -> _claim_statuses.ClaimStatuses:
-        """Return one daemon's side."""
+        """Return one daemon's statuses."""
         endpoint = self.hub.join(name)
         return _claim_statuses.ClaimStatuses(
             endpoint, self.clock, self.metrics
         )
 
-    async def test_end_is_pushed_to_who_waits(self) -> None:
-        """The asker hears of the end in milliseconds, not at its next ask."""
+    async def test_end_is_pushed_to_waiting_peers(self) -> None:
+        """A waiting peer is told of the end at once, not at its next ask."""
         self.holder.track(_TOKEN)
         ask = asyncio.create_task(self.asker.ask(_TOKEN, 60_000))
         await self.clock.pass_ms(3_000)
@@ -44,7 +44,7 @@
         self.assertEqual(_DONE, ask.result().outcome)
 
     async def test_silent_and_restarted_holders(self) -> None:
-        """Neither gives a word that frees the claim."""
+        """Neither a silent nor a restarted holder frees a claim."""
         self.holder.track(_TOKEN)
         self.hub.loss = 1.0
         ask = asyncio.create_task(self.asker.ask(_TOKEN, 60_000))
@@ -56,8 +56,8 @@
         await self.clock.pass_ms(10)
         self.assertIs(_Status.UNTRACKED, ask.result().status)
 
-    async def test_word_of_another_member_does_not_count(self) -> None:
-        """Only the holder itself can say that it never sent."""
+    async def test_answer_of_another_member_is_ignored(self) -> None:
+        """An answer that is not from the holder is ignored."""
         self.hub.join('entry-9')
         self.holder.track(_TOKEN)
         ask = asyncio.create_task(self.asker.ask(_TOKEN, 60_000))
@@ -74,8 +74,8 @@
         await self.clock.pass_ms(10)
         self.assertIs(_Status.DONE, ask.result().status)
 
-    def test_final_words_are_never_taken_back(self) -> None:
-        """Every change away from a final word stops the request."""
+    def test_final_statuses_never_change(self) -> None:
+        """A change away from a final status raises."""
         for final in (_Status.DONE, _Status.NEVER_SENT):
             for status in _Status:
                 token = f'entry-1/{final.value}/{status.value}'
@@ -85,7 +85,7 @@
                     self.holder.update(token, status)
 
     def test_unsettled_claims_are_bounded(self) -> None:
-        """The oldest is forgotten; to its askers that means "unknown"."""
+        """The oldest unsettled claim is dropped; its status is untracked."""
         for number in range(_claim_statuses.UNSETTLED_LIMIT + 1):
             self.holder.track(f'entry-1/1/{number}')
             self.holder.update(f'entry-1/1/{number}', _Status.UNSETTLED)
--- a/tests/unit/test_exchange.py
+++ b/tests/unit/test_exchange.py
@@ -1,4 +1,4 @@
-"""One daemon's part in handing objects on."""
+"""Exchange of objects between daemons, seen from one daemon."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class ExchangeTest(unittest.TestCase):
-    """A daemon that holds nothing yet."""
+    """A daemon that holds no object yet."""
 
     def setUp(self) -> None:
         """Make the exchange with recorded peers."""
@@ -35,8 +35,8 @@
         """Deliver a message."""
         self.peers.deliver(message, sender)
 
-    def test_asks_one_at_a_time_and_again_after_a_while(self) -> None:
-        """Many tell of a large object; only one has to send it."""
+    def test_requests_from_one_peer_at_a_time(self) -> None:
+        """Only one of several notices is followed by a request."""
         notice = protocol.ObjectVersion(KEY, 2, 'origin')
         ask = protocol.ObjectAsk(KEY, 2)
         self.deliver('a', notice)
@@ -46,8 +46,8 @@
         self.deliver('b', notice)
         self.assertEqual([('b', ask)], self.peers.take())
 
-    def test_who_asks_too_early_is_served_later(self) -> None:
-        """A child asks before the object has reached its parent."""
+    def test_early_request_is_answered_later(self) -> None:
+        """A request for a version not held yet is answered when it arrives."""
         value = test_configuration.source(2, 'two')
         self.deliver('a', protocol.ObjectVersion(KEY, 2, 'origin'))
         self.deliver('child', protocol.ObjectAsk(KEY, 2))
@@ -60,8 +60,8 @@
         ]
         self.assertEqual(expected, self.peers.take())
 
-    def test_unreadable_object_is_not_asked_for_again(self) -> None:
-        """A version that this daemon can't read is not fetched for ever."""
+    def test_unreadable_object_is_not_requested_again(self) -> None:
+        """A version that cannot be decoded is not requested again."""
         notice = protocol.ObjectVersion(KEY, 2, 'origin')
         self.deliver('a', notice)
         self.deliver('a', protocol.ObjectChanged(KEY, 2, b'{'))
--- a/tests/unit/test_history.py
+++ b/tests/unit/test_history.py
@@ -1,4 +1,4 @@
-"""Each checker must fail on a bad history and pass a good one."""
+"""Each checker passes a good history and fails a bad one."""
 
 import dataclasses
 import unittest
@@ -57,12 +57,12 @@
 
 
 class CheckersTest(unittest.TestCase):
-    """Good and bad histories, made by hand."""
+    """Hand-made good and bad histories."""
 
     def assert_tells_apart(
         self, good: history.Verdict, bad: history.Verdict
     ) -> None:
-        """The good one passes, the bad one fails, both were judged."""
+        """Assert that the good one passes, the bad one fails, both judged."""
         self.assertEqual((), good.violations)
         self.assertEqual(1, len(bad.violations), bad.violations)
         self.assertGreater(good.judged, 0)
@@ -112,7 +112,7 @@
             )
 
     def test_records_of_covered_ranges_are_all_wanted(self) -> None:
-        """Extra ones are allowed of the missing ranges alone."""
+        """Incomplete records are allowed in missing ranges only."""
         half = {'type': 'partial', 'missing': [[0, 2**31]], 'coverage': 0.5}
         covered = _rows_above(2**31)
         foreign = {**covered[0], 'key': 'claims-999999'}
--- a/tests/unit/test_history_configuration.py
+++ b/tests/unit/test_history_configuration.py
@@ -1,4 +1,4 @@
-"""Each check of a configuration history fails on a bad history."""
+"""Each checker of configuration histories fails on a bad history."""
 
 import unittest
 
@@ -6,10 +6,10 @@
 
 
 class HistoryConfigurationTest(unittest.TestCase):
-    """One bad history for each check."""
+    """One bad history for each checker."""
 
     def test_each_check_finds_its_fault(self) -> None:
-        """The offending event, and only it, is returned."""
+        """Exactly the offending event is returned."""
         good = [
             history.Applied(1, 'a', 1, 1, 'one'),
             history.Answered(2, 'two', 'ChangeAccepted', 2),
--- a/tests/unit/test_history_runs.py
+++ b/tests/unit/test_history_runs.py
@@ -1,4 +1,4 @@
-"""The checker of unrepeatable requests finds each kind of breach."""
+"""The checker of non-repeatable requests finds each violation."""
 
 import unittest
 
@@ -23,7 +23,7 @@
     """Good histories pass, bad ones do not."""
 
     def test_good_histories_pass(self) -> None:
-        """One run and its answers; a refusal without a run."""
+        """A run with its answers, and a refusal without a run."""
         again = history.Called(2, 'b/1', 'key', 'body')
         good = [_CALL, _ORDER, _RUN, _completed(1, 'r-1'), again]
         self.assertEqual([], history.violations(good))
@@ -31,7 +31,7 @@
         self.assertEqual([], history.violations([_CALL, _ORDER, _NOT_RUN]))
 
     def test_bad_histories_fail(self) -> None:
-        """Each breach is found, and named by its smallest part."""
+        """Each violation is found once, with its text."""
         second = history.Executed('key', 'b/1/1/1', 'r-2')
         bad = {
             'executions': [_CALL, _ORDER, _RUN, second],
--- a/tests/unit/test_run_admission.py
+++ b/tests/unit/test_run_admission.py
@@ -1,4 +1,4 @@
-"""Checks before anything is claimed."""
+"""Validation of requests before their keys are claimed."""
 
 import unittest
 
@@ -11,12 +11,12 @@
 
 
 class RunAdmissionTest(unittest.TestCase):
-    """Good and bad requests."""
+    """Valid and invalid requests."""
 
     def admit(
         self, key: str = 'payout-7', **fields: object
     ) -> _run_admission.AdmittedRequest | protocol.NotRun:
-        """Check one request."""
+        """Validate one request."""
         request = protocol.RunRequest(
             **{
                 'service': memory_runners.SERVICE,
@@ -30,7 +30,7 @@
         return _run_admission.admit(request, key, configuration, 50, _NOW_MS)
 
     def test_bad_requests(self) -> None:
-        """Each mistake has its own reason."""
+        """Each mistake gives its own reason."""
         day_ms = 86_400_000
         cases = (
             (_Reason.UNKNOWN_SERVICE, {'service': 'x'}),
@@ -49,7 +49,7 @@
                 self.assertIs(reason, self.admit(**fields).reason)
 
     def test_good_request(self) -> None:
-        """The deadline is the operation's own unless one is given."""
+        """The deadline is the operation's unless the request has one."""
         self.assertEqual(
             50 + memory_runners.DEADLINE_MS, self.admit().deadline_at_ms
         )
--- a/tests/unit/test_run_orders.py
+++ b/tests/unit/test_run_orders.py
@@ -1,4 +1,4 @@
-"""Reports are matched to orders, and none that settles one is missed."""
+"""Reports are matched to orders, and no final report is missed."""
 
 import asyncio
 import random
@@ -20,7 +20,7 @@
     """One order at one dispatcher."""
 
     def setUp(self) -> None:
-        """Send it."""
+        """Send the order."""
         self.clock = memory_hosts.SteppedTimers()
         self.hub = memory_peers.MemoryNetwork(self.clock, random.Random(1))
         self.metrics = metrics.Metrics('test')
@@ -42,8 +42,8 @@
         self.hub.send(sender, 'entry-1', report)
         await self.clock.pass_ms(10)
 
-    async def test_settling_report_is_not_lost_to_another(self) -> None:
-        """Both come before either is read; the one that settles counts."""
+    async def test_final_report_is_not_replaced(self) -> None:
+        """Of two unread reports the final one is kept."""
         for first, second in (
             (_Status.BROKEN, _Status.CANCELLED),
             (_Status.CANCELLED, _Status.BROKEN),
@@ -54,7 +54,7 @@
             self.assertIs(_Status.CANCELLED, read.status)
 
     async def test_only_the_dispatcher_reports(self) -> None:
-        """A report of another daemon proves nothing."""
+        """A report that is not from the order's dispatcher is ignored."""
         self.hub.join('entry-9')
         await self.report(_Status.CANCELLED, 'entry-9')
         self.assertEqual(1, self.metrics.total('run_reports_refused'))
@@ -64,8 +64,8 @@
         await self.clock.pass_ms(2_000)
         self.assertIsNone(reading.result())
 
-    async def test_late_report_is_handed_on_once(self) -> None:
-        """Whether it comes before or after the caller was answered."""
+    async def test_late_report_is_passed_on_once(self) -> None:
+        """A late report is passed on once, also if unread when abandoned."""
         await self.report(_Status.ANSWERED)
         self.orders.abandon(_ORDER.attempt_id)
         await self.report(_Status.ANSWERED)
@@ -74,6 +74,6 @@
         )
         self.assertEqual(1, self.metrics.total('run_reports_unmatched'))
 
-    async def test_order_to_an_unknown_member_never_left(self) -> None:
-        """It is not kept."""
+    async def test_order_to_an_unknown_member_is_not_sent(self) -> None:
+        """An order that cannot be sent is not kept."""
         self.assertFalse(self.orders.send('t', 'nobody', _ORDER))
--- a/tests/unit/test_run_states.py
+++ b/tests/unit/test_run_states.py
@@ -1,4 +1,4 @@
-"""The states of one unrepeatable request."""
+"""The states of one non-repeatable request."""
 
 import unittest
 
@@ -24,7 +24,7 @@
 
 
 class _FakeClaims:
-    """Stands for the book and the holders; notes what they are told."""
+    """Stands for the claim registry and statuses; records its calls."""
 
     def __init__(self) -> None:
         self.told: list[object] = []
@@ -37,10 +37,10 @@
 
 
 class RunStatesTest(unittest.TestCase):
-    """Which answers and steps each state allows."""
+    """Which answers and triggers each state allows."""
 
     def test_not_run_is_answered_only_from_its_table(self) -> None:
-        """In each state the answer is given or stops the request."""
+        """Answering "not run" raises in all but the listed states."""
         refusal = protocol.NotRun(protocol.NotRunReason.NO_TARGET, '', 0)
         allowed = set()
         for state, path in _PATHS.items():
@@ -68,7 +68,7 @@
         )
 
     def test_ended_requests_take_no_step(self) -> None:
-        """Nothing is sent after an answer has been chosen."""
+        """A finished request accepts no trigger, so nothing is sent for it."""
         triggers = {row[0] for row in _run_states._TRANSITIONS}
         for state in (State.NOT_RUN, State.COMPLETED, State.UNKNOWN):
             for trigger in triggers:
@@ -79,7 +79,7 @@
                     _run_states.step(progress, trigger)
 
     def test_sending_needs_the_claim(self) -> None:
-        """Only a claimed request is sent."""
+        """Only a claimed request can be sent."""
         for state, path in _PATHS.items():
             progress = _run_states.new_progress()
             for step in path:
