--- a/tests/failure/test_configuration.py
+++ b/tests/failure/test_configuration.py
@@ -1,4 +1,4 @@
-"""A configuration accepted is in force everywhere and never reverts."""
+"""An accepted configuration comes into force and is never reverted."""
 
 import asyncio
 import collections
@@ -32,7 +32,7 @@
 
 
 class Schedule:
-    """A random run of daemons, operators and faults, recorded."""
+    """A random run of daemons, operators and faults, with its history."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -46,7 +46,7 @@
 
     @property
     def now_ms(self) -> float:
-        """The time of the run."""
+        """The simulated time."""
         return self.network.clock.now_ms()
 
     def start(self, name: str, site: str) -> None:
@@ -75,7 +75,7 @@
         )
 
     async def run(self, duration_ms: float) -> None:
-        """Let time pass; note who becomes ready and who holds what."""
+        """Advance the time; record new ready daemons and held revisions."""
         for _ in range(int(duration_ms // 100)):
             await self.network.run(100)
             self._observe()
@@ -99,7 +99,7 @@
             )
 
     async def operate(self, daemon: memory_daemons.SimDaemon, name: str):
-        """Apply one change as an operator, again while it is unknown."""
+        """Apply a change as an operator; retry while its outcome is unknown."""
         base = daemon.current_state.revision
         for sending in range(20):
             outcome = await daemon.apply(name, base, sending > 0)
@@ -130,7 +130,7 @@
         return [d for d in self.network.daemons.values() if d.site == site]
 
     async def fault(self, number: int) -> None:
-        """One fault round operators' changes, then its end."""
+        """Inject one random fault around changes, then end it."""
         kind = self.rng.choice(('store', 'freeze', 'cut', 'restart', 'old'))
         self.faults[kind] += 1
         site = self.rng.choice(list(SITES))
@@ -138,7 +138,7 @@
 
     async def _store_outage(self, number: int, site: str) -> None:
         self.race(number)
-        # The outage begins as soon as the first write has taken effect.
+        # The outage begins as soon as the first write has succeeded.
         before = self.store.position
         for _ in range(40):
             await self.network.run(5)
@@ -181,7 +181,7 @@
         await self.run(3_000)
 
     async def _start_on_stale_reads(self, number: int, site: str) -> None:
-        # Every read is old: only the peers know what is in force.
+        # Every read is stale: only peers have the revision in force.
         self.race(number)
         await self.run(3_000)
         self.store.chances = {_Fault.STALE: 1.0}
@@ -192,7 +192,7 @@
         self.store.chances = {_Fault.STALE: 0.2}
 
     def stored(self) -> dict[int, str]:
-        """Return the changes that the store's object lists."""
+        """Return the changes listed in the store's object."""
         key = coordination.CONFIGURATION_KEY
         last = msgspec.json.decode(
             self.store.objects[key].value, type=state.ConfigurationSource
@@ -210,7 +210,7 @@
 
 
 async def run_schedule(seed: int) -> Schedule:
-    """Run one schedule to its quiet end."""
+    """Run one schedule until all faults have ended."""
     run = Schedule(seed)
     run.store.write(coordination.CONFIGURATION_KEY, source(1, 'first'))
     names = list(SITES)
@@ -230,7 +230,7 @@
 
 
 async def start_daemons(revision: int, daemons: int) -> Schedule:
-    """Return settled daemons with a revision in force, spread over sites."""
+    """Return running daemons with a revision in force, spread over sites."""
     run = Schedule(SEED)
     run.store.write(coordination.CONFIGURATION_KEY, source(revision, 'first'))
     for number in range(daemons):
@@ -243,12 +243,11 @@
     """Eight daemons in three sites of two regions."""
 
     def test_never_reverts_under_a_random_schedule(self) -> None:
-        """What was accepted is in force in time, and nothing goes back.
+        """Accepted changes come into force in time and are never reverted.
 
-        Two operators race from one base again and again while the store
-        loses answers, reads old objects and dies just after it took a
-        change; sites are frozen, cut off and restarted with nothing kept.
-        The recorded history is judged by the checks of each promise.
+        Operators race from one base while the store loses answers, returns old
+        objects and fails right after a write; sites are frozen, partitioned
+        and restarted.
         """
         totals: collections.Counter = collections.Counter()
         for number in range(SCHEDULES):
@@ -273,7 +272,7 @@
             self.assertGreaterEqual(totals[name], 3, name)
 
     def assert_invariants(self, run: Schedule) -> None:
-        """Assert every promise on a run's history."""
+        """Assert all checkers on a run's history."""
         events = run.events
         self.assertEqual([], history.reverted(events)[:3])
         self.assertEqual([], history.ready_too_old(events)[:3])
@@ -294,11 +293,9 @@
     async def test_frozen_site_is_not_ready_until_it_has_the_newer(
         self,
     ) -> None:
-        """A caller at a woken site is never served on the old revision.
+        """A woken site is not ready until it has the revision in force.
 
-        A site is frozen while a change is accepted and the store dies.
-        When it wakes it still holds the old revision: it is not ready
-        until its peers have told it, and then holds the new one.
+        The change was accepted while the site was frozen; the store is down.
         """
         run = await start_daemons(1, 6)
         frozen = run._daemons_of('yeka-c')
@@ -322,11 +319,9 @@
         self.assertEqual({(False, 1), (False, 2), (True, 2)}, seen)
 
     async def test_fresh_daemon_while_the_store_is_down(self) -> None:
-        """It learns from the addresses in its settings, and is ready.
+        """Without the store, a new daemon gets the configuration from peers.
 
-        The store goes down just after a change was accepted.  A daemon
-        that starts then, with nothing, gets members and configuration
-        from its peers; one that knows no peer is never ready.
+        Without a reachable peer it never becomes ready.
         """
 
         async def body(seeds: tuple[str, ...]) -> tuple[bool, int, int]:
@@ -349,11 +344,9 @@
         self.assertEqual((False, 0, 1), await body(()))
 
     async def test_store_restored_from_a_backup(self) -> None:
-        """The revision in force stays, and the next change gets a new one.
+        """A store restored from a backup does not bring back an old revision.
 
-        The store comes back with an older object under a higher version.
-        It is counted and not applied; an operator's next change, made
-        from the revision in force, is numbered above that.
+        The next change is numbered above the revision in force.
         """
         run = await start_daemons(5, 3)
         run.store.write(coordination.CONFIGURATION_KEY, source(3, 'three'))
--- a/tests/failure/test_distribution.py
+++ b/tests/failure/test_distribution.py
@@ -1,4 +1,4 @@
-"""Spread at a size where messages and watches go through relays."""
+"""Distribution of objects among daemons, at a size where relays are used."""
 
 import asyncio
 import collections
@@ -19,13 +19,13 @@
 DRAIN_KEY = 'targets/shard-1'
 
 
-class SpreadTest(unittest.TestCase):
+class DistributionTest(unittest.TestCase):
     """Seventy-two daemons in two sites of two regions."""
 
     async def start(
         self, network: memory_daemons.Network
     ) -> list[memory_daemons.SimDaemon]:
-        """Start all on revision 1 and wait until all know all."""
+        """Start all daemons on revision 1; wait until they know all members."""
         network.store.write(
             coordination.CONFIGURATION_KEY, test_configuration.source(1, 'one')
         )
@@ -44,7 +44,7 @@
             typing.Coroutine[None, None, None],
         ],
     ) -> None:
-        """Run a body on the started daemons."""
+        """Run a test body with the started daemons."""
 
         async def run(network: memory_daemons.Network) -> None:
             await body(network, await self.start(network))
@@ -56,13 +56,11 @@
         outcome = await daemon.apply('two', 1)
         self.assertEqual(protocol.ChangeAccepted(2), outcome)
 
-    def test_accepted_crosses_to_each_daemon_once(self) -> None:
-        """A change is in force everywhere in a second, each served once.
+    def test_change_reaches_each_daemon_once(self) -> None:
+        """A change reaches every daemon within a second, once.
 
-        The accepting daemon tells the root of each site's tree; whoever
-        lacks the object asks who told it.  So no daemon serves more than
-        its children and nobody gets a large object twice, and the
-        accepting daemon hears from each that it is in force.
+        No daemon sends the object to more than its children in the relay tree,
+        and the accepting daemon gets a confirmation from each.
         """
 
         async def body(network, daemons) -> None:
@@ -80,12 +78,11 @@
 
         self.run_with(body)
 
-    def test_frozen_relays_hide_nothing(self) -> None:
-        """A frozen root of a site's tree delays its site, no more.
+    def test_frozen_relays_are_bypassed(self) -> None:
+        """Daemons behind frozen relays get the change from other peers.
 
-        Every tenth daemon is frozen as the change is accepted and the
-        store goes down: whole branches get no notice.  Probes tell the
-        version, and the rest of the daemons ask each other for it.
+        Every tenth daemon freezes as the change is accepted and the store goes
+        down; probes carry the version.
         """
 
         async def body(network, daemons) -> None:
@@ -103,11 +100,10 @@
 
         self.run_with(body)
 
-    def test_two_watchers_a_site_serve_the_others(self) -> None:
-        """A drain reaches all daemons though few wait at the store.
+    def test_two_watchers_per_site_relay_to_the_others(self) -> None:
+        """Changed objects reach all daemons through two watchers per site.
 
-        Then all watchers of one site freeze: the site chooses others once
-        it holds them dead, and the next drain is seen there too.
+        If both watchers of a site freeze, others take over.
         """
 
         async def body(network, daemons) -> None:
@@ -145,10 +141,10 @@
 
 
 class RelayTest(unittest.TestCase):
-    """The tree of one message."""
+    """The relay tree of one message."""
 
     def test_tree_reaches_each_member_once(self) -> None:
-        """Every member but the root has one parent."""
+        """Every member but the root has exactly one parent."""
         for count in (1, 2, 9, 61, 490):
             names = [f'entry-{number}' for number in range(count)]
             children = [
@@ -160,7 +156,7 @@
             self.assertEqual(sorted(names), sorted([root, *children]))
 
     def test_repeats_are_dropped(self) -> None:
-        """A message that comes by two ways is delivered once."""
+        """A message that arrives twice is delivered once."""
         network = memory_daemons.Network(1)
         daemon = _Receiver(network)
         envelope = protocol.Envelope(
