--- a/samphiredock/state/_overlay.py
+++ b/samphiredock/state/_overlay.py
@@ -1,66 +1,69 @@
-"""Overlays: what one site states about itself, never past the base.
+"""Overlays: values by which one site deviates from the base file.
 
-The base states the common limits.  An overlay may only tighten them for
-its own site; otherwise one site could take capacity that the others are
-promised, and the base file would no longer tell the truth.
+An overlay can only lower the limits of the base, and only for its own site;
+otherwise a site could take capacity that is guaranteed to others.
 """
 
 import typing
 
 from samphiredock.state import _checks
 
-_SERVICE = {'cap': _checks.number(0.0, 1.0, "part of the site's capacity")}
-_TARGET = {
+_SERVICE_RULES = {
+    'cap': _checks.number(0.0, 1.0, "part of the site's capacity")
+}
+_TARGET_RULES = {
     'url': _checks.url().optional(),
     'slots': _checks.integer(1, 10_000).optional(),
     'connections': _checks.integer(1, 100_000).optional(),
 }
-_OVERLAY = {
+_OVERLAY_RULES = {
     'share_cap': _checks.number(0.0, 1.0).optional(),
     'services': _checks.json_object().optional({}),
     'targets': _checks.json_object().optional({}),
 }
-_COMMON = {
+_BASE_ONLY_FIELDS = {
     'limits': 'limits in the base file only: they are common to all sites',
-    'share': 'share in the base file only: it is promised capacity',
+    'share': 'share in the base file only: it is guaranteed capacity',
     'region': 'region in the base file only',
     'indexes': 'indexes in the base file only',
-    'sites': "only this site's own differences",
+    'sites': "only this site's own values",
 }
 
 Rows = dict[str, dict[str, typing.Any]]
 
 
-class Base(typing.Protocol):
-    """The base's rows, of which an overlay changes its own site's."""
+class BaseRows(typing.Protocol):
+    """The valid rows of the base; an overlay changes those of its site."""
 
     sites: Rows
     targets: Rows
 
-    def is_named(self, part: str, name: str) -> bool:
-        """Whether the base states a row, be it sound or not."""
+    def has_entry(self, section: str, name: str) -> bool:
+        """Whether the section of the base has an entry, valid or not."""
 
 
 def apply_overlay(
-    report: _checks.ProblemReport, site: str, raw: object, base: Base
+    report: _checks.ProblemReport, site: str, raw: object, base: BaseRows
 ) -> None:
-    """Change the rows of ``base`` by one overlay.
+    """Apply the overlay of one site to the rows of ``base``.
 
-    Mistakes go to ``report``; a row is changed only by a sound value.
+    Problems are added to ``report``; invalid values are not applied.
     """
     if site not in base.sites:
         report.add_described(
             '$',
             f'an overlay for site {site!r}',
-            'a site of the base: ' + ', '.join(base.sites),
+            'one of the sites of the base: ' + ', '.join(base.sites),
         )
         return
     if isinstance(raw, dict):
         for key in raw:
-            if key in _COMMON:
-                report.add_described(key, 'a common field', _COMMON[key])
-        raw = {key: raw[key] for key in raw if key not in _COMMON}
-    row = report.read_object('$', raw, _OVERLAY)
+            if key in _BASE_ONLY_FIELDS:
+                report.add_described(
+                    key, 'a field of the base file', _BASE_ONLY_FIELDS[key]
+                )
+        raw = {key: raw[key] for key in raw if key not in _BASE_ONLY_FIELDS}
+    row = report.read_object('$', raw, _OVERLAY_RULES)
     if row is None:
         return
     _lower_share_cap(report, base.sites[site], row['share_cap'])
@@ -75,9 +78,9 @@
 ) -> None:
     if share_cap is None:
         return
-    common = site['share_cap']
-    if share_cap > common:
-        report.add('share_cap', share_cap, _common_limit(common))
+    base_cap = site['share_cap']
+    if share_cap > base_cap:
+        report.add('share_cap', share_cap, _expected_limit(base_cap))
     elif share_cap < site['share']:
         report.add(
             'share_cap',
@@ -90,31 +93,35 @@
 
 def _apply_services(
     report: _checks.ProblemReport,
-    base: Base,
+    base: BaseRows,
     site: dict[str, typing.Any],
     raw: dict,
 ) -> None:
-    for name, row in report.read_objects('services', raw, _SERVICE).items():
+    for name, row in report.read_objects(
+        'services', raw, _SERVICE_RULES
+    ).items():
         path = f'services.{name}'
-        if not base.is_named('services', name):
+        if not base.has_entry('services', name):
             report.add_described(
                 path, f'service {name!r}', 'a service of the base'
             )
         elif row['cap'] > site['share_cap']:
             report.add(
-                f'{path}.cap', row['cap'], _common_limit(site['share_cap'])
+                f'{path}.cap', row['cap'], _expected_limit(site['share_cap'])
             )
         else:
             site['service_caps'][name] = row['cap']
 
 
 def _apply_targets(
-    report: _checks.ProblemReport, base: Base, site: str, raw: dict
+    report: _checks.ProblemReport, base: BaseRows, site: str, raw: dict
 ) -> None:
-    for name, row in report.read_objects('targets', raw, _TARGET).items():
+    for name, row in report.read_objects(
+        'targets', raw, _TARGET_RULES
+    ).items():
         path = f'targets.{name}'
         target = base.targets.get(name)
-        if not base.is_named('targets', name):
+        if not base.has_entry('targets', name):
             report.add_described(
                 path, f'target {name!r}', 'a target of the base'
             )
@@ -127,10 +134,10 @@
                 f'a target of this site {site!r}',
             )
         else:
-            _change_target(report, path, target, row)
+            _apply_target(report, path, target, row)
 
 
-def _change_target(
+def _apply_target(
     report: _checks.ProblemReport,
     path: str,
     target: dict[str, typing.Any],
@@ -142,10 +149,10 @@
         if row[key] is None:
             continue
         if row[key] > target[key]:
-            report.add(f'{path}.{key}', row[key], _common_limit(target[key]))
+            report.add(f'{path}.{key}', row[key], _expected_limit(target[key]))
         else:
             target[key] = row[key]
 
 
-def _common_limit(limit: float) -> str:
-    return f'at most {limit}: an overlay cannot raise the common limit'
+def _expected_limit(limit: float) -> str:
+    return f'at most {limit}: an overlay cannot raise a limit'
