--- a/tests/failure/test_configuration.py
+++ b/tests/failure/test_configuration.py
@@ -99,7 +99,7 @@
             )
 
     async def operate(self, daemon: memory_daemons.SimDaemon, name: str):
-        """Apply a change as an operator; retry while its outcome is unknown."""
+        """Apply a change as an operator; retry while it is unknown."""
         base = daemon.current_state.revision
         for sending in range(20):
             outcome = await daemon.apply(name, base, sending > 0)
--- a/tests/failure/test_distribution.py
+++ b/tests/failure/test_distribution.py
@@ -25,7 +25,7 @@
     async def start(
         self, network: memory_daemons.Network
     ) -> list[memory_daemons.SimDaemon]:
-        """Start all daemons on revision 1; wait until they know all members."""
+        """Start all daemons on revision 1; wait until all are members."""
         network.store.write(
             coordination.CONFIGURATION_KEY, test_configuration.source(1, 'one')
         )
