--- a/tests/failure/test_at_most_once.py
+++ b/tests/failure/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""An unrepeatable request runs at most once, whatever fails."""
+"""A non-repeatable request runs at most once, whatever fails."""
 
 import asyncio
 import collections
@@ -17,28 +17,28 @@
 from tests import history_runs
 from tests import simulation_runs
 
-_STORMS = 30
+_SIMULATIONS = 30
 _KEY = 'payout-7'
 _Fault = memory_platform.Fault
 
 
 class AtMostOnceTest(simulation_runs.RunnerTestCase):
-    """Single failures, driven step by step."""
+    """Single failures, step by step."""
 
     def setUp(self) -> None:
-        """Have the targets answer."""
+        """Start two daemons; the targets answer."""
         super().setUp()
         self.system.use('answer')
 
-    async def ask(
+    async def run_request(
         self, daemon: memory_runners.Daemon, **request: object
     ) -> protocol.RunOutcome:
-        """Return a daemon's outcome of the one request."""
+        """Send the request to a daemon; return its outcome."""
         call = self.system.call(daemon, _KEY, **request)
         return await self.system.outcome(call)
 
-    async def hold_claimed(self) -> asyncio.Task:
-        """Freeze the first daemon when its claim is in the store."""
+    async def freeze_after_claim(self) -> asyncio.Task:
+        """Freeze the first daemon once its claim is in the store."""
         call = self.system.call(self.first, _KEY)
         await self.system.clock.pass_ms(
             1_000, lambda: bool(self.system.store.objects)
@@ -47,202 +47,196 @@
         return call
 
     def use_one_bucket(self) -> None:
-        """Place every key in the same bucket."""
+        """Place all keys in one bucket."""
         patch = mock.patch.object(_claims, 'BUCKET_COUNT', 1)
         patch.start()
         self.addCleanup(patch.stop)
 
-    def assert_ran(self, outcome: protocol.RunOutcome, times: int) -> None:
-        """Assert an outcome of a run, and the number of executions."""
+    def assert_completed(
+        self, outcome: protocol.RunOutcome, times: int
+    ) -> None:
+        """Assert a completed outcome and the number of executions."""
         self.assertIsInstance(outcome, protocol.Completed)
         self.assertEqual(times, self.system.executions())
 
     async def test_lost_answer_then_killed_holder(self) -> None:
-        """The second caller reads "unknown", and nothing ever runs.
+        """A claim whose holder was killed is never taken over.
 
-        The claim takes effect, the store's answer is lost, the daemon is
-        killed.  Nobody can tell whether it had sent the request, so the
-        claim stays in the way for good.
+        The put succeeds, its answer is lost and the holder is killed: whether
+        it sent the request is unknown, so every retry is answered "unknown".
         """
         self.system.store.script.append(_Fault.LOST_AFTER)
-        await self.hold_claimed()
+        await self.freeze_after_claim()
         self.system.kill(self.first)
         for daemon in (self.second, self.system.start('entry-1')):
-            outcome = await self.ask(daemon)
+            outcome = await self.run_request(daemon)
             self.assertIsInstance(outcome, protocol.Unknown)
             self.assertEqual(1_000, outcome.retry_after_ms)
         self.assertEqual(0, self.system.executions())
 
     async def test_frozen_holder_wakes_within_its_deadline(self) -> None:
-        """The caller of the retry reads "unknown", never "not run".
+        """A holder frozen before sending may still send when it wakes.
 
-        The holder freezes between claim and send; the balancer sends the
-        caller's retry to another daemon; the holder wakes and runs it.  It
-        may: its claim cannot have been taken, and nobody was told that the
-        request was not run.
+        Its claim cannot have been taken over: a retry at another daemon
+        meanwhile is answered "unknown", never "not run".
         """
-        call = await self.hold_claimed()
-        self.assertIsInstance(await self.ask(self.second), protocol.Unknown)
+        call = await self.freeze_after_claim()
+        self.assertIsInstance(
+            await self.run_request(self.second), protocol.Unknown
+        )
         self.first.host.wake(self.system.random)
-        self.assert_ran(await self.system.outcome(call), 1)
-        self.assert_ran(await self.ask(self.second), 1)
+        self.assert_completed(await self.system.outcome(call), 1)
+        self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_frozen_holder_wakes_after_its_deadline(self) -> None:
-        """The holder sends nothing any more, and frees the key.
+        """A holder that wakes too late sends nothing and frees the key.
 
-        It was frozen between claim and send for longer than its deadline.
-        Only after it has said so does another daemon run the request.
+        Another daemon runs the request only after the holder has said so.
         """
-        call = await self.hold_claimed()
+        call = await self.freeze_after_claim()
         await self.system.clock.pass_ms(5_000)
-        self.assertIsInstance(await self.ask(self.second), protocol.Unknown)
+        self.assertIsInstance(
+            await self.run_request(self.second), protocol.Unknown
+        )
         self.first.host.wake(self.system.random)
-        await self.assert_told(call, protocol.NotRun)
+        await self.assert_outcome_type(call, protocol.NotRun)
         self.assertEqual(0, self.system.executions())
-        self.assert_ran(await self.ask(self.second), 1)
+        self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_holder_killed_between_send_and_record(self) -> None:
-        """Every retry reads "unknown", though the request did run.
+        """A holder killed before recording leaves every retry "unknown".
 
-        The target runs it while the store is down, and the daemon is
-        killed before it can record the outcome.
+        The target runs the request while the store is down.
         """
         call = self.system.call(self.first, _KEY)
-        await self.system.executed()
+        await self.system.wait_executed()
         self.system.store.outage = True
-        self.assert_ran(await self.system.outcome(call), 1)
+        self.assert_completed(await self.system.outcome(call), 1)
         await self.system.clock.pass_ms(50)
         self.system.kill(self.first)
         self.system.store.outage = False
         for daemon in (self.second, self.system.start('entry-1')):
-            outcome = await self.ask(daemon)
+            outcome = await self.run_request(daemon)
             self.assertIsInstance(outcome, protocol.Unknown)
         self.assertEqual(1, self.system.executions())
 
     async def test_same_instant(self) -> None:
-        """Four callers read one receipt, of one run.
+        """Four concurrent callers at two daemons share one execution.
 
-        Two daemons get the key in the same instant, from two callers each.
-        One claim wins; the other daemon asks its holder and waits, and the
-        second call at a daemon joins the first.
+        One daemon gets the claim, the other asks it and waits; a second call
+        at a daemon joins the first.
         """
         calls = [
             self.system.call(daemon, _KEY, deadline_ms=5_000)
             for daemon in (self.first, self.second) * 2
         ]
         outcomes = [await self.system.outcome(call) for call in calls]
-        self.assert_ran(outcomes[0], 1)
+        self.assert_completed(outcomes[0], 1)
         self.assertEqual(1, len({str(row.result) for row in outcomes}))
         replayed = [outcome.replayed for outcome in outcomes]
         self.assertEqual([False, True, True, True], sorted(replayed))
 
     async def test_retry_with_a_new_issue_time(self) -> None:
-        """The retry reads the receipt of the first try.
+        """A retry whose key is issued anew gets the first receipt.
 
-        The caller keeps its key but issues it anew: seconds, then hours
-        later, at another daemon.
+        At another daemon, seconds and hours later.
         """
-        self.assert_ran(await self.ask(self.first), 1)
+        self.assert_completed(await self.run_request(self.first), 1)
         for pause_ms in (6_000, 20 * 3_600_000):
             await self.system.clock.pass_ms(pause_ms)
-            self.assert_ran(await self.ask(self.second), 1)
+            self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_key_with_another_body(self) -> None:
-        """The other request is refused while the first runs and after.
+        """A key that is used with another body is refused.
 
-        Its refusal says that it is this request that was not run.
+        While the first request runs, and after it. The refusal says that it is
+        this request that was not run.
         """
-        call = await self.hold_claimed()
+        call = await self.freeze_after_claim()
         self.first.host.wake(self.system.random)
         for daemon in (self.first, self.second, self.second):
-            outcome = await self.ask(daemon, body='household-8')
+            outcome = await self.run_request(daemon, body='household-8')
             self.assertIs(protocol.NotRunReason.KEY_REUSED, outcome.reason)
             self.assertIn('this request', outcome.detail)
-        self.assert_ran(await self.system.outcome(call), 1)
+        self.assert_completed(await self.system.outcome(call), 1)
 
     async def test_given_up_claim_passes_on(self) -> None:
-        """The retry runs at another daemon, once.
+        """An abandoned claim passes to another daemon, which runs the request.
 
-        The claim takes effect, its answer is lost, the store goes down:
-        the first daemon refuses, and promises never to send.  When the
-        store is back, the claim is found open; its holder is asked.
+        The put succeeds, its answer is lost and the store goes down: the first
+        daemon refuses and never sends, but its open claim is in the store.
         """
         self.system.store.script.append(_Fault.LOST_AFTER)
-        call = await self.hold_claimed()
+        call = await self.freeze_after_claim()
         self.system.store.outage = True
         self.first.host.wake(self.system.random)
-        await self.assert_told(call, protocol.NotRun)
+        await self.assert_outcome_type(call, protocol.NotRun)
         await self.system.clock.pass_ms(50)
         self.system.store.outage = False
-        self.assert_ran(await self.ask(self.second), 1)
+        self.assert_completed(await self.run_request(self.second), 1)
         self.assertEqual(1, self.metrics.total('claims_passed_on'))
-        self.assert_ran(await self.ask(self.first), 1)
+        self.assert_completed(await self.run_request(self.first), 1)
 
     async def assert_refused_and_freed(
         self, fault: memory_platform.Fault
     ) -> None:
         """Assert that a put with a wrong answer leaves the key usable."""
         self.system.store.script.append(fault)
-        call = await self.hold_claimed()
+        call = await self.freeze_after_claim()
         self.system.store.outage = True
         self.first.host.wake(self.system.random)
-        await self.assert_told(call, protocol.NotRun)
+        await self.assert_outcome_type(call, protocol.NotRun)
         self.system.store.outage = False
         await self.system.clock.pass_ms(3_000)
         self.system.kill(self.first)
-        self.assert_ran(await self.ask(self.second), 1)
+        self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_conflict_with_the_own_put(self) -> None:
-        """The caller is refused truthfully, and the retry runs.
+        """A claim written by a put that reported a conflict is freed.
 
-        The HTTP client sends the put again after a lost connection, meets
-        its own first one and reports a conflict; then the store goes down.
-        The claim is in the store all the same, and must be freed.
+        The HTTP client repeats the put after a lost connection and conflicts
+        with its own first one; then the store goes down.
         """
         await self.assert_refused_and_freed(_Fault.CONFLICT_AFTER)
 
     async def test_outage_after_the_own_put(self) -> None:
-        """The caller is refused truthfully, and the retry runs.
+        """A claim written by a put that reported an outage is freed.
 
-        As above, but the second put meets an outage: the daemon reads that
-        the store took nothing.
+        As above, but the repeated put meets an outage.
         """
         await self.assert_refused_and_freed(_Fault.OUTAGE_AFTER)
 
     async def test_put_that_arrives_late(self) -> None:
-        """A refused claim that reaches the store afterwards stops nobody.
+        """A put that arrives after its caller was refused blocks nobody.
 
-        The put is lost, the caller's deadline passes and it is told "not
-        run"; the end of the claim is written all the same, so that the put
-        fails on the object's version when it arrives.
+        The closed claim is written first, so that the late put fails on the
+        object's version.
         """
         self.system.store.script.append(_Fault.LATE)
         self.first.host.frozen = False
-        outcome = await self.ask(self.first, deadline_ms=3)
+        outcome = await self.run_request(self.first, deadline_ms=3)
         self.assertIsInstance(outcome, protocol.NotRun)
         await self.system.clock.pass_ms(1_000)
         self.assertEqual(0, self.first.runner.unrecorded_count())
         self.system.kill(self.first)
-        self.assert_ran(await self.ask(self.second), 1)
+        self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_late_report_is_read_by_the_retry(self) -> None:
-        """The first caller reads "unknown", the retry the receipt.
+        """A report that comes after the deadline is recorded for the retry.
 
-        The target runs the request and its report comes after the
-        deadline; the holder records it then.
+        The first caller is answered "unknown".
         """
         self.system.use('late')
-        first = await self.ask(self.first, deadline_ms=400)
+        first = await self.run_request(self.first, deadline_ms=400)
         self.assertIsInstance(first, protocol.Unknown)
         await self.system.clock.pass_ms(5_000)
         self.system.kill(self.first)
-        self.assert_ran(await self.ask(self.second), 1)
+        self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_conflicts_on_one_bucket(self) -> None:
-        """Forty requests on one bucket all run, each once.
+        """Forty requests on one bucket each run once despite conflicts.
 
-        Another writer is ahead of two puts of three; the puts are tried
-        again within the deadlines, after growing pauses.
+        Two puts of three conflict; they are retried with backoff.
         """
         self.system.store.chances = {_Fault.CONFLICT: 0.66}
         self.use_one_bucket()
@@ -254,15 +248,15 @@
             for number, key in enumerate(keys)
         ]
         for call in calls:
-            await self.assert_told(call, protocol.Completed)
+            await self.assert_outcome_type(call, protocol.Completed)
         self.assertEqual(40, self.system.executions())
         self.assertGreater(self.metrics.total('claim_conflicts'), 2)
 
     async def test_bucket_near_the_value_limit(self) -> None:
-        """A claim that finds no room is refused; the others stay.
+        """A claim without room in its bucket is refused.
 
-        The outcomes of all open claims are recorded, and the object stays
-        below the store's limit.
+        The outcomes of the other claims are recorded, and the object stays
+        below the store's value limit.
         """
         self.use_one_bucket()
         keys = [f'batch-{number}' for number in range(240)]
@@ -282,33 +276,33 @@
         self.assertLess(max(sizes), transport.VALUE_LIMIT_BYTES)
 
 
-class StormTest(unittest.TestCase):
-    """Many failures at once, from a seed."""
+class FaultSimulationTest(unittest.TestCase):
+    """Random faults from a seed."""
 
     def setUp(self) -> None:
-        """Let the claims of different keys meet in the same objects."""
+        """Make the claims of different keys share objects."""
         patch = mock.patch.object(_claims, 'BUCKET_COUNT', 2)
         patch.start()
         self.addCleanup(patch.stop)
 
-    def storms(
-        self, count: int, is_first_enough: bool = False
+    def simulate(
+        self, count: int, stop_at_first: bool = False
     ) -> tuple[list[str], collections.Counter[str]]:
-        """Return the violations of some storms and their ingredients."""
+        """Run simulations; return the violations and counts of events."""
         counters = metrics.Metrics('test')
         found: list[str] = []
         counts: collections.Counter[str] = collections.Counter()
         for number in range(count):
-            storm = simulation_runs.FaultSimulation(
+            simulation = simulation_runs.FaultSimulation(
                 simulation_runs.SEED + number, counters
             )
-            asyncio.run(storm.run())
-            system = storm.system
+            asyncio.run(simulation.run())
+            system = simulation.system
             found += [
                 f'seed {simulation_runs.SEED + number}: {text}'
                 for text in history_runs.violations(system.history)
             ]
-            if found and is_first_enough:
+            if found and stop_at_first:
                 break
             counts.update(system.faults)
             counts['message lost'] += system.hub.faults['loss']
@@ -322,16 +316,15 @@
         counters.close()
         return found, counts
 
-    def test_storms(self) -> None:
-        """Callers retry at every daemon while nearly everything fails.
+    def test_random_faults(self) -> None:
+        """Under random faults each key runs once and all answers agree.
 
-        Daemons freeze, wake and are killed; the store is out, loses
-        answers, conflicts, reads stale; dispatchers are silent, late or
-        break; messages are lost.  Each key runs once at most, and what
-        callers were told agrees with it.
+        Daemons freeze, wake and are killed; the store fails, loses answers,
+        conflicts and returns stale objects; dispatchers are silent, late or
+        break; messages are lost.
         """
-        found, counts = self.storms(_STORMS)
-        print(f'storms from seed {simulation_runs.SEED}: {dict(counts)}')
+        found, counts = self.simulate(_SIMULATIONS)
+        print(f'simulations from seed {simulation_runs.SEED}: {dict(counts)}')
         self.assertEqual([], found)
         self.assertGreater(counts['Called'], 1_000)
         self.assertGreater(counts['Executed'], 200)
@@ -340,15 +333,15 @@
         for fault in _Fault:
             self.assertGreater(counts[fault.value], 10, fault)
 
-    def test_storms_find_each_missing_safeguard(self) -> None:
-        """With a safeguard switched off, the same storms see a breach."""
+    def test_each_missing_safeguard_is_detected(self) -> None:
+        """With a safeguard disabled, the simulations find a violation."""
         for name, switched_off in _SAFEGUARDS.items():
             with self.subTest(name), switched_off():
-                found, _ = self.storms(_STORMS, True)
-                self.assertTrue(found, f'{name}: no breach seen')
+                found, _ = self.simulate(_SIMULATIONS, True)
+                self.assertTrue(found, f'{name}: no violation found')
 
 
-def _take_from_silent_holders() -> mock.Mock:
+def _take_over_from_silent_holders() -> mock.Mock:
     async def ask(
         holders: object, token: str, until_ms: float
     ) -> protocol.ClaimAnswer:
@@ -357,20 +350,22 @@
     return mock.patch.object(_claim_statuses.ClaimStatuses, 'ask', ask)
 
 
-def _trust_lost_puts() -> mock.Mock:
+def _treat_lost_puts_as_written() -> mock.Mock:
     put = _claim_bucket.BucketWriter._put
 
-    async def trusting(
+    async def put_without_read_back(
         writer: object, *arguments: object
     ) -> transport.StoreError | None:
         error = await put(writer, *arguments)
         is_lost = error and error.kind is transport.StoreErrorKind.LOST
         return None if is_lost else error
 
-    return mock.patch.object(_claim_bucket.BucketWriter, '_put', trusting)
+    return mock.patch.object(
+        _claim_bucket.BucketWriter, '_put', put_without_read_back
+    )
 
 
-def _take_breaks_for_proof() -> mock.Mock:
+def _treat_failures_as_proof() -> mock.Mock:
     def proves(report: protocol.RunReport) -> bool:
         return report.status is not protocol.SubStatus.ANSWERED
 
@@ -378,7 +373,7 @@
 
 
 _SAFEGUARDS = {
-    'claims are not taken from silent holders': _take_from_silent_holders,
-    'a lost put is read back': _trust_lost_puts,
-    'only proof leads to another target': _take_breaks_for_proof,
+    'silent holders keep their claims': _take_over_from_silent_holders,
+    'a lost put is read back': _treat_lost_puts_as_written,
+    'another target is tried only after proof': _treat_failures_as_proof,
 }
