--- a/samphiredock/coordination/__init__.py
+++ b/samphiredock/coordination/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions and the tasks that carry them out."""
+"""The logic of the daemons: decisions, and the tasks that apply them."""
 
 from samphiredock import lazy
 
--- a/samphiredock/coordination/_pause.py
+++ b/samphiredock/coordination/_pause.py
@@ -1,4 +1,4 @@
-"""Waiting in a task by the timer service."""
+"""Sleep by the injected clock instead of the event loop's."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 
 async def pause(clock: timers.Timers, delay_ms: float) -> None:
-    """Wait ``delay_ms`` by ``clock``, so that tests move the time."""
+    """Sleep for ``delay_ms`` by ``clock``, which tests advance by hand."""
     waiting = asyncio.get_running_loop().create_future()
 
     def wake() -> None:
--- a/samphiredock/coordination/background.py
+++ b/samphiredock/coordination/background.py
@@ -1,4 +1,4 @@
-"""Tasks that run beside the requests."""
+"""Background tasks whose failures are logged."""
 
 import asyncio
 import typing
@@ -13,8 +13,8 @@
 ) -> asyncio.Task[None]:
     """Run ``work`` in a task whose failure is logged.
 
-    The failure of a task that nobody awaits is silent: a daemon would go on
-    and never again learn what that task was to tell it.
+    The exception of a task that nobody awaits would otherwise be lost, and
+    the daemon would run on without that task.
     """
     task = asyncio.create_task(work, name=name)
     task.add_done_callback(_note_failure)
--- a/samphiredock/coordination/search/__init__.py
+++ b/samphiredock/coordination/search/__init__.py
@@ -1,4 +1,4 @@
-"""Searches: plan, scatter, judge, hedge, merge."""
+"""Searches: admission, planning, scatter, hedges and merging."""
 
 from samphiredock import lazy
 
--- a/samphiredock/coordination/search/_admission.py
+++ b/samphiredock/coordination/search/_admission.py
@@ -1,4 +1,7 @@
-"""Which requests a daemon takes on; the others are refused at once."""
+"""Admission control: the number of requests in flight is bounded.
+
+Requests beyond the limits are refused at once, none is queued.
+"""
 
 import collections
 
@@ -6,7 +9,8 @@
 from samphiredock import state
 from samphiredock import timers
 
-# Batch work leaves the last part of the daemon to interactive requests.
+# The share of the daemon's limit that a request class may fill: the rest is
+# reserved for interactive requests.
 _CLASS_SHARE = {'interactive': 1.0, 'batch': 0.8}
 
 _RATE_WINDOW = 200
@@ -14,14 +18,13 @@
 _MIN_RETRY_MS = 50
 _MAX_RETRY_MS = 5_000
 
-# Of the requests that look too late, one in this many is run all the same:
-# without it a slow minute would be remembered for ever, since refused
-# requests measure nothing.
+# One in this many requests with too short a deadline is admitted: refused
+# requests measure no latency, so the estimate would never fall again.
 _PROBE_EVERY = 20
 
 
 class Admission:
-    """Requests in flight at this daemon, by service."""
+    """Counts the requests in flight at this daemon, in all and by service."""
 
     def __init__(self, clock: timers.Timers) -> None:
         self._clock = clock
@@ -33,7 +36,7 @@
         self._short_deadlines = 0
 
     def in_flight(self) -> int:
-        """Return how many admitted requests have not ended."""
+        """Return how many admitted requests have no outcome yet."""
         return self._total
 
     def admit(
@@ -44,14 +47,14 @@
         deadline_ms: float,
         least_ms: float = 0.0,
     ) -> protocol.NotRun | None:
-        """Take a request on, or say why not; nothing is queued here.
+        """Admit a request, or return why it is refused.
 
         Parameters
         ----------
         deadline_ms
-            What the caller gives.
+            The time that the caller allows.
         least_ms
-            What the fastest of such requests take, 0 if not known.
+            The latency of the fastest such requests, 0 if not known.
 
         Returns
         -------
@@ -61,7 +64,7 @@
             return protocol.NotRun(
                 protocol.NotRunReason.DEADLINE_TOO_SHORT,
                 f'got deadline_ms {deadline_ms:.0f}, expected at least '
-                f'{least_ms:.0f}: the fastest answers take that long now',
+                f'{least_ms:.0f}, the latency of the fastest answers',
                 self._retry_after_ms(limits.in_flight_per_daemon),
             )
         share = _CLASS_SHARE.get(request_class, 1.0)
@@ -89,10 +92,10 @@
         request: protocol.RunRequest,
         configuration: state.Configuration,
     ) -> protocol.NotRun | None:
-        """Take an unrepeatable request on, as :meth:`admit` does.
+        """Admit an unrepeatable request, or return why it is refused.
 
-        One of an unknown service or operation counts as well; the runner
-        refuses it with its own reason.
+        A request of an unknown service or operation is admitted and
+        counted; the runner refuses it with its own reason.
         """
         service = configuration.services.get(request.service)
         operation = service and service.operations.get(request.operation)
@@ -107,7 +110,7 @@
         )
 
     def release(self, service: str) -> None:
-        """An admitted request has its outcome."""
+        """Stop counting an admitted request, which now has its outcome."""
         self._in_flight[service] -= 1
         if not self._in_flight[service]:
             del self._in_flight[service]
@@ -123,7 +126,7 @@
         return self._short_deadlines % _PROBE_EVERY == 0
 
     def _retry_after_ms(self, limit: int) -> int:
-        """Return when a tenth of the limit will have drained."""
+        """Return in how many ms a tenth of the limit will have drained."""
         if len(self._ended_ms) < 2:
             return _MIN_RETRY_MS
         span_ms = max(1.0, self._clock.now_ms() - self._ended_ms[0])
--- a/samphiredock/coordination/search/_coordinator.py
+++ b/samphiredock/coordination/search/_coordinator.py
@@ -1,4 +1,4 @@
-"""The task that turns a caller's search into one outcome."""
+"""Runs the searches of callers, each to one outcome."""
 
 import asyncio
 import dataclasses
@@ -35,11 +35,11 @@
 
 
 class View(_scatter_types.TargetView, typing.Protocol):
-    """What the coordinator reads of the daemon's knowledge."""
+    """The daemon's current state, as the coordinator reads it."""
 
     @property
     def configuration(self) -> state.Configuration | None:
-        """The revision in force here."""
+        """The configuration in force, None before the first."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -52,26 +52,26 @@
 
 
 class Coordinator:
-    """Admit, plan, scatter, merge and answer searches.
+    """Admits, plans and scatters searches, and returns their outcomes.
 
     Parameters
     ----------
     name, site, incarnation
         This daemon; name and incarnation make query ids unique.
     view
-        Configuration, snapshot and owners as known here.
+        Configuration, snapshot and owners of targets as known here.
     peers
-        Where sub-queries go and answers come from.
+        Carries sub-queries to dispatchers and their answers back.
     clock
         The timer service.
     counters
         Metrics of this daemon.
     quarantine
-        Contents that may not run.
+        Request contents that may not run.
     admission
         Limits on requests in flight, shared with unrepeatable requests.
     rng
-        Seeded source of randomness.
+        Seeded source of randomness for the choice of replicas.
     """
 
     def __init__(
@@ -110,21 +110,21 @@
         peers.subscribe(protocol.SubAnswerBatch, self._on_answers)
 
     def in_flight(self) -> int:
-        """Return how many searches are not answered yet."""
+        """Return how many searches have no outcome yet."""
         return len(self._searches)
 
     def on_member_lost(self, member: str) -> None:
-        """Send elsewhere what a dispatcher had when it was lost."""
+        """Retry the attempts of a lost dispatcher elsewhere."""
         now_ms = self._clock.now_ms()
         for search in list(self._searches.values()):
             effects = search.scatter.on_member_lost(member, now_ms)
             self._apply_effects(search, effects)
 
     def finish_all(self) -> None:
-        """Answer every search with what there is; the daemon's time is up.
+        """End every search now, with the outcome that is true at this moment.
 
-        The caller would otherwise lose its connection, with neither an
-        answer nor a word on whether a target has begun.
+        Called when the daemon stops: otherwise the caller would lose its
+        connection without learning whether a target has begun.
         """
         now_ms = self._clock.now_ms()
         for search in list(self._searches.values()):
@@ -134,7 +134,7 @@
     async def search(
         self, request: protocol.SearchRequest
     ) -> protocol.SearchOutcome:
-        """Run one search to its outcome."""
+        """Run one search and return its outcome."""
         started_ms = self._clock.now_ms()
         outcome = await self._search(request, started_ms)
         self._metrics.add(
@@ -185,7 +185,7 @@
     async def _run_canaried(
         self, plan: _planner.Plan, limits: state.Limits
     ) -> protocol.SearchOutcome:
-        """Run a content that is new, or under suspicion, alone first."""
+        """Run the search, with a canary if its content is new or a suspect."""
         fingerprint = plan.fingerprint
         canary = plan.search.canary and not self._crash_tracker.is_known(
             fingerprint
@@ -259,7 +259,7 @@
         self._arm_timer(search)
 
     def _arm_timer(self, search: _Search) -> None:
-        """Keep one timer a search, at the next thing that falls due."""
+        """Keep one timer per search, at the time of its next action."""
         due_ms = search.scatter.next_due_ms()
         if due_ms >= search.armed_ms:
             return
@@ -319,7 +319,7 @@
         outcome: protocol.SearchOutcome,
         started_ms: float,
     ) -> None:
-        """Record what the caller saw; a refusal has no latency to show."""
+        """Record latency and coverage of a search that was run."""
         if isinstance(outcome, protocol.NotRun):
             return
         labels = {
@@ -337,5 +337,5 @@
         item.attempt_id,
         item.target,
         protocol.SubStatus.NOT_OWNER,
-        detail='no dispatcher can be reached',
+        detail='no dispatcher is reachable',
     )
--- a/samphiredock/coordination/search/_hedging.py
+++ b/samphiredock/coordination/search/_hedging.py
@@ -1,4 +1,4 @@
-"""When a sub-query is late enough for a hedge, and when none may be sent."""
+"""Latency quantiles for hedge delays, and detection of overload."""
 
 import collections
 
@@ -9,42 +9,42 @@
 _RECOMPUTE_EVERY = 64
 _MIN_DELAY_MS = 1.0
 
-# Signs of overload are a decayed share of the last hundred or so answers.
+# The share of overload signs is a moving average over about the last 100
+# attempts.
 _DECAY = 0.99
 _OVERLOADED_SHARE = 0.10
 _QUEUED_FACTOR = 2.0
 _MIN_QUEUED_MS = 10.0
 
 GATHER_FACTOR = 1.3
-"""How much longer than an attempt is waited for before its hedge a daemon
-gathers the parts of an order.  Hedged at the 85th percentile, some 95 % of
-the parts of a search are in by then, and travel as one; the others, mostly
-those of targets that pause, each travel alone."""
+"""For how many hedge delays a daemon gathers the results of an order before
+it reports them merged.  Most are in by then; each later one is reported by
+itself."""
 
 ORDER_SLACK_MS = 20.0
-"""How much later than due an attempt by order is late at last, if nothing has
-told before that it is or that its daemon is silent."""
+"""How long after the end of gathering an ordered attempt counts as late, if
+its daemon has not reported it as late before."""
 
 _OVERLOAD_WEIGHT = {
     protocol.SubStatus.SHED: 1.0,
     protocol.SubStatus.EXPIRED: 1.0,
-    # Hedges are a few per cent of the attempts, so each counts for more.
+    # Hedges are a small part of the attempts, so each one weighs more.
     protocol.SubStatus.NO_IDLE_SLOT: 4.0,
 }
 
 
 def gather_ms(hedge_delay_ms: float) -> float:
-    """Return for how long the parts of an order are gathered."""
+    """Return for how long the results of an order are gathered."""
     return hedge_delay_ms * GATHER_FACTOR
 
 
 def ordered_delay_ms(hedge_delay_ms: float) -> float:
-    """Return after how long an attempt by order is late."""
+    """Return after how many ms an ordered attempt is late."""
     return gather_ms(hedge_delay_ms) + ORDER_SLACK_MS
 
 
 class _IndexRecord:
-    """Latencies and signs of overload of one index."""
+    """Latencies of one index, and its share of overload signs."""
 
     __slots__ = ('_samples', '_new_samples', '_sorted', '_overload_share')
 
@@ -79,11 +79,11 @@
 
 
 class Latencies:
-    """Sub-query latency by index, as this coordinator sees it.
+    """Latencies of attempts by index, as this daemon observes them.
 
-    Time in the dispatcher's queue is part of it: a hedge is for whatever
-    makes an answer late.  Samples are per index, since one shard alone has
-    too few for a tail quantile.
+    They include the time in the dispatcher's queue, because a hedge helps
+    whatever delays an answer.  Samples are kept by index, since a single
+    shard has too few for a tail quantile.
     """
 
     def __init__(self) -> None:
@@ -92,10 +92,11 @@
         )
 
     def observe(self, index: str, took_ms: float) -> None:
-        """Record an attempt that ended, or was cancelled, after this long.
+        """Record the latency of an attempt that ended or was cancelled.
 
-        A cancelled loser counts with the time it had taken: leaving it out
-        would pull the quantile down and send ever more hedges.
+        An attempt that lost to its hedge counts with the time until it was
+        cancelled: without it the quantile would fall and ever more hedges
+        would be sent.
         """
         self._records[index].observe(took_ms)
 
@@ -106,7 +107,7 @@
         waited_ms: float,
         service_ms: float,
     ) -> None:
-        """Take one ending in as a sign for or against overload."""
+        """Record whether the end of one attempt indicates overload."""
         weight = _OVERLOAD_WEIGHT.get(status, 0.0)
         if (
             waited_ms > _MIN_QUEUED_MS
@@ -116,13 +117,13 @@
         self._records[index].record_overload_sign(weight)
 
     def is_overloaded(self, index: str) -> bool:
-        """Whether hedges would only add to a queue."""
+        """Return whether the index is overloaded, so that hedges add load."""
         return self._records[index].is_overloaded()
 
     def hedge_delay_ms(
         self, index: str, quantile: float, unknown_ms: float
     ) -> float | None:
-        """Return after how long to hedge; None while no hedge may be sent.
+        """Return the hedge delay; None while hedges are suspended by overload.
 
         ``unknown_ms`` is the delay while too few latencies are known.
         """
@@ -135,5 +136,5 @@
         return max(_MIN_DELAY_MS, delay_ms)
 
     def quantile_ms(self, index: str, quantile: float) -> float:
-        """Return a quantile of the latency, 0 while too little is known."""
+        """Return a quantile of the latency, 0 while too few are known."""
         return self._records[index].quantile(quantile) or 0.0
--- a/samphiredock/coordination/search/_planner.py
+++ b/samphiredock/coordination/search/_planner.py
@@ -1,4 +1,4 @@
-"""Turn a caller's search into a plan over one snapshot."""
+"""Turn a caller's search request into a plan over one snapshot."""
 
 import dataclasses
 import math
@@ -14,14 +14,31 @@
 class Plan:
     """Everything about one search that is fixed when it starts.
 
-    ``answer_by_ms`` is when an answer with the least coverage goes out
-    though shards are missing, ``attempts_per_shard`` how many targets may
-    run the search for one shard (0: any), and ``repeatable`` whether a
-    second target may be asked though a first may have begun.
-    ``may_restart`` allows to begin anew at a newer snapshot, and
-    ``first_hedge_ms`` is when to hedge while no latencies are known.
-    ``orders`` says that a dispatcher other than the target itself is a
-    daemon that asks it for this search and merges what comes.
+    Times that end in ``_at_ms`` and ``_by_ms`` are on the monotonic clock.
+
+    Parameters
+    ----------
+    terms
+        Field names and the values searched for.
+    limit
+        The largest number of records in the answer.
+    fingerprint
+        Identifies the request content; see :func:`fingerprint_of`.
+    answer_by_ms
+        From then on, an answer that reaches the search's least coverage is
+        returned even if shards are missing.
+    max_attempts_per_shard
+        How many targets may run the search for one shard; 0 for any number.
+    repeatable
+        Whether another target may be queried after one may have begun.
+    may_restart
+        Whether the search may start over on a newer snapshot.
+    initial_hedge_delay_ms
+        The hedge delay while no latencies are known; None for a share of
+        the search's deadline.
+    uses_orders
+        A dispatcher other than the target itself is a daemon that queries
+        the target for this search and merges the answers.
     """
 
     query_id: str
@@ -47,7 +64,7 @@
 
 
 def fingerprint_of(service: str, name: str, terms: dict[str, str]) -> str:
-    """Return a digest that is equal for requests with the same content."""
+    """Return a digest of the request content: service, search and terms."""
     text = '\0'.join(
         [service, name, *(f'{key}\1{terms[key]}' for key in sorted(terms))]
     )
@@ -62,7 +79,10 @@
     site: str,
     now_ms: float,
 ) -> result.Result[Plan, protocol.NotRun]:
-    """Check a search against the configuration and fix its snapshot."""
+    """Validate a search request and plan it over one snapshot.
+
+    A failure holds the reason why the search cannot run.
+    """
     found = _find_search(request, configuration)
     if isinstance(found, result.Failure):
         return found
@@ -101,7 +121,7 @@
     if service is None:
         return _refused(
             protocol.NotRunReason.UNKNOWN_SERVICE,
-            f'got service {request.service!r}, expected a configured one',
+            f'got service {request.service!r}, expected a configured service',
         )
     search = service.searches.get(request.search)
     if search is None:
@@ -118,19 +138,20 @@
     search: state.Search,
     snapshot: state.Snapshot | None,
 ) -> result.Result[state.Snapshot, protocol.NotRun]:
-    """Return the newest snapshot if it is new enough and has the index."""
+    """Return ``snapshot`` if it is new enough and has the index."""
     wanted = request.at_least_snapshot
     if snapshot is None or snapshot.snapshot_id < wanted:
         held = snapshot.snapshot_id if snapshot else None
         return _refused(
             protocol.NotRunReason.NO_SNAPSHOT,
-            f'got snapshot {held}, expected at least {wanted}',
+            f'got snapshot {held}, expected snapshot {wanted} or later',
             retry_after_ms=500,
         )
     if search.index not in snapshot.indexes:
         return _refused(
             protocol.NotRunReason.NO_SNAPSHOT,
-            f'snapshot {snapshot.snapshot_id} has no index {search.index}',
+            f'got snapshot {snapshot.snapshot_id}, '
+            f'expected one with index {search.index}',
             retry_after_ms=500,
         )
     return result.Success(snapshot)
--- a/samphiredock/coordination/search/_scatter_types.py
+++ b/samphiredock/coordination/search/_scatter_types.py
@@ -1,4 +1,4 @@
-"""What a scatter takes in and gives out."""
+"""The types that a scatter takes as input and returns."""
 
 import dataclasses
 import typing
@@ -10,10 +10,10 @@
 
 
 class Budget(typing.Protocol):
-    """What sub-queries beyond the needed ones are drawn from.
+    """Limits the attempts beyond the first one of each shard.
 
-    ``charged_refusals`` are the endings without a run whose second try draws
-    from the budget all the same.
+    ``charged_refusals`` are the statuses of attempts that no target began
+    and whose retry is charged nevertheless.
     """
 
     charged_refusals: frozenset[protocol.SubStatus]
@@ -21,54 +21,61 @@
     def record_first_attempts(
         self, shards: typing.Sequence[str], share: float
     ) -> None:
-        """Earn for the first sub-query of each shard."""
+        """Add to the budget for the first attempt of each shard."""
 
     def spend_hedge(self, shard: str = '') -> bool:
-        """Take from it for a hedge on a shard, if there is enough."""
+        """Charge a hedge; False if the budget does not allow it."""
 
     def spend_retry(self, shard: str = '') -> bool:
-        """Take from it for a second try of a shard, if there is enough."""
+        """Charge a retry; False if the budget does not allow it."""
 
     def charge(self, shard: str = '') -> None:
-        """Take from it for a try that cannot be refused."""
+        """Charge a retry that is sent whatever the budget."""
 
     def refund(self, shard: str = '') -> None:
-        """Give back what was taken for a hedge that no target began."""
+        """Undo the charge of a hedge that no target began."""
 
 
 class TargetView(typing.Protocol):
-    """Where attempts may go."""
+    """The owners and the usability of targets, as known here."""
 
     def owner(self, target: str) -> str | None:
-        """The daemon that dispatches for a target."""
+        """Return the daemon that dispatches to a target, None if unknown."""
 
     def is_usable(self, target: str) -> bool:
-        """Whether a target may get new work."""
+        """Return whether a target may get new work."""
 
     @property
     def snapshot(self) -> state.Snapshot | None:
-        """The newest snapshot known here."""
+        """The newest snapshot known here, None before the first."""
 
 
 class CrashTracker(typing.Protocol):
-    """Where losses of targets are judged; see the quarantine."""
+    """Records which request contents crash targets.
+
+    A content is identified by its fingerprint; see :func:`fingerprint_of`.
+    """
 
     def record_loss(self, fingerprint: str, target: str, service: str) -> None:
-        """Count a target lost while it ran this content alone."""
+        """Record that a target was lost while it ran only this content."""
 
     def record_success(self, fingerprint: str) -> None:
-        """The content ran and its target lives."""
+        """Record that a target ran the content and is still alive."""
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Whether the content is refused from now on."""
+        """Return whether the content is refused."""
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Whether a target was lost to the content, here or elsewhere."""
+        """Return whether any daemon lost a target that ran the content."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendAttempts:
-    """Send these sub-queries to one dispatcher."""
+    """Send these sub-queries to one dispatcher.
+
+    ``dispatcher`` is None if no daemon is known to own the targets.  With
+    ``alone`` each sub-query goes to its target in an exchange of its own.
+    """
 
     dispatcher: str | None
     items: list[protocol.SubQuery]
@@ -77,7 +84,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DropAttempts:
-    """Cancel these attempts at the dispatcher they were sent to."""
+    """Cancel these attempts at the dispatcher that they were sent to."""
 
     dispatcher: str
     attempt_ids: list[str]
@@ -85,9 +92,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finish:
-    """Give the caller this outcome; nothing follows it.
+    """Return this outcome to the caller; no other effect follows.
 
-    ``accepted`` are the answers that it was merged from.
+    ``accepted`` are the answers that the outcome was merged from.
     """
 
     outcome: protocol.SearchOutcome
@@ -99,7 +106,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Tally:
-    """What one search did; added to the metrics once, at its end."""
+    """Counters of one search, added to the metrics when it ends."""
 
     sub_queries_sent: int = 0
     sub_queries_needed: int = 0
@@ -116,17 +123,17 @@
     bad_answers: int = 0
 
     def increment(self, name: str) -> None:
-        """Add one to a field."""
+        """Add one to the counter ``name``."""
         setattr(self, name, getattr(self, name) + 1)
 
 
 COUNTER_NAMES = tuple(field.name for field in dataclasses.fields(Tally))
-"""The metrics that a search's tally is added to."""
+"""The counters of :class:`Tally`; metrics have the same names."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ScatterContext:
-    """What the searches of one coordinator share."""
+    """State and collaborators that the searches of one daemon share."""
 
     targets: TargetView
     replicas: _replica_selector.ReplicaSelector
