--- a/samphiredock/coordination/search/_admission.py
+++ b/samphiredock/coordination/search/_admission.py
@@ -58,7 +58,7 @@
 
         Returns
         -------
-        None if admitted: :meth:`ended` must follow.
+        None if admitted; :meth:`release` must follow when the request ends.
         """
         if deadline_ms < least_ms and not self._is_probe():
             return protocol.NotRun(
--- a/samphiredock/coordination/search/_coordinator.py
+++ b/samphiredock/coordination/search/_coordinator.py
@@ -337,5 +337,5 @@
         item.attempt_id,
         item.target,
         protocol.SubStatus.NOT_OWNER,
-        detail='no dispatcher is reachable',
+        detail='no dispatcher can be reached',
     )
--- a/samphiredock/coordination/search/_hedging.py
+++ b/samphiredock/coordination/search/_hedging.py
@@ -6,7 +6,7 @@
 
 _MAX_SAMPLES = 512
 _MIN_SAMPLES = 64
-_RECOMPUTE_EVERY = 64
+_RECOMPUTE_EVERY = 64  # samples between two sorts
 _MIN_DELAY_MS = 1.0
 
 # The share of overload signs is a moving average over about the last 100
--- a/samphiredock/coordination/search/_planner.py
+++ b/samphiredock/coordination/search/_planner.py
@@ -121,7 +121,7 @@
     if service is None:
         return _refused(
             protocol.NotRunReason.UNKNOWN_SERVICE,
-            f'got service {request.service!r}, expected a configured service',
+            f'got service {request.service!r}, expected a configured one',
         )
     search = service.searches.get(request.search)
     if search is None:
--- a/samphiredock/coordination/search/_scatter.py
+++ b/samphiredock/coordination/search/_scatter.py
@@ -1,6 +1,6 @@
-"""The decisions of one search: which attempt to send, and when it is done.
+"""The state machine of one search: attempts, retries, hedges, outcome.
 
-A pure object: answers and ticks go in, effects come out.
+It does no I/O: events and the time go in, effects come out.
 """
 
 import math
@@ -18,8 +18,8 @@
 from samphiredock import state
 
 
-# Before a content that lost a target is tried again: in this time the news
-# of a copy that another daemon ran at the same moment arrives.
+# The pause before a content that lost a target runs again: losses that other
+# daemons had with copies of it are reported here in the meantime.
 _LOSS_PAUSE_MS = 20.0
 
 
@@ -28,21 +28,21 @@
 
 
 class Scatter:
-    """One search in flight.
+    """One search over the shards of an index, until its outcome.
 
     Parameters
     ----------
     plan
-        What the search is; every merged answer is read at one snapshot.
+        Describes the search.
     context
-        Shared records and the budget.
+        State shared with other searches.
     limits
-        Limits in force when the search was planned.
+        The limits in force when the search was planned.
     canary
-        Send one shard alone first; the others follow when it succeeded.
+        Query one shard alone first, and the others when it has succeeded.
     suspect
-        One target was lost to this content: no two attempts at a time
-        until one has succeeded.
+        A target was lost to this request content: send one attempt at a
+        time until one has succeeded.
     """
 
     def __init__(
@@ -85,30 +85,30 @@
             _scatter_hedges.initial_delay_ms(plan),
         )
 
-    # Inputs.
+    # Events.
 
     def start(self, now_ms: float) -> list[_scatter_types.Effect]:
-        """Send the first attempt of every shard, or the canary's."""
+        """Send the first attempt of every shard, or of the canary only."""
         self._begin_round(now_ms)
         return self._take_effects(now_ms)
 
     def on_answers(
         self, answers: typing.Iterable[protocol.SubAnswer], now_ms: float
     ) -> list[_scatter_types.Effect]:
-        """Take ended attempts in; retry those that may be."""
+        """Process the results of attempts, and retry where that is allowed."""
         for answer in answers:
             attempt = self._attempts.get(answer.attempt_id)
             if attempt is None:
                 self.tally.late_answers += 1
             elif answer.target != attempt.item.target:
-                # Not the answer to this attempt, which may still come.
+                # Answers another attempt; the one to this may still come.
                 self.tally.mismatched_answers += 1
             else:
                 self._on_answer(attempt, answer, now_ms)
         return self._take_effects(now_ms)
 
     def on_tick(self, now_ms: float) -> list[_scatter_types.Effect]:
-        """Do what has fallen due: deadline, hedges, second tries."""
+        """Process what is due: the deadline, hedges, retries after a pause."""
         if now_ms >= self._plan.deadline_at_ms:
             self._finish()
         if now_ms >= self._hedges.due_ms and not self._finish_effect:
@@ -122,7 +122,7 @@
     def on_late(
         self, attempt_ids: typing.Iterable[str], now_ms: float
     ) -> list[_scatter_types.Effect]:
-        """Hedge what another daemon has asked and says is late."""
+        """Hedge attempts that the daemon with their order reports as late."""
         for attempt_id in attempt_ids:
             attempt = self._attempts.get(attempt_id)
             if attempt is not None:
@@ -134,10 +134,10 @@
     def on_silent(
         self, attempt_ids: typing.Iterable[str], now_ms: float
     ) -> list[_scatter_types.Effect]:
-        """Hedge what a daemon was to ask that has reported nothing in time.
+        """Hedge the attempts of a daemon that has not reported on its order.
 
-        Also while the targets seem overloaded, and all at once: that the
-        daemon is silent says nothing of them.
+        All are hedged at once, even if the targets seem overloaded, because
+        the daemon's silence says nothing about the targets.
         """
         attempts = [self._attempts.get(row) for row in attempt_ids]
         silent = [row for row in attempts if row is not None]
@@ -151,7 +151,7 @@
     def on_member_lost(
         self, member: str, now_ms: float
     ) -> list[_scatter_types.Effect]:
-        """Retry elsewhere what a lost dispatcher had."""
+        """Retry the attempts of a lost dispatcher elsewhere."""
         for attempt in self._attempts.outstanding():
             if attempt.dispatcher == member and not self._finish_effect:
                 self._attempts.remove(attempt, None)
@@ -163,11 +163,10 @@
     def finish_now(
         self, now_ms: float, unsent: typing.Iterable[str] = ()
     ) -> list[_scatter_types.Effect]:
-        """Nothing that is under way can be awaited any longer.
+        """End the search now, with the outcome that is true at this moment.
 
-        The caller is told what is known now: what came, that nothing was
-        sent, or that it may have run.  ``unsent`` are attempts that have not
-        gone out, and will not.
+        ``unsent`` are the ids of attempts that were not sent and never will
+        be, so that they do not count as begun.
         """
         for attempt_id in unsent:
             attempt = self._attempts.get(attempt_id)
@@ -177,16 +176,16 @@
         return self._take_effects(now_ms)
 
     def cancel(self) -> None:
-        """The caller has left: nothing that is under way is awaited.
+        """Drop all pending attempts, because the caller has disconnected.
 
-        Each attempt counts as in flight at its target until it has ended;
-        those that never did would keep the target from getting work.
+        Otherwise they would count as in flight at their targets for ever,
+        and the targets would get less work.
         """
         self._attempts.discard_unsent()
         self._attempts.drop_all()
 
     def next_due_ms(self) -> float:
-        """Return when :meth:`on_tick` has something to do."""
+        """Return when to call :meth:`on_tick` next."""
         due_ms = min(
             self._plan.deadline_at_ms,
             self._hedges.due_ms,
@@ -202,7 +201,7 @@
         return due_ms
 
     def gather_ms(self) -> float:
-        """Return for how long the parts of an order are to be gathered."""
+        """Return for how many ms the results of an order are gathered."""
         return self._hedges.gather_ms()
 
     # Attempts.
@@ -266,7 +265,7 @@
         shard = attempt.shard
         status = answer.status
         if not shard.hedge_refusals:
-            # The second refusal of one hedge is no second sign of overload.
+            # Repeated refusals of one hedge count as one sign of overload.
             self._context.latencies.record_overload_sign(
                 self._index, status, answer.waited_ms, answer.service_ms
             )
@@ -280,7 +279,7 @@
         verdict = _scatter_results.classify(
             answer, shard, self._round.snapshot.snapshot_id
         )
-        # A quick empty answer is no sign of a quick replica.
+        # Only whole answers count as latency: an empty one is always quick.
         useful = verdict is _Verdict.WHOLE
         self._attempts.remove(attempt, took_ms if useful else None)
         if verdict in _scatter_results.TARGET_FAULTS:
@@ -307,7 +306,7 @@
         elif verdict is _Verdict.QUARANTINED:
             self._finish()
         elif began and not self._plan.repeatable:
-            # Another target would run it a second time.
+            # A retry might run it a second time.
             self._settle(shard, now_ms)
         elif verdict is _Verdict.LOST:
             self._on_target_lost(shard, answer, now_ms)
@@ -322,10 +321,11 @@
         answer: protocol.SubAnswer,
         now_ms: float,
     ) -> None:
-        """A target died under this content, or under a neighbour's.
+        """Process the loss of a target while it ran this content.
 
-        Only a loss while the content ran alone counts against it; else it
-        is run again alone, one shard at a time, which tells the two apart.
+        The loss counts against the content only if it ran alone.  Otherwise
+        another content may have caused it, so this one runs again alone,
+        one shard at a time.
         """
         self._canary_gate.record_loss(shard)
         self._hedges.stop()
@@ -343,7 +343,7 @@
             self._retry(shard, False, now_ms)
 
     def _run_next_alone(self, now_ms: float) -> None:
-        """Ask one shard alone, unless the content has been judged."""
+        """Query one shard alone, unless the content is quarantined or cleared."""
         if self._context.crash_tracker.is_suspect(self._plan.fingerprint):
             self._canary_gate.mark_suspect()
         if self._context.crash_tracker.is_quarantined(self._plan.fingerprint):
@@ -362,7 +362,7 @@
         now_ms: float,
         its_turn: bool = False,
     ) -> None:
-        """Try another replica, unless one is still at it."""
+        """Query another replica, unless an attempt on the shard is pending."""
         if self._finish_effect or shard.settled or shard.outstanding:
             return
         if self._canary_gate.must_run_alone(shard) and not its_turn:
@@ -386,7 +386,7 @@
     def _on_no_candidate(
         self, shard: _scatter_round.ShardState, now_ms: float
     ) -> None:
-        """No replica is left: pause, wait for a snapshot, or settle."""
+        """Pause, wait for a newer snapshot, or settle the shard."""
         if shard.may_retry_refused():
             shard.schedule_retry(now_ms)
             self._retry_due_ms = min(self._retry_due_ms, shard.retry_at_ms)
@@ -400,12 +400,12 @@
         if shard.outstanding:
             self._attempts.drop_losers(self._attempts.of_shard(shard), now_ms)
 
-    # Time.
+    # Timers.
 
     def _send_hedges(self, now_ms: float) -> None:
         if self._canary_gate.may_add_canary():
-            # Another shard, not another replica: it is needed anyhow, and
-            # two replicas of one shard are not risked for one content.
+            # Another shard instead of another replica: it is needed anyway,
+            # and the content cannot crash two replicas of one shard.
             self._hedges.stop()
             self._run_next_alone(now_ms)
             return
@@ -426,7 +426,7 @@
                 shard.retry_at_ms = 0.0
                 self._retry(shard, False, now_ms)
 
-    # The end.
+    # The end of the search.
 
     def _take_effects(self, now_ms: float) -> list[_scatter_types.Effect]:
         if not self._finish_effect and self._snapshot_wait.is_active():
@@ -441,11 +441,10 @@
         return effects
 
     def _should_finish(self, now_ms: float) -> bool:
-        """Whether waiting on would cost the caller more than it gains.
+        """Return whether to end the search before all shards are settled.
 
-        An answer is due at ``answer_by_ms``: the caller is better served
-        by the least coverage in time than by all of it too late.  When the
-        least is out of reach, the caller learns it at once.
+        From ``answer_by_ms`` on, the least coverage is enough.  If it cannot
+        be reached any more, waiting would only delay the refusal.
         """
         if self._finish_effect or self._snapshot_wait.is_active():
             return False
@@ -468,7 +467,7 @@
         )
 
     def _check_snapshot_wait(self, now_ms: float) -> None:
-        """Restart whole on a newer snapshot, or stop waiting for one."""
+        """Restart all shards on a newer snapshot, or stop waiting for one."""
         newer = self._snapshot_wait.check(
             self._context.targets.snapshot,
             self._round.snapshot,
--- a/samphiredock/coordination/search/_scatter_attempts.py
+++ b/samphiredock/coordination/search/_scatter_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one search that have not ended."""
+"""The pending attempts of one search."""
 
 import math
 import typing
@@ -12,7 +12,7 @@
 
 
 class Attempts:
-    """Outstanding attempts by id, and what is to be sent about them."""
+    """Pending attempts by id, and the messages to send about them."""
 
     def __init__(
         self, query_id: str, index: str, context: _scatter_types.ScatterContext
@@ -33,13 +33,16 @@
         return len(self._outstanding)
 
     def outstanding(self) -> list[_scatter_round.Attempt]:
-        """Return the attempts that have not ended."""
+        """Return the pending attempts."""
         return list(self._outstanding.values())
 
     def overdue(
         self, delay_ms: float, now_ms: float
     ) -> tuple[list[_scatter_round.Attempt], float]:
-        """Return the attempts to hedge now, and when to look again."""
+        """Return the overdue attempts, and when the next one is overdue.
+
+        ``delay_ms`` is the hedge delay.  Shards with a hedge are left out.
+        """
         late = []
         due_ms = math.inf
         for attempt in self._outstanding.values():
@@ -58,7 +61,7 @@
         return late, due_ms
 
     def is_running_alone(self) -> bool:
-        """Whether an attempt that runs alone has not ended."""
+        """Return whether an attempt that runs alone is pending."""
         return self._alone_count > 0
 
     def send(
@@ -72,7 +75,7 @@
         hedge: bool,
         is_ordered: bool = False,
     ) -> None:
-        """Add one attempt, to go out with the next :meth:`collect`."""
+        """Add an attempt, which the next :meth:`collect` returns."""
         self.sent += 1
         self._alone_count += alone
         item = protocol.SubQuery(
@@ -99,13 +102,16 @@
             box.append(item)
 
     def get(self, attempt_id: str) -> _scatter_round.Attempt | None:
-        """Return an attempt that has not ended."""
+        """Return a pending attempt by its id, None if there is none."""
         return self._outstanding.get(attempt_id)
 
     def remove(
         self, attempt: _scatter_round.Attempt, took_ms: float | None
     ) -> None:
-        """Take an attempt out; None if its time says nothing."""
+        """Remove an attempt that has ended.
+
+        ``took_ms`` is None if the latency of the target is not known by it.
+        """
         item = attempt.item
         del self._outstanding[item.attempt_id]
         self._alone_count -= attempt.alone
@@ -115,7 +121,7 @@
     def of_shard(
         self, shard: _scatter_round.ShardState
     ) -> list[_scatter_round.Attempt]:
-        """Return the attempts on one shard that have not ended."""
+        """Return the pending attempts of one shard."""
         return [
             row for row in self._outstanding.values() if row.shard is shard
         ]
@@ -125,14 +131,14 @@
         attempts: typing.Iterable[_scatter_round.Attempt],
         now_ms: float,
     ) -> None:
-        """Cancel attempts; the time they took so far is a latency too."""
+        """Cancel attempts, and record the time until now as their latency."""
         for attempt in attempts:
             took_ms = now_ms - attempt.sent_ms
             self._latencies.observe(self._index, took_ms)
             self._drop(attempt, took_ms)
 
     def drop_all(self) -> None:
-        """Cancel everything, when the search is over."""
+        """Cancel all attempts, without a latency."""
         for attempt in self.outstanding():
             self._drop(attempt, None)
 
@@ -146,11 +152,11 @@
             )
 
     def discard_unsent(self) -> None:
-        """Forget what :meth:`collect` has not given out yet."""
+        """Drop the attempts that :meth:`collect` has not returned yet."""
         self._outbox.clear()
 
     def collect(self) -> list[_scatter_types.Effect]:
-        """Return what is to be cancelled and sent now."""
+        """Return the attempts to cancel and to send now, as effects."""
         effects: list[_scatter_types.Effect] = [
             _scatter_types.DropAttempts(name, attempt_ids)
             for name, attempt_ids in self._drops.items()
--- a/samphiredock/coordination/search/_scatter_canary.py
+++ b/samphiredock/coordination/search/_scatter_canary.py
@@ -1,4 +1,4 @@
-"""Which shards of a search may be asked now, and which only alone."""
+"""Runs a search on one shard first while its content may crash targets."""
 
 import typing
 
@@ -10,21 +10,22 @@
 
 
 class CanaryGate:
-    """Hold shards back while the content may crash its targets.
+    """Holds shards back while the request content may crash its targets.
 
-    The order of the shards and replicas that are asked alone follows from
-    the content only, so that copies of it which run at several daemons at
-    the same time lose the same targets, not one for each daemon.
+    A canary is a shard that is queried alone: in an exchange of its own,
+    while the other shards are held.  The order in which shards and replicas
+    are queried alone depends only on the content, so that copies of it at
+    several daemons crash the same targets instead of one per daemon.
 
     Parameters
     ----------
     fingerprint
-        The content.
+        Identifies the request content.
     canary
-        Ask one shard alone first.
+        Query one shard alone first.
     suspect
-        A target was lost to this content before: nothing but one attempt
-        at a time until one has succeeded.
+        A target was lost to this content before: send one attempt at a time
+        until one has succeeded.
     """
 
     def __init__(self, fingerprint: str, canary: bool, suspect: bool) -> None:
@@ -41,7 +42,7 @@
     def begin(
         self, shards: list[_scatter_round.ShardState]
     ) -> list[_scatter_round.ShardState]:
-        """Return the shards to ask at once; the others are held."""
+        """Begin a round; return the shards to query now, all or none."""
         self._is_serial = self._is_serial or self._is_suspect
         self._is_canary = self._is_serial
         self._canaries = 0
@@ -60,11 +61,11 @@
         return xxhash.xxh64_intdigest(text.encode())
 
     def choose_replica(self, replicas: typing.Sequence[str]) -> str:
-        """Return the replica to ask alone."""
+        """Return the replica to query alone; depends on the content only."""
         return min(replicas, key=self._rank)
 
     def may_add_canary(self) -> bool:
-        """Whether a late canary may have another shard asked beside it."""
+        """Return whether an overdue canary may be joined by another one."""
         return (
             self._is_canary
             and not self._is_suspect
@@ -73,23 +74,26 @@
         )
 
     def must_run_alone(self, shard: _scatter_round.ShardState) -> bool:
-        """Whether a shard may only be asked alone, one at a time."""
+        """Return whether a shard may only be queried alone."""
         return self._is_serial or shard in self._lost
 
     def allows_hedges(self) -> bool:
-        """Whether a second target may run the content at the same time."""
+        """Return whether two targets may run the content at the same time."""
         return not self._is_suspect
 
     def has_waiting(self) -> bool:
-        """Whether a shard waits for its turn to be asked alone."""
+        """Return whether a shard waits to be queried alone."""
         return bool(self._queue) or (self._is_canary and bool(self._held))
 
     def enqueue(self, shard: _scatter_round.ShardState) -> None:
-        """Ask a shard when the one that runs alone has ended."""
+        """Queue a shard to be queried alone."""
         self._queue.append(shard)
 
     def record_loss(self, shard: _scatter_round.ShardState) -> None:
-        """A target died under this content, alone or beside others."""
+        """Record that a target was lost while it ran the content.
+
+        The shard is queued, to be queried alone.
+        """
         self._is_suspect = True
         if self._is_canary or shard in self._lost:
             self._is_serial = True
@@ -98,10 +102,11 @@
         self._queue.append(shard)
 
     def record_success(self, shard: _scatter_round.ShardState) -> bool:
-        """A shard answered alone; True if that clears the content.
+        """Record that a shard answered alone.
 
-        It does not while another shard's loss is unexplained: the content
-        may crash just the targets of that one.
+        Returns whether the content is no longer a suspect.  It remains one
+        while another shard has a loss: it may crash only that shard's
+        targets.
         """
         if shard in self._lost:
             self._lost.remove(shard)
@@ -111,7 +116,10 @@
         return True
 
     def release(self) -> list[_scatter_round.ShardState]:
-        """Return the held shards; only those with a loss still go alone."""
+        """End the canary phase and return the shards to query now.
+
+        Shards with a loss stay queued, to be queried alone.
+        """
         self._is_canary = False
         self._is_serial = False
         free = self._held + [
@@ -122,11 +130,11 @@
         return free
 
     def mark_suspect(self) -> None:
-        """A target was lost to the content elsewhere, meanwhile."""
+        """Record that another search lost a target to the content."""
         self._is_suspect = True
 
     def has_enough_canaries(self) -> bool:
-        """Whether canaries that gave no verdict have cost enough time."""
+        """Return whether to stop sending canaries, none of which was decisive."""
         return (
             self._is_canary
             and not self._is_suspect
@@ -134,10 +142,10 @@
         )
 
     def pop_next_shard(self) -> _scatter_round.ShardState:
-        """Return the shard to ask alone now.
+        """Return the next shard to query alone.
 
-        A further canary is one whose replicas are all others, so that a
-        content that kills two targets leaves every shard a replica.
+        A further canary shares no replica with those before, so that a
+        content that crashes two targets leaves a replica of every shard.
         """
         if self._is_canary:
             for shard in self._held:
--- a/samphiredock/coordination/search/_scatter_hedges.py
+++ b/samphiredock/coordination/search/_scatter_hedges.py
@@ -1,4 +1,4 @@
-"""Which late attempts of a search get a hedge."""
+"""When a search hedges its overdue attempts, and which of them."""
 
 import math
 import typing
@@ -11,44 +11,41 @@
 from samphiredock import state
 
 INITIAL_DELAY_SHARE = 0.25
-"""Part of the deadline after which a coordinator hedges that knows no
-latencies yet.  A message to a dispatcher that died unnoticed is never
-answered; without any hedge the first searches of a fresh daemon would wait
-for it until their deadline, and a lost canary would leave them empty."""
+"""The hedge delay while no latencies are known, as a share of the deadline.
+Without a hedge, the first searches of a fresh daemon would wait until their
+deadline for a dispatcher whose death is not noticed yet."""
 
 MAX_HEDGE_REFUSALS = 4
 HEDGE_REFUSAL_PAUSE_MS = 8.0
-"""A slot is soon free again where service times are tens of ms."""
+"""How often a shard's hedge may find no idle slot, and the pause after each
+refusal; slots free up within a service time of tens of ms."""
 
 HEDGE_BATCH_SHARE = 0.2
 MIN_HEDGE_BATCH = 2
 HEDGE_BATCH_INTERVAL_SHARE = 0.25
-"""When many shards of a search are late together, few of them are hedged at
-a time: this share of all shards, and the next ones a part of the delay later.
-What makes them late together is mostly this daemon, or a load that every
-target has: after a loss of all daemons their connections are cold, each first
-search hedged all of its 20 shards, and that doubled the work when there was
-most.  The others come meanwhile by themselves.  Where a whole site is silent,
-all of its shards are hedged within 1.75 delays.  Worth +0.0070 +- 0.0050 of
-a day's benefit over 10 pairs of played days of 7 daemons and 20 shards."""
+"""Shards that are overdue at the same time are hedged in batches: at most
+this share of all shards, and the next batch after a share of the hedge delay.
+Many are overdue at once mostly because of this daemon or a load on every
+target; hedging them all would double that load, and most are answered before
+their batch.  A site that is silent is still hedged within two delays."""
 
 CandidatesOf = typing.Callable[[_scatter_round.ShardState], list[str]]
 
 
 class Hedges:
-    """One timer for all hedges of a search.
+    """Decides when to hedge; one timer serves all hedges of a search.
 
     Parameters
     ----------
     context
-        Latencies, the budget and the owners of targets.
+        Provides latencies, the budget and the owners of targets.
     index, limits
-        An attempt later than the limits' quantile of the index's latency is
-        late, or, if they set one, later than a fixed delay.
-    first_ms
-        The delay while the latency of the index is not known.
+        The hedge delay is the limits' quantile of the index's latency, or
+        the fixed delay if the limits set one.
     tally
-        Where hedges sent and denied are counted.
+        Counts the hedges that are sent and denied.
+    first_ms
+        The hedge delay while the latency of the index is not known.
     """
 
     def __init__(
@@ -73,16 +70,16 @@
             return latencies.hedge_delay_ms(
                 self._index, self._quantile, self._initial_delay_ms
             )
-        # A fixed delay adds to a queue as any other.
+        # Hedges after a fixed delay add to an overload as any others.
         overloaded = latencies.is_overloaded(self._index)
         return None if overloaded else self._fixed_ms
 
     def gather_ms(self) -> float:
-        """Return for how long the parts of an order are to be gathered."""
+        """Return for how many ms the results of an order are gathered."""
         return _hedging.gather_ms(self._delay_ms() or self._initial_delay_ms)
 
     def arm(self, now_ms: float) -> None:
-        """Attempts are sent now; an earlier timer covers them too."""
+        """Start the timer for attempts that are sent now, unless it runs."""
         if self.due_ms < math.inf:
             return
         delay_ms = self._delay_ms()
@@ -91,11 +88,10 @@
     def on_refused(
         self, shard: _scatter_round.ShardState, now_ms: float
     ) -> None:
-        """A hedge found no idle slot: it may go again after a pause.
+        """Allow another hedge after a pause, because one found no idle slot.
 
-        Stragglers last for several service times, so that a slot of the
-        other replica is likely to be idle before they end; without a second
-        try one unlucky moment leaves the search to its straggler.
+        A straggler takes several service times, so a slot of the other
+        replica is likely to become idle before it ends.
         """
         shard.hedge_refusals += 1
         if shard.hedge_refusals >= MAX_HEDGE_REFUSALS:
@@ -105,7 +101,7 @@
         self.due_ms = min(self.due_ms, shard.next_hedge_ms)
 
     def stop(self) -> None:
-        """Send no more."""
+        """Send no more hedges until the timer is armed again."""
         self.due_ms = math.inf
 
     def take_due(
@@ -114,10 +110,10 @@
         open_to: CandidatesOf,
         now_ms: float,
     ) -> list[tuple[_scatter_round.ShardState, list[str]]]:
-        """Return the shards to hedge now, each with its candidates.
+        """Return the shards to hedge now, each with its candidate replicas.
 
-        A replica at another dispatcher comes first, since the lateness may
-        be the dispatcher's and not the target's.
+        Replicas behind another dispatcher are preferred, because the delay
+        may be the dispatcher's and not the target's.
         """
         self.due_ms = math.inf
         delay_ms = self._delay_ms()
@@ -145,7 +141,10 @@
         attempts: typing.Iterable[_scatter_round.Attempt],
         open_to: CandidatesOf,
     ) -> list[tuple[_scatter_round.ShardState, list[str]]]:
-        """Return the shards of a silent daemon's attempts, to hedge now."""
+        """Return the shards of a silent daemon's attempts to hedge now.
+
+        Each comes with its candidate replicas.
+        """
         chosen = []
         for attempt in attempts:
             shard = attempt.shard
@@ -158,7 +157,7 @@
         return chosen
 
     def _batch_size(self) -> int:
-        """Return how many shards may be hedged at one time."""
+        """Return how many shards may be hedged at the same time."""
         shards = self._tally.sub_queries_needed
         return max(MIN_HEDGE_BATCH, math.ceil(shards * HEDGE_BATCH_SHARE))
 
@@ -172,7 +171,7 @@
 
 
 def initial_delay_ms(plan: _planner.Plan) -> float:
-    """Return when to hedge while no latencies are known."""
+    """Return the hedge delay of a search while no latencies are known."""
     if plan.initial_hedge_delay_ms is not None:
         return plan.initial_hedge_delay_ms
     return plan.search.deadline_ms * INITIAL_DELAY_SHARE
--- a/samphiredock/coordination/search/_scatter_restart.py
+++ b/samphiredock/coordination/search/_scatter_restart.py
@@ -1,4 +1,4 @@
-"""Whether a search restarts on a newer snapshot, and how long it waits."""
+"""How long a search waits for a newer snapshot to restart on."""
 
 import math
 
@@ -10,11 +10,12 @@
 
 
 class SnapshotWait:
-    """A shard has left the plan's snapshot at every replica.
+    """Waits for a newer snapshot, because a shard lacks the current one.
 
-    The targets are ahead of this daemon, so a newer snapshot is about to be
-    known; it is awaited for a share of the budget, so that time is left to
-    answer with what the old one gave.
+    If no replica of a shard has the snapshot any more, the targets are ahead
+    of this daemon, which will soon learn of a newer one.  The wait lasts for
+    a share of the time left, so that the answers at the old snapshot can
+    still be returned in time.
     """
 
     def __init__(
@@ -26,23 +27,23 @@
         self._restarts_left = _MAX_RESTARTS if may_restart else 0
 
     def may_restart(self) -> bool:
-        """Whether another restart is allowed."""
+        """Return whether another restart is allowed."""
         return self._restarts_left > 0
 
     def is_active(self) -> bool:
-        """Whether a newer snapshot is awaited."""
+        """Return whether a newer snapshot is awaited."""
         return self._until_ms < math.inf
 
     def has_timed_out(self, now_ms: float) -> bool:
-        """Whether the wait has lasted long enough."""
+        """Return whether the time to wait is over."""
         return now_ms >= self._until_ms
 
     def next_check_ms(self) -> float:
-        """Return when to look again."""
+        """Return when to check again for a newer snapshot."""
         return self._next_check_ms
 
     def begin(self, now_ms: float) -> None:
-        """Await a newer snapshot."""
+        """Start to wait for a newer snapshot, unless that is under way."""
         if not self.is_active():
             left_ms = self._deadline_at_ms - now_ms
             self._until_ms = now_ms + left_ms * _WAIT_SHARE
@@ -56,7 +57,11 @@
         typical_ms: float,
         now_ms: float,
     ) -> state.Snapshot | None:
-        """Return the snapshot to restart on, if there is one and time."""
+        """Return the snapshot to restart on; None if there is none in time.
+
+        ``typical_ms`` is the median latency: without that much time left a
+        restart would give no answer.
+        """
         self._next_check_ms = now_ms + _POLL_MS
         if (
             newest is None
@@ -68,12 +73,12 @@
         return newest
 
     def record_restart(self) -> None:
-        """The search was restarted."""
+        """Record a restart, which ends the wait."""
         self._restarts_left -= 1
         self._reset()
 
     def give_up(self) -> None:
-        """No newer snapshot came in time."""
+        """End the wait without a restart, and allow none from now on."""
         self._restarts_left = 0
         self._reset()
 
--- a/samphiredock/coordination/search/_scatter_results.py
+++ b/samphiredock/coordination/search/_scatter_results.py
@@ -1,4 +1,4 @@
-"""What the end of one attempt means for its shard."""
+"""Classifies the result of an attempt, and how its shard goes on."""
 
 import dataclasses
 import enum
@@ -12,7 +12,16 @@
 
 
 class AttemptResult(enum.Enum):
-    """What an ended attempt was worth."""
+    """The kinds of results of attempts.
+
+    ``WHOLE`` and ``PART``: accepted, and the shard's key range is now
+    searched entirely or in part.  ``EMPTY``: no range was searched.
+    ``BAD``: the answer contradicts the sub-query.  ``LOST``: the target was
+    lost while it ran the attempt.  ``GONE``: the target no longer has the
+    snapshot.  ``BUSY``: the attempt was not taken, since no slot was idle or
+    its order was not accepted.  ``TRANSIENT``: the same target may accept
+    it later.  ``UNKNOWN``: the target may have run it.
+    """
 
     WHOLE = 'whole'
     PART = 'part'
@@ -31,12 +40,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryRule:
-    """How a shard goes on after an ending that did not settle it.
+    """How a shard goes on after a result that did not settle it.
 
-    A ``costly`` ending used the target's time, so its retry draws from the
-    budget.  ``gone`` means that the replica has left the snapshot,
-    ``again`` that it may be asked once more after a pause, ``unasked``
-    that it may be asked at once since it never took the attempt.
+    Parameters
+    ----------
+    uses_budget
+        The target spent time on the attempt, so a retry needs budget.
+    snapshot_gone
+        The replica no longer has the search's snapshot.
+    retry_after_pause
+        The same replica may be queried once more after a pause.
+    not_attempted
+        The same replica may be queried at once: it never took the attempt.
+    counter
+        The counter of :class:`Tally` to increment.
     """
 
     uses_budget: bool = True
@@ -62,14 +79,14 @@
         uses_budget=False, retry_after_pause=True
     ),
     AttemptResult.REFUSED: RetryRule(uses_budget=False),
-    # Says nothing of the target, which may have run it.
+    # No fault of the target, which may have run it.
     AttemptResult.UNKNOWN: RetryRule(),
 }
 
 TARGET_FAULTS = frozenset(
     {AttemptResult.FAILED, AttemptResult.BAD, AttemptResult.TRANSIENT}
 )
-"""Ends that speak against the replica: another one is asked first."""
+"""Results that count as failures of the target when a replica is chosen."""
 
 _RESULT_OF_STATUS = {
     _Status.SNAPSHOT_GONE: AttemptResult.GONE,
@@ -95,14 +112,14 @@
     shard: _scatter_round.ShardState,
     snapshot_id: int,
 ) -> AttemptResult:
-    """Return what an ended attempt was worth; keep its content if sound.
+    """Return the kind of a result, and add a sound answer to its shard.
 
     Parameters
     ----------
     answer
-        The end of an attempt on ``shard``.
+        The result of an attempt on ``shard``.
     shard
-        Takes the ranges and records of a sound answer.
+        A sound answer is added to it.
     snapshot_id
         The only snapshot whose answers may be merged.
     """
@@ -113,13 +130,13 @@
             else _RESULT_OF_STATUS[answer.status]
         )
     if answer.snapshot_id != snapshot_id:
-        # Merging it would mix two versions of the index in one answer.
+        # Merging it would mix two versions of the index in one outcome.
         return AttemptResult.WRONG_SNAPSHOT
     asked = shard.shard.key_range
     if not _merge.is_within(answer.ranges, asked):
         return AttemptResult.BAD
     if not answer.ranges:
-        # A target that has not loaded its shard finds nothing in it.
+        # A target that has not loaded its shard searches no range.
         return AttemptResult.EMPTY
     shard.answers.append(answer)
     if not answer.truncated:
@@ -134,7 +151,7 @@
     shard: _scatter_round.ShardState,
     tally: _scatter_types.Tally,
 ) -> None:
-    """Note in ``shard`` which replicas may be asked after an ending."""
+    """Update which replicas of ``shard`` may be queried after a result."""
     if rule.counter:
         tally.increment(rule.counter)
     shard.snapshot_gone = shard.snapshot_gone or rule.snapshot_gone
--- a/samphiredock/coordination/search/_scatter_round.py
+++ b/samphiredock/coordination/search/_scatter_round.py
@@ -1,4 +1,4 @@
-"""What one search knows of its shards at one snapshot."""
+"""The state of one search at one snapshot: its shards and their answers."""
 
 import dataclasses
 
@@ -11,7 +11,7 @@
 _MAX_PASSES = 2
 _MIN_PAUSE_MS = 10.0
 
-# The first of these that was seen says why a search was not run.
+# The first of these statuses that occurred gives the reason of a refusal.
 _REASON_OF_STATUS = (
     (protocol.SubStatus.QUARANTINED, protocol.NotRunReason.QUARANTINED),
     (protocol.SubStatus.SHED, protocol.NotRunReason.OVERLOADED),
@@ -24,10 +24,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One sub-query that has not ended.
+    """A pending sub-query to one target.
 
-    ``is_ordered`` says that another daemon makes it and has not told yet
-    that it is late.
+    ``alone`` says that it runs in an exchange of its own.  ``is_ordered``
+    says that another daemon queries the target, and has not reported the
+    attempt as late.
     """
 
     shard: 'ShardState'
@@ -40,13 +41,35 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class ShardState:
-    """One shard: what was tried and what was answered.
+    """One shard of a search: its attempts and its answers.
 
-    ``again`` are replicas that refused for a reason that passes; they may
-    be tried once more.  ``again_at_ms`` is when, 0 if no pause is on.
-    ``ran`` are the targets that have begun it, for all that is known.
-    ``hedged`` says that no (further) hedge is wanted, ``next_hedge_ms``
-    from when on one may be sent after a refused one.
+    Parameters
+    ----------
+    tried
+        Replicas that are not candidates for the next attempt.
+    started_on
+        Targets that have begun the search, or may have.
+    retryable
+        Replicas that refused for a transient reason; candidates again after
+        a pause, if another pass is left.
+    answers, ranges
+        The accepted answers, and the key ranges that they searched.
+    outstanding
+        How many attempts are pending.
+    passes
+        How many times the replicas were candidates, including now.
+    pause_ms
+        The longest pause that a refusing replica asked for.
+    retry_at_ms
+        When to query the retryable replicas, 0 if no pause is running.
+    hedged
+        Whether no further hedge is wanted.
+    hedge_refusals, next_hedge_ms
+        How many hedges found no idle slot, and when the next may be sent.
+    snapshot_gone
+        Whether a replica no longer has the snapshot.
+    settled
+        Whether nothing more is expected of the shard.
     """
 
     shard: state.Shard
@@ -66,11 +89,11 @@
     settled: bool = False
 
     def may_retry_refused(self) -> bool:
-        """Whether refusals of the moment are worth a second pass."""
+        """Return whether replicas that refused may be queried once more."""
         return bool(self.retryable) and self.passes < _MAX_PASSES
 
     def schedule_retry(self, now_ms: float) -> None:
-        """Open the replicas that refused for the moment once more."""
+        """Make the replicas that refused candidates again after a pause."""
         self.passes += 1
         self.tried -= self.retryable
         self.retryable.clear()
@@ -78,7 +101,10 @@
 
 
 class Round:
-    """The shards of one search at one snapshot, and their answers."""
+    """The shards of one search at one snapshot, and their answers.
+
+    A search that restarts on a newer snapshot begins another round.
+    """
 
     def __init__(self, plan: _planner.Plan, snapshot: state.Snapshot) -> None:
         self.plan = plan
@@ -94,7 +120,7 @@
         return sum(1 for shard in self.shards if shard.answers)
 
     def settle(self, shard: ShardState) -> None:
-        """Expect nothing more of this shard."""
+        """Expect no more answers of this shard."""
         if not shard.settled:
             shard.settled = True
             shard.retry_at_ms = 0.0
@@ -104,17 +130,17 @@
                 self._uncovered_keys += key_range.high - key_range.low
 
     def has_least_coverage(self) -> bool:
-        """Whether the answers so far reach the least coverage."""
+        """Return whether the answers so far reach the least coverage."""
         least = least_keys(self.plan.search.least_coverage)
         return self._answered_shards > 0 and self.covered_keys() >= least
 
     def is_least_unreachable(self) -> bool:
-        """Whether the least coverage cannot be reached any more."""
+        """Return whether the least coverage cannot be reached any more."""
         least = least_keys(self.plan.search.least_coverage)
         return state.KEY_SPACE_SIZE - self._uncovered_keys < least
 
     def accepted(self) -> tuple[protocol.SubAnswer, ...]:
-        """Return the answers whose content may be merged."""
+        """Return the answers whose records may be merged."""
         return tuple(row for shard in self.shards for row in shard.answers)
 
     def covered_ranges(self) -> list[protocol.KeyRange]:
@@ -124,11 +150,11 @@
         )
 
     def covered_keys(self) -> int:
-        """Return how many places of the key space were searched."""
+        """Return how many keys of the key space were searched."""
         return _merge.covered_keys(self.covered_ranges())
 
     def answer(self) -> protocol.Answered | protocol.Partial | None:
-        """Return the answer at this snapshot, None below the least."""
+        """Return the answer at this snapshot; None below the least coverage."""
         plan = self.plan
         covered = self.covered_ranges()
         answers = self.accepted()
@@ -145,12 +171,12 @@
             snapshot_id,
             keys / state.KEY_SPACE_SIZE,
             missing,
-            f'{len(missing)} key ranges gave no answer in time',
+            f'{len(missing)} key ranges were not answered in time',
         )
 
 
 def least_keys(least_coverage: float) -> int:
-    """Return the least coverage as a count of keys, rounded up."""
+    """Return a least coverage, 0.0 to 1.0, as a count of keys, rounded up."""
     keys = least_coverage * state.KEY_SPACE_SIZE
     return int(keys) + (keys > int(keys))
 
@@ -160,7 +186,8 @@
 ) -> protocol.NotRun:
     """Return the refusal of a search that no target began.
 
-    ``seen`` holds, for each ending, the longest ``retry_after_ms`` given.
+    ``seen`` maps the status of each attempt without an answer to the longest
+    ``retry_after_ms`` that came with it.
     """
     for status, reason in _REASON_OF_STATUS:
         if status in seen:
@@ -178,17 +205,18 @@
     seen: dict[protocol.SubStatus, int],
     began: bool,
 ) -> protocol.SearchOutcome:
-    """Return what the caller is told when nothing more is awaited.
+    """Return the outcome of a search that awaits no more answers.
 
     Parameters
     ----------
     current, older
-        The answers at the newest snapshot tried and at the best one before;
-        the one that covers more is given, never both.
+        The newest round, and the best one at an older snapshot.  The one
+        that covers more is returned; answers of both are never merged.
     seen
-        Endings without content, with the longest ``retry_after_ms`` of each.
+        The status of each attempt without an answer, with the longest
+        ``retry_after_ms`` that came with it.
     began
-        Whether any target may have begun: then "not run" would be untrue.
+        Whether any target may have begun, which rules out ``NotRun``.
     """
     best = current
     if older is not None and older.covered_keys() > current.covered_keys():
@@ -199,7 +227,8 @@
     detail = (
         f'got coverage {best.covered_keys() / state.KEY_SPACE_SIZE:.4f}, '
         f'expected at least {best.plan.search.least_coverage}; '
-        f'endings: {sorted(status.value for status in seen)}'
+        f'attempts without an answer: '
+        f'{sorted(status.value for status in seen)}'
     )
     if began:
         return protocol.Unknown(detail, _RETRY_AFTER_MS)
