--- a/samphiredock/coordination/search/_scatter.py
+++ b/samphiredock/coordination/search/_scatter.py
@@ -343,7 +343,7 @@
             self._retry(shard, False, now_ms)
 
     def _run_next_alone(self, now_ms: float) -> None:
-        """Query one shard alone, unless the content is quarantined or cleared."""
+        """Query one shard alone, or end that if the content was judged."""
         if self._context.crash_tracker.is_suspect(self._plan.fingerprint):
             self._canary_gate.mark_suspect()
         if self._context.crash_tracker.is_quarantined(self._plan.fingerprint):
@@ -444,7 +444,7 @@
         """Return whether to end the search before all shards are settled.
 
         From ``answer_by_ms`` on, the least coverage is enough.  If it cannot
-        be reached any more, waiting would only delay the refusal.
+        be reached any more, waiting would only delay the outcome.
         """
         if self._finish_effect or self._snapshot_wait.is_active():
             return False
--- a/samphiredock/coordination/search/_scatter_canary.py
+++ b/samphiredock/coordination/search/_scatter_canary.py
@@ -134,7 +134,10 @@
         self._is_suspect = True
 
     def has_enough_canaries(self) -> bool:
-        """Return whether to stop sending canaries, none of which was decisive."""
+        """Return whether to stop sending canaries.
+
+        The limit bounds the delay when canaries end without a verdict.
+        """
         return (
             self._is_canary
             and not self._is_suspect
--- a/samphiredock/coordination/search/_scatter_round.py
+++ b/samphiredock/coordination/search/_scatter_round.py
@@ -154,7 +154,7 @@
         return _merge.covered_keys(self.covered_ranges())
 
     def answer(self) -> protocol.Answered | protocol.Partial | None:
-        """Return the answer at this snapshot; None below the least coverage."""
+        """Return the merged answer, None below the least coverage."""
         plan = self.plan
         covered = self.covered_ranges()
         answers = self.accepted()
