--- a/samphiredock/coordination/search/_admission.py
+++ b/samphiredock/coordination/search/_admission.py
@@ -45,7 +45,7 @@
         limits: state.Limits,
         request_class: str,
         deadline_ms: float,
-        least_ms: float = 0.0,
+        fastest_ms: float = 0.0,
     ) -> protocol.NotRun | None:
         """Admit a request, or return why it is refused.
 
@@ -53,18 +53,18 @@
         ----------
         deadline_ms
             The time that the caller allows.
-        least_ms
+        fastest_ms
             The latency of the fastest such requests, 0 if not known.
 
         Returns
         -------
         None if admitted; :meth:`release` must follow when the request ends.
         """
-        if deadline_ms < least_ms and not self._is_probe():
+        if deadline_ms < fastest_ms and not self._is_probe():
             return protocol.NotRun(
                 protocol.NotRunReason.DEADLINE_TOO_SHORT,
                 f'got deadline_ms {deadline_ms:.0f}, expected at least '
-                f'{least_ms:.0f}, the latency of the fastest answers',
+                f'{fastest_ms:.0f}, the latency of the fastest answers',
                 self._retry_after_ms(limits.in_flight_per_daemon),
             )
         share = _CLASS_SHARE.get(request_class, 1.0)
--- a/samphiredock/coordination/search/_coordinator.py
+++ b/samphiredock/coordination/search/_coordinator.py
@@ -191,8 +191,8 @@
             fingerprint
         )
         left_ms = plan.deadline_at_ms - self._clock.now_ms()
-        care = self._quarantine.begin_run(fingerprint, left_ms)
-        suspect = care is _quarantine.RunMode.SUSPECT
+        mode = self._quarantine.begin_run(fingerprint, left_ms)
+        suspect = mode is _quarantine.RunMode.SUSPECT
         scatter = _scatter.Scatter(
             plan, self._context, limits, canary, suspect
         )
--- a/samphiredock/coordination/search/_hedging.py
+++ b/samphiredock/coordination/search/_hedging.py
@@ -121,18 +121,18 @@
         return self._records[index].is_overloaded()
 
     def hedge_delay_ms(
-        self, index: str, quantile: float, unknown_ms: float
+        self, index: str, quantile: float, default_ms: float
     ) -> float | None:
         """Return the hedge delay; None while hedges are suspended by overload.
 
-        ``unknown_ms`` is the delay while too few latencies are known.
+        ``default_ms`` is the delay while too few latencies are known.
         """
         record = self._records[index]
         if record.is_overloaded():
             return None
         delay_ms = record.quantile(quantile)
         if delay_ms is None:
-            return unknown_ms
+            return default_ms
         return max(_MIN_DELAY_MS, delay_ms)
 
     def quantile_ms(self, index: str, quantile: float) -> float:
--- a/samphiredock/coordination/search/_scatter.py
+++ b/samphiredock/coordination/search/_scatter.py
@@ -24,7 +24,7 @@
 
 
 _Status = protocol.SubStatus
-_Verdict = _scatter_results.AttemptResult
+_Result = _scatter_results.AttemptResult
 
 
 class Scatter:
@@ -276,13 +276,13 @@
             self._seen_statuses[status] = max(
                 self._seen_statuses.get(status, 0), answer.retry_after_ms
             )
-        verdict = _scatter_results.classify(
+        result = _scatter_results.classify(
             answer, shard, self._round.snapshot.snapshot_id
         )
         # Only whole answers count as latency: an empty one is always quick.
-        useful = verdict is _Verdict.WHOLE
-        self._attempts.remove(attempt, took_ms if useful else None)
-        if verdict in _scatter_results.TARGET_FAULTS:
+        is_whole = result is _Result.WHOLE
+        self._attempts.remove(attempt, took_ms if is_whole else None)
+        if result in _scatter_results.TARGET_FAULTS:
             self._context.replicas.record_failure(attempt.item.target)
         began = status not in protocol.NEVER_STARTED
         charged = status in self._context.budget.charged_refusals
@@ -300,18 +300,18 @@
                     self._plan.fingerprint
                 )
             self._release_held(now_ms)
-        if verdict is _Verdict.WHOLE:
+        if result is _Result.WHOLE:
             self.tally.hedges_won += attempt.item.hedge
             self._settle(shard, now_ms)
-        elif verdict is _Verdict.QUARANTINED:
+        elif result is _Result.QUARANTINED:
             self._finish()
         elif began and not self._plan.repeatable:
             # A retry might run it a second time.
             self._settle(shard, now_ms)
-        elif verdict is _Verdict.LOST:
+        elif result is _Result.LOST:
             self._on_target_lost(shard, answer, now_ms)
         else:
-            rule = _scatter_results.RETRY_RULES[verdict]
+            rule = _scatter_results.RETRY_RULES[result]
             _scatter_results.apply_rule(rule, answer, shard, self.tally)
             self._retry(shard, rule.uses_budget or charged, now_ms)
 
@@ -358,14 +358,14 @@
     def _retry(
         self,
         shard: _scatter_round.ShardState,
-        costly: bool,
+        uses_budget: bool,
         now_ms: float,
-        its_turn: bool = False,
+        is_its_turn: bool = False,
     ) -> None:
         """Query another replica, unless an attempt on the shard is pending."""
         if self._finish_effect or shard.settled or shard.outstanding:
             return
-        if self._canary_gate.must_run_alone(shard) and not its_turn:
+        if self._canary_gate.must_run_alone(shard) and not is_its_turn:
             self._canary_gate.enqueue(shard)
             return
         candidates = self._candidates_of(shard)
@@ -373,13 +373,13 @@
             self._on_no_candidate(shard, now_ms)
             return
         shard_id = shard.shard.shard_id
-        if costly and not self._context.budget.spend_retry(shard_id):
+        if uses_budget and not self._context.budget.spend_retry(shard_id):
             self.tally.retries_denied += 1
             self._settle(shard, now_ms)
             return
         self._arm_hedges(now_ms)
         self.tally.retries += bool(shard.tried)
-        if its_turn:
+        if is_its_turn:
             candidates = [self._canary_gate.choose_replica(candidates)]
         self._send_attempt(shard, now_ms, candidates)
 
--- a/samphiredock/coordination/search/_scatter_hedges.py
+++ b/samphiredock/coordination/search/_scatter_hedges.py
@@ -44,7 +44,7 @@
         the fixed delay if the limits set one.
     tally
         Counts the hedges that are sent and denied.
-    first_ms
+    initial_ms
         The hedge delay while the latency of the index is not known.
     """
 
@@ -54,14 +54,14 @@
         index: str,
         limits: state.Limits,
         tally: _scatter_types.Tally,
-        first_ms: float,
+        initial_ms: float,
     ) -> None:
         self._context = context
         self._index = index
         self._quantile = limits.hedge_quantile
         self._fixed_ms = limits.hedge_after_ms
         self._tally = tally
-        self._initial_delay_ms = first_ms
+        self._initial_delay_ms = initial_ms
         self.due_ms = math.inf
 
     def _delay_ms(self) -> float | None:
@@ -107,7 +107,7 @@
     def take_due(
         self,
         attempts: _scatter_attempts.Attempts,
-        open_to: CandidatesOf,
+        candidates_of: CandidatesOf,
         now_ms: float,
     ) -> list[tuple[_scatter_round.ShardState, list[str]]]:
         """Return the shards to hedge now, each with its candidate replicas.
@@ -126,7 +126,7 @@
             self.due_ms = now_ms + delay_ms * HEDGE_BATCH_INTERVAL_SHARE
         chosen = []
         for attempt in late:
-            candidates = open_to(attempt.shard)
+            candidates = candidates_of(attempt.shard)
             if candidates and self._spend_hedge(attempt.shard):
                 elsewhere = [
                     name
@@ -139,7 +139,7 @@
     def take_silent(
         self,
         attempts: typing.Iterable[_scatter_round.Attempt],
-        open_to: CandidatesOf,
+        candidates_of: CandidatesOf,
     ) -> list[tuple[_scatter_round.ShardState, list[str]]]:
         """Return the shards of a silent daemon's attempts to hedge now.
 
@@ -151,7 +151,7 @@
             attempt.is_ordered = False
             if shard.hedged or shard.outstanding != 1:
                 continue
-            candidates = open_to(shard)
+            candidates = candidates_of(shard)
             if candidates and self._spend_hedge(shard):
                 chosen.append((shard, candidates))
         return chosen
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -27,11 +27,11 @@
         service: state.Service,
         request_class: str = 'interactive',
         deadline_ms: float = 160.0,
-        least_ms: float = 0.0,
+        fastest_ms: float = 0.0,
     ) -> Reason | None:
         """Return why a request is refused, None if it is admitted."""
         refusal = self.admission.admit(
-            service, self.limits, request_class, deadline_ms, least_ms
+            service, self.limits, request_class, deadline_ms, fastest_ms
         )
         self.refusal = refusal
         return refusal and refusal.reason
@@ -79,7 +79,7 @@
         Were none tried, a slow minute would never be found to be over.
         """
         verdicts = [
-            self.admit(self.desk, deadline_ms=5.0, least_ms=9.0)
+            self.admit(self.desk, deadline_ms=5.0, fastest_ms=9.0)
             for _ in range(20)
         ]
         self.assertEqual([Reason.DEADLINE_TOO_SHORT] * 19, verdicts[:19])
