--- a/samphiredock/coordination/quarantine/__init__.py
+++ b/samphiredock/coordination/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Contents that crash targets: suspected, tried alone, refused."""
+"""Refuses request contents that crash targets."""
 
 from samphiredock import lazy
 
--- a/samphiredock/coordination/quarantine/_crash_tracker.py
+++ b/samphiredock/coordination/quarantine/_crash_tracker.py
@@ -1,4 +1,4 @@
-"""Which contents were lately seen to succeed, and so need no canary."""
+"""Records successes and losses by request content, as searches see them."""
 
 import collections
 
@@ -10,7 +10,17 @@
 
 
 class KnownContents:
-    """A bounded least-recently-used set with a time limit."""
+    """Fingerprints of contents that succeeded recently and need no canary.
+
+    The least recently used one is dropped when the set is full.
+
+    Parameters
+    ----------
+    contents
+        The largest number of fingerprints.
+    keep_ms
+        For how long a success counts.
+    """
 
     def __init__(
         self, contents: int = _CONTENTS, keep_ms: float = _KEEP_MS
@@ -25,18 +35,18 @@
         return len(self._seen_ms)
 
     def remember(self, fingerprint: str, now_ms: float) -> None:
-        """The content succeeded now."""
+        """Record that the content succeeded now."""
         self._seen_ms[fingerprint] = now_ms
         self._seen_ms.move_to_end(fingerprint)
         if len(self._seen_ms) > self._contents:
             self._seen_ms.popitem(last=False)
 
     def forget(self, fingerprint: str) -> None:
-        """The content lost a target: its successes count no more."""
+        """Drop the content, because a target was lost to it."""
         self._seen_ms.pop(fingerprint, None)
 
     def is_known(self, fingerprint: str, now_ms: float) -> bool:
-        """Whether the content succeeded within the time limit."""
+        """Return whether the content succeeded within the time limit."""
         seen_ms = self._seen_ms.get(fingerprint)
         if seen_ms is None:
             return False
@@ -47,7 +57,10 @@
 
 
 class QuarantineCrashTracker:
-    """Join what searches learn of a content to the quarantine."""
+    """Implements :class:`CrashTracker` by the quarantine.
+
+    It also remembers the contents that succeeded recently.
+    """
 
     def __init__(
         self, quarantine: _quarantine.Quarantine, clock: timers.Timers
@@ -57,23 +70,23 @@
         self._known = KnownContents()
 
     def is_known(self, fingerprint: str) -> bool:
-        """Whether the content lately succeeded."""
+        """Return whether the content succeeded recently."""
         return self._known.is_known(fingerprint, self._clock.now_ms())
 
     def record_loss(self, fingerprint: str, target: str, service: str) -> None:
-        """Count a target lost while it ran this content alone."""
+        """Record that a target was lost while it ran only this content."""
         self._known.forget(fingerprint)
         self._quarantine.record_loss(fingerprint, target, service)
 
     def record_success(self, fingerprint: str) -> None:
-        """The content ran alone and its target lives."""
+        """Record that the content ran alone and its target is still alive."""
         self._known.remember(fingerprint, self._clock.now_ms())
         self._quarantine.record_success(fingerprint)
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Whether the content is refused from now on."""
+        """Return whether the content is refused."""
         return self._quarantine.is_quarantined(fingerprint)
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Whether a target was lost to the content, here or elsewhere."""
+        """Return whether any daemon lost a target that ran the content."""
         return self._quarantine.is_suspect(fingerprint)
--- a/samphiredock/coordination/quarantine/_quarantine.py
+++ b/samphiredock/coordination/quarantine/_quarantine.py
@@ -1,4 +1,4 @@
-"""Refuse contents that crash targets, at every daemon."""
+"""Quarantines request contents that crash targets, at every daemon."""
 
 import asyncio
 import enum
@@ -17,8 +17,9 @@
 
 _STORED = msgspec.json.Decoder(protocol.StoredQuarantine)
 
-# A verdict is kept in the store only after this long, in which the news of
-# another content lost in the same crash may still withdraw it.
+# The delay before a new quarantine is published and stored.  If another
+# content ran at a target during the same crash, that is reported here in the
+# meantime and withdraws the quarantine.
 _PUBLISH_DELAY_MS = 2_000.0
 _STORE_RETRY_MS = 5_000.0
 _MIN_RETRY_MS = 200
@@ -27,23 +28,28 @@
 
 
 class RunMode(enum.Enum):
-    """How a content is to be run."""
+    """How a content is to be run: at many targets, or alone as a suspect."""
 
     NORMAL = 'normal'
     SUSPECT = 'suspect'
 
 
 class Quarantine:
-    """The contents under suspicion and in quarantine.
+    """Request contents that are suspected of crashing targets, or refused.
+
+    A content is identified by its fingerprint.  It becomes a suspect when a
+    target is lost while it runs alone, and runs only alone from then on; it
+    is quarantined, and refused at every daemon, after a second loss.
 
     Parameters
     ----------
     peers
-        Where notices of other daemons come from.
+        Delivers the notices of other daemons.
     broadcaster
-        How they are told.
+        Sends notices to all daemons.
     platform
-        The store; best effort, refusals work without it.
+        The store, which daemons that start later read.  Refusals work
+        without it.
     clock
         The timer service.
     counters
@@ -69,10 +75,10 @@
         peers.subscribe(protocol.QuarantineNotice, self._on_quarantined)
         peers.subscribe(protocol.ClearedNotice, self._on_cleared)
 
-    # What the request paths ask.
+    # For requests.
 
     def refusal(self, fingerprint: str) -> protocol.NotRun | None:
-        """Return why a content may not run now, None if it may."""
+        """Return why a content may not run now; None if it may."""
         now_ms = self._clock.now_ms()
         wall_ms = self._clock.wall_ms()
         entry = self._suspects.entry_of(fingerprint, now_ms, wall_ms)
@@ -81,7 +87,7 @@
             return protocol.NotRun(
                 protocol.NotRunReason.QUARANTINED,
                 f'this request crashed {len(entry.targets)} targets and is '
-                f'refused until {entry.until_ms} (ms since the epoch)',
+                f'quarantined until {entry.until_ms} (ms since the epoch)',
                 entry.until_ms - wall_ms,
             )
         case = self._suspects.get(fingerprint, now_ms)
@@ -89,18 +95,18 @@
             self._metrics.add('suspect_refusals')
             return protocol.NotRun(
                 protocol.NotRunReason.QUARANTINED,
-                'this request may have crashed a target and is being tried '
-                'alone elsewhere',
+                'this request may have crashed a target, and another copy is '
+                'being tried alone',
                 max(_MIN_RETRY_MS, int(case.trial_until_ms - now_ms)),
             )
         return None
 
     def begin_run(self, fingerprint: str, budget_ms: float) -> RunMode:
-        """Say how to run a content that :meth:`refusal` lets through.
+        """Return how to run a content that :meth:`refusal` did not refuse.
 
-        For a suspect this starts a trial: until it ends, this daemon and
-        those that hear of it refuse further copies, so that the copies of
-        one content lose one target at a time.
+        For a suspect this starts a trial of ``budget_ms``: until it ends,
+        all daemons that are notified refuse further copies, so that copies
+        of one content crash one target at a time.
         """
         now_ms = self._clock.now_ms()
         case = self._suspects.get(fingerprint, now_ms)
@@ -110,7 +116,7 @@
         return RunMode.SUSPECT
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Whether a content is refused."""
+        """Return whether a content is in quarantine."""
         return (
             self._suspects.entry_of(
                 fingerprint, self._clock.now_ms(), self._clock.wall_ms()
@@ -119,19 +125,22 @@
         )
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Whether a target was lost to a content that is not cleared."""
+        """Return whether a target was lost to a content that is not cleared."""
         now_ms = self._clock.now_ms()
         return self._suspects.get(fingerprint, now_ms) is not None
 
     def record_loss(
         self, fingerprint: str, target: str, service: str = ''
     ) -> None:
-        """Count a target lost while it ran this content alone."""
+        """Record that a target was lost while it ran only this content.
+
+        All daemons are notified.
+        """
         self._metrics.add('suspect_losses')
         case = self._count_loss(fingerprint, target, service)
         if not case.losses:
-            # An outage explains it; the others learn the loss, so that they
-            # can tell the same.
+            # The loss is part of an outage of several targets.  The other
+            # daemons need it to come to the same conclusion.
             self._metrics.add('suspects_forgiven')
             self._broadcaster.broadcast(
                 protocol.SuspectNotice(
@@ -143,7 +152,7 @@
             self._announce_trial(case, _suspects.TRIAL_MS)
             return
         _log.warning(
-            'quarantined',
+            'content quarantined',
             fingerprint=fingerprint,
             service=case.service,
             targets=case.entry.targets,
@@ -159,7 +168,7 @@
         )
 
     def record_success(self, fingerprint: str) -> None:
-        """The content ran alone and its target lives."""
+        """Clear a suspect that ran alone while its target stayed alive."""
         case = self._suspects.get(fingerprint, self._clock.now_ms())
         if case is None or case.entry is not None:
             return
@@ -167,7 +176,7 @@
         self._metrics.add('suspects_cleared')
         self._broadcaster.broadcast(protocol.ClearedNotice(fingerprint))
 
-    # What operators ask.
+    # For operators.
 
     def entries(self) -> list[protocol.QuarantineEntry]:
         """Return the quarantines in force."""
@@ -176,11 +185,21 @@
     async def release(
         self, fingerprint: str
     ) -> result.Result[protocol.QuarantineEntry, str]:
-        """End a quarantine everywhere; the store's mark keeps it ended."""
+        """End a quarantine at every daemon.
+
+        The stored object is marked as released, so that a daemon which reads
+        it later does not quarantine the content again.
+
+        Returns
+        -------
+        The quarantine that was ended, or why that failed.
+        """
         now_ms, wall_ms = self._clock.now_ms(), self._clock.wall_ms()
         entry = self._suspects.entry_of(fingerprint, now_ms, wall_ms)
         if entry is None:
-            return result.Failure(f'got {fingerprint!r}, not in quarantine')
+            return result.Failure(
+                f'got {fingerprint!r}, expected a fingerprint in quarantine'
+            )
         self._suspects.clear(fingerprint)
         self._broadcaster.broadcast(protocol.ClearedNotice(fingerprint, True))
         _log.notice('quarantine released', fingerprint=fingerprint)
@@ -188,20 +207,20 @@
         kept = await self._put(fingerprint, mark)
         if isinstance(kept, result.Failure):
             return result.Failure(
-                f'released at the daemons that can be reached, but the store '
-                f'was not told: {kept.failure().detail}; repeat it'
+                f'released at all reachable daemons, but not in the store: '
+                f'{kept.failure().detail}; release it again'
             )
         return result.Success(entry)
 
     def close(self) -> None:
-        """Stop writing to the store."""
+        """Cancel the pending writes to the store."""
         for task in self._tasks:
             task.cancel()
 
-    # News from elsewhere.
+    # Notices of other daemons, and stored quarantines.
 
     def on_stored(self, stored: transport.StoredObject) -> None:
-        """Take an object below :data:`QUARANTINE_PREFIX` in."""
+        """Apply a stored object below :data:`QUARANTINE_PREFIX`."""
         try:
             kept = _STORED.decode(stored.value)
         except msgspec.DecodeError:
@@ -237,7 +256,7 @@
         if entry.until_ms > self._clock.wall_ms():
             self._suspects.put_entry(entry, self._clock.now_ms())
 
-    # Telling the others.
+    # Notices to other daemons, and writes to the store.
 
     def _count_loss(
         self, fingerprint: str, target: str, service: str
@@ -261,7 +280,7 @@
         )
 
     def _publish(self, fingerprint: str) -> None:
-        """Make a verdict last: tell the daemons, and keep it in the store."""
+        """Publish a quarantine that was not withdrawn, and store it."""
         entry = self._suspects.entry_of(
             fingerprint, self._clock.now_ms(), self._clock.wall_ms()
         )
@@ -286,7 +305,7 @@
     async def _put(
         self, fingerprint: str, value: protocol.StoredQuarantine
     ) -> result.Result[int, transport.StoreError]:
-        """Write over whatever version is there, by one conditional put."""
+        """Overwrite the stored object, conditional on the version just read."""
         key = QUARANTINE_PREFIX + fingerprint
         expected = transport.CREATE_ONLY
         found = await self._platform.get(key)
--- a/samphiredock/coordination/quarantine/_suspects.py
+++ b/samphiredock/coordination/quarantine/_suspects.py
@@ -1,6 +1,6 @@
-"""The judgement on contents that ran while a target was lost.
+"""Decides which request contents are suspects, and which are quarantined.
 
-A pure object: losses and successes go in, verdicts come out.
+It does no I/O: losses and the time go in, quarantine entries come out.
 """
 
 import dataclasses
@@ -20,7 +20,10 @@
 
 @dataclasses.dataclass(slots=True)
 class _Loss:
-    """A target lost; ``sure`` unless another content ran there too."""
+    """The loss of a target.
+
+    ``is_certain`` is false if another content may have caused it.
+    """
 
     at_ms: float
     is_certain: bool
@@ -28,9 +31,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Suspect:
-    """What is known against one content.
+    """A content to which targets were lost.
 
-    ``is_final`` marks a verdict that was published: it is not withdrawn.
+    ``losses`` has the lost targets, and ``entry`` the quarantine, if there
+    is one.  ``is_published`` marks a quarantine that came from the store or
+    another daemon; it is not withdrawn.  Until ``trial_until_ms`` a copy of
+    the content is being tried alone.
     """
 
     fingerprint: str
@@ -42,24 +48,24 @@
     is_published: bool = False
 
     def should_quarantine(self) -> bool:
-        """Whether two targets were lost, at least one beyond doubt."""
+        """Return whether enough targets were lost, at least one for certain."""
         return len(self.losses) >= _MIN_LOSSES and any(
             loss.is_certain for loss in self.losses.values()
         )
 
 
 class Suspects:
-    """Cases by content.
+    """Suspects by the fingerprint of their content.
 
-    One crash can take two contents that each ran alone in an exchange, in
-    two slots of the target.  Such a loss is unsure for both: it makes them
-    suspects, and only a further loss, beside nobody, convicts.  The
-    innocent one is cleared by its next run.
+    A crash may hit two contents that each run alone in an exchange, in two
+    slots of the same target.  The loss is then uncertain for both: both
+    become suspects, and a content is quarantined only after a loss for which
+    it is the only explanation.  The harmless one is cleared by its next run.
 
-    A rack or a site that fails takes several targets at once, each under
-    another content.  One content cannot have done that, so that those with
-    a single loss in it are no suspects: each would be refused everywhere
-    while it is tried alone.
+    A rack or a site that fails takes down several targets at once, each while
+    it runs another content.  No single content can cause that, so contents
+    with a single loss in such an outage are no suspects; otherwise each would
+    be refused at all daemons while it is tried alone.
     """
 
     def __init__(self, quarantine_ms: int = QUARANTINE_MS) -> None:
@@ -69,7 +75,7 @@
         self._recent_losses: list[tuple[float, str, str]] = []
 
     def get(self, fingerprint: str, now_ms: float) -> Suspect | None:
-        """Return the case against a content, unless it has lapsed."""
+        """Return a suspect; None if there is none or it has expired."""
         case = self._suspects.get(fingerprint)
         if case is None:
             return None
@@ -81,7 +87,7 @@
     def entry_of(
         self, fingerprint: str, now_ms: float, wall_ms: int
     ) -> protocol.QuarantineEntry | None:
-        """Return the quarantine in force against a content."""
+        """Return the quarantine of a content that is in force, if any."""
         case = self.get(fingerprint, now_ms)
         if case is None or case.entry is None:
             return None
@@ -106,7 +112,7 @@
         now_ms: float,
         wall_ms: int,
     ) -> Suspect:
-        """Count a target lost under a content that ran alone."""
+        """Record that a target was lost while it ran only this content."""
         case = self._get_or_add(fingerprint)
         case.service = service or case.service
         case.seen_ms = now_ms
@@ -118,13 +124,13 @@
         return case
 
     def clear(self, fingerprint: str) -> None:
-        """Forget a content."""
+        """Remove a suspect, and its quarantine."""
         self._suspects.pop(fingerprint, None)
 
     def put_entry(
         self, entry: protocol.QuarantineEntry, now_ms: float
     ) -> None:
-        """Take over a verdict from the store or another daemon."""
+        """Apply a quarantine from the store or another daemon."""
         case = self._get_or_add(entry.fingerprint)
         case.seen_ms = now_ms
         case.entry = entry
@@ -139,7 +145,7 @@
         return case
 
     def _evict(self) -> None:
-        """Make room; a suspect goes before a convicted content."""
+        """Remove the oldest suspect; one in quarantine only if all are."""
         oldest = min(
             self._suspects.values(),
             key=lambda case: (case.entry is not None, case.seen_ms),
@@ -149,7 +155,7 @@
     def _mark_uncertain(
         self, fingerprint: str, target: str, now_ms: float, wall_ms: int
     ) -> None:
-        """Mark losses unsure that one crash of the target explains."""
+        """Mark the losses of several contents to the same crash as uncertain."""
         recent = [
             row
             for row in self._losses_by_target.get(target, ())
@@ -166,7 +172,7 @@
     def _clear_outage(
         self, fingerprint: str, target: str, now_ms: float
     ) -> None:
-        """Drop the suspects that an outage of several targets explains."""
+        """Clear the losses that belong to an outage of several targets."""
         self._recent_losses = [
             row
             for row in self._recent_losses
@@ -190,7 +196,7 @@
 
     def _update_entry(self, case: Suspect, wall_ms: int) -> None:
         if not case.should_quarantine():
-            # A verdict of moments ago may rest on a loss now in doubt.
+            # A loss that has just become uncertain withdraws a quarantine.
             if not case.is_published:
                 case.entry = None
             return
--- a/samphiredock/coordination/search/_merge.py
+++ b/samphiredock/coordination/search/_merge.py
@@ -1,9 +1,9 @@
-"""Merge sub-answers to one truthful answer.
+"""Merges the answers of shards, and computes what they cover.
 
-Coverage is computed from the key ranges that the answers themselves state,
-never from what was sent: a target that answers empty before it has loaded
-its shard states no range, and one that stopped early says so.  Sums are
-integers, so that no rounding turns a gap into a whole answer.
+Coverage is computed from the key ranges that the answers state, not from
+what was sent: a target that has not loaded its shard states no range, and one
+that stopped early marks its answer as truncated.  Sums are integers, so that
+rounding cannot turn a gap into full coverage.
 """
 
 import typing
@@ -15,7 +15,7 @@
 def union_of(
     ranges: typing.Iterable[protocol.KeyRange],
 ) -> list[protocol.KeyRange]:
-    """Return the union of ranges, in order, without overlap."""
+    """Return the union of key ranges, sorted and without overlaps."""
     union: list[protocol.KeyRange] = []
     for low, high in sorted((row.low, row.high) for row in ranges):
         if union and low <= union[-1].high:
@@ -29,10 +29,10 @@
 def is_within(
     ranges: typing.Iterable[protocol.KeyRange], asked: protocol.KeyRange
 ) -> bool:
-    """Whether every stated range is sound and inside the range asked for.
+    """Return whether every range is valid and within the range asked for.
 
-    A target that claims more than it was asked for has answered another
-    question, so nothing of its answer is believed.
+    A target that states more than it was asked for has answered another
+    sub-query, so its whole answer is rejected.
     """
     return all(asked.low <= row.low < row.high <= asked.high for row in ranges)
 
@@ -40,7 +40,7 @@
 def covers(
     ranges: typing.Sequence[protocol.KeyRange], asked: protocol.KeyRange
 ) -> bool:
-    """Whether the union of ``ranges`` is the whole of ``asked``."""
+    """Return whether the union of ``ranges`` covers all of ``asked``."""
     if len(ranges) == 1:
         only = ranges[0]
         return only.low <= asked.low and only.high >= asked.high
@@ -53,7 +53,7 @@
 def missing_ranges(
     covered: typing.Iterable[protocol.KeyRange],
 ) -> list[protocol.KeyRange]:
-    """Return what the key space has beside a union."""
+    """Return the ranges of the key space outside of a union."""
     missing = []
     position = 0
     for key_range in covered:
@@ -66,7 +66,7 @@
 
 
 def covered_keys(covered: typing.Iterable[protocol.KeyRange]) -> int:
-    """Return how many places of the key space a union covers."""
+    """Return how many keys of the key space a union covers."""
     return sum(key_range.high - key_range.low for key_range in covered)
 
 
@@ -75,11 +75,11 @@
     kind: state.MergeKind,
     limit: int,
 ) -> list[protocol.Record]:
-    """Return the records of all answers, each key once, in order.
+    """Return the first ``limit`` records of all answers, each key once.
 
-    Two attempts of one shard, or a shard read before and after a split,
-    give the same record twice; a caller must see it once.  Each answer has
-    its shard's first ``limit``, so the first ``limit`` of all are exact.
+    Two attempts on one shard, or a shard read before and after a split,
+    return the same record twice.  Each answer holds its shard's first
+    ``limit`` records, so the first ``limit`` of all shards are exact.
     """
     by_key: dict[str, protocol.Record] = {}
     for answer in answers:
