--- a/samphiredock/coordination/quarantine/_quarantine.py
+++ b/samphiredock/coordination/quarantine/_quarantine.py
@@ -90,14 +90,14 @@
                 f'quarantined until {entry.until_ms} (ms since the epoch)',
                 entry.until_ms - wall_ms,
             )
-        case = self._suspects.get(fingerprint, now_ms)
-        if case is not None and case.trial_until_ms > now_ms:
+        suspect = self._suspects.get(fingerprint, now_ms)
+        if suspect is not None and suspect.trial_until_ms > now_ms:
             self._metrics.add('suspect_refusals')
             return protocol.NotRun(
                 protocol.NotRunReason.QUARANTINED,
                 'this request may have crashed a target, and another copy is '
                 'being tried alone',
-                max(_MIN_RETRY_MS, int(case.trial_until_ms - now_ms)),
+                max(_MIN_RETRY_MS, int(suspect.trial_until_ms - now_ms)),
             )
         return None
 
@@ -109,10 +109,10 @@
         of one content crash one target at a time.
         """
         now_ms = self._clock.now_ms()
-        case = self._suspects.get(fingerprint, now_ms)
-        if case is None:
+        suspect = self._suspects.get(fingerprint, now_ms)
+        if suspect is None:
             return RunMode.NORMAL
-        self._announce_trial(case, budget_ms)
+        self._announce_trial(suspect, budget_ms)
         return RunMode.SUSPECT
 
     def is_quarantined(self, fingerprint: str) -> bool:
@@ -125,7 +125,7 @@
         )
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Return whether a target was lost to a content that is not cleared."""
+        """Return whether a content that lost a target is not cleared yet."""
         now_ms = self._clock.now_ms()
         return self._suspects.get(fingerprint, now_ms) is not None
 
@@ -137,30 +137,30 @@
         All daemons are notified.
         """
         self._metrics.add('suspect_losses')
-        case = self._count_loss(fingerprint, target, service)
-        if not case.losses:
+        suspect = self._count_loss(fingerprint, target, service)
+        if not suspect.losses:
             # The loss is part of an outage of several targets.  The other
             # daemons need it to come to the same conclusion.
             self._metrics.add('suspects_forgiven')
             self._broadcaster.broadcast(
                 protocol.SuspectNotice(
-                    fingerprint, case.service, [target], 0.0
+                    fingerprint, suspect.service, [target], 0.0
                 )
             )
             return
-        if case.entry is None:
-            self._announce_trial(case, _suspects.TRIAL_MS)
+        if suspect.entry is None:
+            self._announce_trial(suspect, _suspects.TRIAL_MS)
             return
         _log.warning(
             'content quarantined',
             fingerprint=fingerprint,
-            service=case.service,
-            targets=case.entry.targets,
+            service=suspect.service,
+            targets=suspect.entry.targets,
         )
         self._metrics.add('quarantines')
         self._broadcaster.broadcast(
             protocol.SuspectNotice(
-                fingerprint, case.service, sorted(case.losses), 0.0
+                fingerprint, suspect.service, sorted(suspect.losses), 0.0
             )
         )
         self._clock.after(
@@ -169,8 +169,8 @@
 
     def record_success(self, fingerprint: str) -> None:
         """Clear a suspect that ran alone while its target stayed alive."""
-        case = self._suspects.get(fingerprint, self._clock.now_ms())
-        if case is None or case.entry is not None:
+        suspect = self._suspects.get(fingerprint, self._clock.now_ms())
+        if suspect is None or suspect.entry is not None:
             return
         self._suspects.clear(fingerprint)
         self._metrics.add('suspects_cleared')
@@ -204,11 +204,11 @@
         self._broadcaster.broadcast(protocol.ClearedNotice(fingerprint, True))
         _log.notice('quarantine released', fingerprint=fingerprint)
         mark = protocol.StoredQuarantine(entry, released=True)
-        kept = await self._put(fingerprint, mark)
-        if isinstance(kept, result.Failure):
+        written = await self._put(fingerprint, mark)
+        if isinstance(written, result.Failure):
             return result.Failure(
                 f'released at all reachable daemons, but not in the store: '
-                f'{kept.failure().detail}; release it again'
+                f'{written.failure().detail}; release it again'
             )
         return result.Success(entry)
 
@@ -222,26 +222,26 @@
     def on_stored(self, stored: transport.StoredObject) -> None:
         """Apply a stored object below :data:`QUARANTINE_PREFIX`."""
         try:
-            kept = _STORED.decode(stored.value)
+            decoded = _STORED.decode(stored.value)
         except msgspec.DecodeError:
             self._metrics.add('quarantine_unreadable')
             return
-        fingerprint = kept.entry.fingerprint
+        fingerprint = decoded.entry.fingerprint
         if stored.version <= self._versions.get(fingerprint, 0):
             return
         self._versions[fingerprint] = stored.version
-        if kept.released:
+        if decoded.released:
             self._suspects.clear(fingerprint)
         else:
-            self._add_entry(kept.entry)
+            self._add_entry(decoded.entry)
 
     def _on_suspect(self, sender: str, news: protocol.SuspectNotice) -> None:
-        case = None
+        suspect = None
         for target in news.targets:
-            case = self._count_loss(news.fingerprint, target, news.service)
-        if case is not None:
+            suspect = self._count_loss(news.fingerprint, target, news.service)
+        if suspect is not None:
             until_ms = self._clock.now_ms() + news.trial_ms
-            case.trial_until_ms = max(case.trial_until_ms, until_ms)
+            suspect.trial_until_ms = max(suspect.trial_until_ms, until_ms)
 
     def _on_quarantined(
         self, sender: str, news: protocol.QuarantineNotice
@@ -270,12 +270,15 @@
         )
 
     def _announce_trial(
-        self, case: _suspects.Suspect, trial_ms: float
+        self, suspect: _suspects.Suspect, trial_ms: float
     ) -> None:
-        case.trial_until_ms = self._clock.now_ms() + trial_ms
+        suspect.trial_until_ms = self._clock.now_ms() + trial_ms
         self._broadcaster.broadcast(
             protocol.SuspectNotice(
-                case.fingerprint, case.service, sorted(case.losses), trial_ms
+                suspect.fingerprint,
+                suspect.service,
+                sorted(suspect.losses),
+                trial_ms,
             )
         )
 
@@ -293,10 +296,10 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _store_entry(self, entry: protocol.QuarantineEntry) -> None:
-        kept = await self._put(
+        written = await self._put(
             entry.fingerprint, protocol.StoredQuarantine(entry)
         )
-        if isinstance(kept, result.Failure):
+        if isinstance(written, result.Failure):
             self._metrics.add('quarantine_not_stored')
             self._clock.after(
                 _STORE_RETRY_MS, lambda: self._publish(entry.fingerprint)
@@ -305,7 +308,7 @@
     async def _put(
         self, fingerprint: str, value: protocol.StoredQuarantine
     ) -> result.Result[int, transport.StoreError]:
-        """Overwrite the stored object, conditional on the version just read."""
+        """Overwrite the stored object by a put conditional on its version."""
         key = QUARANTINE_PREFIX + fingerprint
         expected = transport.CREATE_ONLY
         found = await self._platform.get(key)
--- a/samphiredock/coordination/quarantine/_suspects.py
+++ b/samphiredock/coordination/quarantine/_suspects.py
@@ -48,7 +48,7 @@
     is_published: bool = False
 
     def should_quarantine(self) -> bool:
-        """Return whether enough targets were lost, at least one for certain."""
+        """Return whether enough targets were lost, one of them certainly."""
         return len(self.losses) >= _MIN_LOSSES and any(
             loss.is_certain for loss in self.losses.values()
         )
@@ -76,32 +76,35 @@
 
     def get(self, fingerprint: str, now_ms: float) -> Suspect | None:
         """Return a suspect; None if there is none or it has expired."""
-        case = self._suspects.get(fingerprint)
-        if case is None:
+        suspect = self._suspects.get(fingerprint)
+        if suspect is None:
             return None
-        if case.entry is None and now_ms - case.seen_ms > _SUSPECT_TTL_MS:
+        if (
+            suspect.entry is None
+            and now_ms - suspect.seen_ms > _SUSPECT_TTL_MS
+        ):
             del self._suspects[fingerprint]
             return None
-        return case
+        return suspect
 
     def entry_of(
         self, fingerprint: str, now_ms: float, wall_ms: int
     ) -> protocol.QuarantineEntry | None:
         """Return the quarantine of a content that is in force, if any."""
-        case = self.get(fingerprint, now_ms)
-        if case is None or case.entry is None:
+        suspect = self.get(fingerprint, now_ms)
+        if suspect is None or suspect.entry is None:
             return None
-        if case.entry.until_ms <= wall_ms:
+        if suspect.entry.until_ms <= wall_ms:
             del self._suspects[fingerprint]
             return None
-        return case.entry
+        return suspect.entry
 
     def entries(self, wall_ms: int) -> list[protocol.QuarantineEntry]:
         """Return the quarantines in force."""
         return [
-            case.entry
-            for case in self._suspects.values()
-            if case.entry is not None and case.entry.until_ms > wall_ms
+            suspect.entry
+            for suspect in self._suspects.values()
+            if suspect.entry is not None and suspect.entry.until_ms > wall_ms
         ]
 
     def record_loss(
@@ -113,15 +116,15 @@
         wall_ms: int,
     ) -> Suspect:
         """Record that a target was lost while it ran only this content."""
-        case = self._get_or_add(fingerprint)
-        case.service = service or case.service
-        case.seen_ms = now_ms
-        if target not in case.losses:
-            case.losses[target] = _Loss(now_ms, True)
+        suspect = self._get_or_add(fingerprint)
+        suspect.service = service or suspect.service
+        suspect.seen_ms = now_ms
+        if target not in suspect.losses:
+            suspect.losses[target] = _Loss(now_ms, True)
             self._mark_uncertain(fingerprint, target, now_ms, wall_ms)
             self._clear_outage(fingerprint, target, now_ms)
-        self._update_entry(case, wall_ms)
-        return case
+        self._update_entry(suspect, wall_ms)
+        return suspect
 
     def clear(self, fingerprint: str) -> None:
         """Remove a suspect, and its quarantine."""
@@ -131,31 +134,31 @@
         self, entry: protocol.QuarantineEntry, now_ms: float
     ) -> None:
         """Apply a quarantine from the store or another daemon."""
-        case = self._get_or_add(entry.fingerprint)
-        case.seen_ms = now_ms
-        case.entry = entry
-        case.is_published = True
+        suspect = self._get_or_add(entry.fingerprint)
+        suspect.seen_ms = now_ms
+        suspect.entry = entry
+        suspect.is_published = True
 
     def _get_or_add(self, fingerprint: str) -> Suspect:
-        case = self._suspects.get(fingerprint)
-        if case is None:
+        suspect = self._suspects.get(fingerprint)
+        if suspect is None:
             if len(self._suspects) >= _MAX_SUSPECTS:
                 self._evict()
-            case = self._suspects[fingerprint] = Suspect(fingerprint)
-        return case
+            suspect = self._suspects[fingerprint] = Suspect(fingerprint)
+        return suspect
 
     def _evict(self) -> None:
         """Remove the oldest suspect; one in quarantine only if all are."""
         oldest = min(
             self._suspects.values(),
-            key=lambda case: (case.entry is not None, case.seen_ms),
+            key=lambda suspect: (suspect.entry is not None, suspect.seen_ms),
         )
         del self._suspects[oldest.fingerprint]
 
     def _mark_uncertain(
         self, fingerprint: str, target: str, now_ms: float, wall_ms: int
     ) -> None:
-        """Mark the losses of several contents to the same crash as uncertain."""
+        """Mark losses of several contents in the same crash as uncertain."""
         recent = [
             row
             for row in self._losses_by_target.get(target, ())
@@ -164,10 +167,10 @@
         others = [name for _, name in recent if name != fingerprint]
         self._losses_by_target[target] = [*recent, (now_ms, fingerprint)]
         for name in [*others, fingerprint] if others else []:
-            case = self._suspects.get(name)
-            if case is not None and target in case.losses:
-                case.losses[target].is_certain = False
-                self._update_entry(case, wall_ms)
+            suspect = self._suspects.get(name)
+            if suspect is not None and target in suspect.losses:
+                suspect.losses[target].is_certain = False
+                self._update_entry(suspect, wall_ms)
 
     def _clear_outage(
         self, fingerprint: str, target: str, now_ms: float
@@ -187,24 +190,24 @@
         ):
             return
         for name in contents:
-            case = self._suspects.get(name)
-            if case is not None and len(case.losses) < _MIN_LOSSES:
-                case.losses.clear()
-                case.trial_until_ms = 0.0
-                if case.entry is None:
+            suspect = self._suspects.get(name)
+            if suspect is not None and len(suspect.losses) < _MIN_LOSSES:
+                suspect.losses.clear()
+                suspect.trial_until_ms = 0.0
+                if suspect.entry is None:
                     del self._suspects[name]
 
-    def _update_entry(self, case: Suspect, wall_ms: int) -> None:
-        if not case.should_quarantine():
+    def _update_entry(self, suspect: Suspect, wall_ms: int) -> None:
+        if not suspect.should_quarantine():
             # A loss that has just become uncertain withdraws a quarantine.
-            if not case.is_published:
-                case.entry = None
+            if not suspect.is_published:
+                suspect.entry = None
             return
-        if case.entry is None:
-            case.entry = protocol.QuarantineEntry(
-                case.fingerprint,
-                case.service,
-                sorted(case.losses),
+        if suspect.entry is None:
+            suspect.entry = protocol.QuarantineEntry(
+                suspect.fingerprint,
+                suspect.service,
+                sorted(suspect.losses),
                 wall_ms,
                 wall_ms + self._quarantine_ms,
             )
