--- a/tests/unit/test_wire_names.py
+++ b/tests/unit/test_wire_names.py
@@ -1,7 +1,7 @@
-"""Names outside of the code: on the wire, in the store, files and metrics.
+"""Names on the wire, in the store, in files, metrics and logs.
 
-A rename in the code must not change them: daemons of two versions talk to
-each other, read the same objects and are watched by the same dashboards.
+Guards against a rename in the code that changes one of them: daemons of two
+versions exchange messages and read the same objects and files.
 """
 
 import ast
@@ -310,7 +310,7 @@
     'retries': 'retries',
     'retries_denied': 'retries_denied',
 }
-"""Of those, the ones that a tally gives, with their field of it."""
+"""The log fields of those that are read from a field of a tally."""
 
 _NOT_SENT = (protocol.ClaimToken, state.ClaimLocation, state.OpenDecision)
 _NOT_OUTSIDE = (state.OpenStatus,)
@@ -648,7 +648,7 @@
     def test_metrics_of_a_search_are_pinned(self) -> None:
         """Each field of a tally is the name of a counter."""
         self.assertEqual(_TALLY, _keys_of(_scatter_types.Tally))
-        self.assertEqual(tuple(_TALLY.split()), _scatter_types.COUNTED)
+        self.assertEqual(tuple(_TALLY.split()), _scatter_types.COUNTER_NAMES)
 
     def test_log_fields_of_an_end_are_pinned(self) -> None:
         """Those that are read off a search's tally, and the others."""
@@ -666,6 +666,6 @@
             name: value.attr
             for name, value in given.items()
             if isinstance(value, ast.Attribute)
-            and value.attr in _scatter_types.COUNTED
+            and value.attr in _scatter_types.COUNTER_NAMES
         }
         self.assertEqual(_END_TALLY, from_tally)
