--- a/samphiredock/coordination/forwarding/_forwarder.py
+++ b/samphiredock/coordination/forwarding/_forwarder.py
@@ -28,7 +28,7 @@
 from samphiredock import protocol
 from samphiredock import timers
 
-FIRST_HEDGE_SHARE = 0.3
+INITIAL_HEDGE_SHARE = 0.3
 """Share of a route's aim after which to hedge while no latencies are known."""
 
 NO_TARGET_RETRY_MS = 300
@@ -206,7 +206,7 @@
                 self._settings.site,
                 now_ms,
                 self._settings.caller_way_ms + spent_ms + hop_ms,
-                route.aim_ms * FIRST_HEDGE_SHARE,
+                route.aim_ms * INITIAL_HEDGE_SHARE,
             )
         )
 
--- a/samphiredock/coordination/forwarding/_live_targets.py
+++ b/samphiredock/coordination/forwarding/_live_targets.py
@@ -21,7 +21,7 @@
 class LiveTargets:
     """Registered targets by id and by service, with their observed health.
 
-    Implements :class:`coordination.Routes` for targets that are asked
+    Implements the ``TargetView`` of a scatter for targets that are asked
     directly: each target is its own dispatcher.
     """
 
@@ -60,7 +60,7 @@
         """Return every registered target."""
         return list(self._targets.values())
 
-    # Routes.
+    # TargetView.
 
     def owner(self, target: str) -> str | None:
         """Return the target itself, which is its own dispatcher."""
--- a/samphiredock/coordination/forwarding/_null_crash_tracker.py
+++ b/samphiredock/coordination/forwarding/_null_crash_tracker.py
@@ -1,8 +1,8 @@
-"""A stub for searches that track no suspicious contents."""
+"""A crash tracker for searches that are not checked for crashes."""
 
 
 class NullCrashTracker:
-    """Suspicions that record nothing and refuse nothing."""
+    """Implements :class:`coordination.CrashTracker`; records and refuses nothing."""
 
     def record_loss(self, fingerprint: str, target: str, service: str) -> None:
         """Do nothing."""
--- a/samphiredock/coordination/forwarding/_route_plans.py
+++ b/samphiredock/coordination/forwarding/_route_plans.py
@@ -70,7 +70,7 @@
     site: str,
     now_ms: float,
     caller_way_ms: float,
-    first_hedge_ms: float,
+    initial_hedge_delay_ms: float,
 ) -> ForwardPlan:
     """Return the plan of a request: deadline, shards and least coverage.
 
@@ -81,7 +81,7 @@
     caller_way_ms
         The part of the route's aim that the caller has already spent and
         that the way back to it will take.
-    first_hedge_ms
+    initial_hedge_delay_ms
         When to hedge while no latencies are known.
     """
     limit_ms = route.timeout_ms
@@ -121,7 +121,7 @@
         route.attempts,
         route.repeatable,
         may_restart=False,
-        initial_hedge_delay_ms=first_hedge_ms,
+        initial_hedge_delay_ms=initial_hedge_delay_ms,
         uses_orders=bool(route.shards),
     )
     key_ranges = {shard.shard_id: shard.key_range for shard in shards}
