--- a/samphiredock/coordination/forwarding/_null_crash_tracker.py
+++ b/samphiredock/coordination/forwarding/_null_crash_tracker.py
@@ -2,7 +2,7 @@
 
 
 class NullCrashTracker:
-    """Implements :class:`coordination.CrashTracker`; records and refuses nothing."""
+    """A ``CrashTracker`` that records and refuses nothing."""
 
     def record_loss(self, fingerprint: str, target: str, service: str) -> None:
         """Do nothing."""
