--- a/samphiredock/coordination/config/_distribution.py
+++ b/samphiredock/coordination/config/_distribution.py
@@ -16,7 +16,7 @@
 from samphiredock import transport
 
 WATCHERS_PER_SITE = 2
-_RELAY_LIMIT_BYTES = 65_536
+_RELAY_LIMIT_BYTES = 65_536  # larger objects are found by polls
 
 
 def follow_configuration(
--- a/samphiredock/coordination/config/_exchange.py
+++ b/samphiredock/coordination/config/_exchange.py
@@ -16,7 +16,7 @@
 from samphiredock import protocol
 from samphiredock import timers
 
-_REQUEST_RETRY_MS = 600.0
+_REQUEST_RETRY_MS = 600.0  # before another peer is asked
 _WAITING_PEERS_LIMIT = 1_000  # per object
 
 
@@ -128,10 +128,10 @@
                 self._send_object(member, key)
             else:
                 self._waiting_peers.setdefault(key, {})[member] = wanted
-        for known, told in list(self._origins):
-            if known == key and told <= version:
-                origin = self._origins.pop((known, told))
-                self._confirm_revision(key, told, origin)
+        for known, announced in list(self._origins):
+            if known == key and announced <= version:
+                origin = self._origins.pop((known, announced))
+                self._confirm_revision(key, announced, origin)
 
     def _confirm_revision(self, key: str, version: int, origin: str) -> None:
         if key == _current_state.CONFIGURATION_KEY and origin != self._name:
--- a/samphiredock/coordination/config/_watcher.py
+++ b/samphiredock/coordination/config/_watcher.py
@@ -26,7 +26,10 @@
 
 _POLL_MS = 20_000.0
 _CHECK_MS = 500.0
+"""How often to check whether to watch or poll now."""
+
 _POLL_BASE_DAEMONS = 8
+"""With more daemons, each polls less often, which bounds the store's load."""
 
 ObjectHandler = typing.Callable[[transport.StoredObject], None]
 PageHandler = typing.Callable[[transport.WatchPage], None]
@@ -139,7 +142,10 @@
         )
 
     def has_heard_within(self, span_ms: float) -> bool:
-        """Return whether a watch of every prefix was answered recently."""
+        """Return whether a watch of every prefix was answered lately.
+
+        True if each prefix had an answer in the last ``span_ms``.
+        """
         since_ms = self._clock.now_ms() - span_ms
         prefixes = [*self._handlers, *self._page_handlers]
         return all(
--- a/samphiredock/coordination/once/_claim_bucket.py
+++ b/samphiredock/coordination/once/_claim_bucket.py
@@ -198,15 +198,15 @@
         version, bucket = read
         batch = [change for change in self._queue if not change.answer.done()]
         bucket.expire(self._clock.wall_ms())
-        verdicts = [self._apply(bucket, change) for change in batch]
+        answers = [self._apply(bucket, change) for change in batch]
         if bucket.changed:
             error = await self._put(version, bucket, batch)
             if error is not None:
                 return self._on_put_error(error)
         self._failed_commits = 0
-        for change, verdict in zip(batch, verdicts):
+        for change, answer in zip(batch, answers):
             if not change.answer.done():
-                change.answer.set_result(verdict)
+                change.answer.set_result(answer)
         return 0.0
 
     def _apply(
--- a/samphiredock/coordination/once/_claim_registry.py
+++ b/samphiredock/coordination/once/_claim_registry.py
@@ -60,7 +60,7 @@
     ) -> OpenResult:
         """Try to open a claim until a deadline.
 
-        The request may be sent only if the verdict is ``GRANTED``: the put
+        The request may be sent only if the status is ``GRANTED``: the put
         succeeded, or a read shows this claim's token.
 
         Parameters
--- a/samphiredock/coordination/once/_run_once.py
+++ b/samphiredock/coordination/once/_run_once.py
@@ -134,9 +134,9 @@
         )
         if isinstance(admitted, protocol.NotRun):
             return self._count_not_run(admitted)
-        live = self._runs.get(admitted.place.digest)
-        if live is not None:
-            return self._count_not_run(await self._join(live, admitted))
+        pending = self._runs.get(admitted.place.digest)
+        if pending is not None:
+            return self._count_not_run(await self._join(pending, admitted))
         if self._draining:
             return self._count_not_run(_run_request.shutting_down())
         run = self._start(admitted)
--- a/tests/failure/test_at_most_once.py
+++ b/tests/failure/test_at_most_once.py
@@ -335,8 +335,8 @@
 
     def test_each_missing_safeguard_is_detected(self) -> None:
         """With a safeguard disabled, the simulations find a violation."""
-        for name, switched_off in _SAFEGUARDS.items():
-            with self.subTest(name), switched_off():
+        for name, disabled in _SAFEGUARDS.items():
+            with self.subTest(name), disabled():
                 found, _ = self.simulate(_SIMULATIONS, True)
                 self.assertTrue(found, f'{name}: no violation found')
 
