--- a/samphiredock/coordination/forwarding/_attempt_sender.py
+++ b/samphiredock/coordination/forwarding/_attempt_sender.py
@@ -85,7 +85,7 @@
             if exchange.task is not None:
                 exchange.task.cancel()
         now_ms = self._clock.now_ms()
-        self.apply(pending, pending.scatter.give_up(now_ms, unsent))
+        self.apply(pending, pending.scatter.finish_now(now_ms, unsent))
 
     def cancel(self, pending: _pending_requests.PendingRequest) -> None:
         """Cancel the exchanges and orders of a request that nobody needs."""
--- a/samphiredock/coordination/forwarding/_window_budget.py
+++ b/samphiredock/coordination/forwarding/_window_budget.py
@@ -51,14 +51,14 @@
         slack is used, since too many daemons might use all of it.
     """
 
-    also_charged = frozenset(
+    charged_refusals = frozenset(
         {
             protocol.SubStatus.SHED,
             protocol.SubStatus.EXPIRED,
             protocol.SubStatus.DRAINING,
         }
     )
-    """A target that refuses a request was still asked."""
+    """Refusals that stay charged, since the request has reached a target."""
 
     def __init__(
         self,
@@ -81,8 +81,10 @@
         self._slack = slack
         self._window_ms = window_ms
 
-    def note_needed(self, shards: typing.Sequence[str], share: float) -> None:
-        """Count the first request to each shard; ``share`` is not used."""
+    def record_first_attempts(
+        self, shards: typing.Sequence[str], share: float
+    ) -> None:
+        """Count the first request to each shard; ``share`` is ignored."""
         now_ms = self._clock.now_ms()
         for shard in shards:
             self._windows[shard].first.append(now_ms)
@@ -110,11 +112,11 @@
     def _try_spend(self, shard: str, part: float) -> bool:
         if self.left(shard, part) < 1.0:
             return False
-        self.owe(shard)
+        self.charge(shard)
         return True
 
-    def owe(self, shard: str = '') -> None:
-        """Count an extra request that cannot be refused."""
+    def charge(self, shard: str = '') -> None:
+        """Count an extra request without checking the budget."""
         self._windows[shard].extra.append(self._clock.now_ms())
 
     def refund(self, shard: str = '') -> None:
