--- a/samphiredock/coordination/config/_exchange.py
+++ b/samphiredock/coordination/config/_exchange.py
@@ -32,7 +32,7 @@
     peers
         The peer sockets.
     broadcast
-        Sends to all members, or to those of one site.
+        Sends to all daemons, or to those of one site.
     clock, counters
         The timers and metrics of this daemon.
     """
@@ -62,22 +62,22 @@
         peers.subscribe(protocol.ObjectChanged, self._on_object)
 
     def announce(self, key: str, site: str | None = None) -> None:
-        """Send all members, or those of a site, the version held here."""
+        """Send the version held here to all daemons, or those of a site."""
         version = self._current_state.version(key)
         if version:
             notice = protocol.ObjectVersion(key, version, self._name)
             self._broadcast(notice, site)
 
     def on_peer_versions(
-        self, member: str, versions: protocol.HeldVersions
+        self, peer: str, versions: protocol.HeldVersions
     ) -> None:
         """Request what a peer holds in a newer version."""
         keys = _current_state.CONFIGURATION_KEY, _current_state.SNAPSHOT_KEY
         held = versions.revision, versions.snapshot_id
         for key, version in zip(keys, held):
-            self._request(member, key, version)
+            self._request(peer, key, version)
 
-    def _request(self, member: str, key: str, version: int) -> None:
+    def _request(self, peer: str, key: str, version: int) -> None:
         known = self._current_state.version(key)
         if version <= max(known, self._unreadable.get(key, 0)):
             return
@@ -86,7 +86,7 @@
         if requested >= version and now_ms - at_ms < _REQUEST_RETRY_MS:
             return
         self._requested[key] = version, now_ms
-        self._peers.send(member, protocol.ObjectAsk(key, version))
+        self._peers.send(peer, protocol.ObjectAsk(key, version))
 
     def _on_notice(self, sender: str, notice: protocol.ObjectVersion) -> None:
         if notice.version <= self._current_state.version(notice.key):
@@ -103,11 +103,11 @@
         if len(waiting) < _WAITING_PEERS_LIMIT:
             waiting[sender] = ask.version
 
-    def _send_object(self, member: str, key: str) -> None:
+    def _send_object(self, peer: str, key: str) -> None:
         value = self._current_state.value(key)
         version = self._current_state.version(key)
         self._metrics.add('objects_given', key=key)
-        self._peers.send(member, protocol.ObjectChanged(key, version, value))
+        self._peers.send(peer, protocol.ObjectChanged(key, version, value))
 
     def _on_object(self, sender: str, changed: protocol.ObjectChanged) -> None:
         if changed.key in (
@@ -123,11 +123,11 @@
 
     def _on_adopted(self, key: str, version: int) -> None:
         waiting = self._waiting_peers.pop(key, {})
-        for member, wanted in waiting.items():
+        for peer, wanted in waiting.items():
             if wanted <= version:
-                self._send_object(member, key)
+                self._send_object(peer, key)
             else:
-                self._waiting_peers.setdefault(key, {})[member] = wanted
+                self._waiting_peers.setdefault(key, {})[peer] = wanted
         for known, announced in list(self._origins):
             if known == key and announced <= version:
                 origin = self._origins.pop((known, announced))
--- a/samphiredock/coordination/once/_claim_statuses.py
+++ b/samphiredock/coordination/once/_claim_statuses.py
@@ -96,8 +96,8 @@
             f'{token}: {before} cannot become {status}'
         )
         tracked.status, tracked.outcome = status, outcome
-        for member in sorted(tracked.waiting_peers):
-            self._send_answer(member, token, tracked)
+        for peer in sorted(tracked.waiting_peers):
+            self._send_answer(peer, token, tracked)
         if status is protocol.ClaimStatus.UNSETTLED:
             self._unsettled.append(token)
             self._drop_oldest_unsettled()
@@ -158,10 +158,10 @@
         self._send_answer(sender, ask.token, tracked)
 
     def _send_answer(
-        self, member: str, token: str, tracked: _TrackedClaim
+        self, peer: str, token: str, tracked: _TrackedClaim
     ) -> None:
         self._peers.send(
-            member,
+            peer,
             protocol.ClaimAnswer(token, tracked.status, tracked.outcome),
         )
 
