--- a/samphiredock/coordination/once/_claim_bucket.py
+++ b/samphiredock/coordination/once/_claim_bucket.py
@@ -113,7 +113,7 @@
     randomness
         Spreads the delays between retries.
     health
-        Told of each call to the store and whether it was answered.
+        Records each call to the store and whether it was answered.
     on_idle
         Called when no change is queued any more.
     """
@@ -178,7 +178,7 @@
                     await self._wait_for_retry(delay_ms)
         finally:
             # Even if an exception ends this task, the next change starts a
-            # new one, so that the bucket's keys are not blocked for good.
+            # new one, so that the bucket's keys are not blocked forever.
             self._task = None
             self._retry_waker = None
         self._on_idle()
--- a/samphiredock/coordination/once/_run_orders.py
+++ b/samphiredock/coordination/once/_run_orders.py
@@ -37,7 +37,7 @@
 
 
 def is_final(report: protocol.RunReport) -> bool:
-    """Return whether a report tells if the order ran or never began."""
+    """Return whether a report proves that the order ran or never began."""
     ran = report.status is protocol.SubStatus.ANSWERED
     return ran or proves_not_begun(report)
 
--- a/tests/failure/test_stopped_runs.py
+++ b/tests/failure/test_stopped_runs.py
@@ -1,4 +1,4 @@
-"""A daemon that is stopped answers each pending request truthfully."""
+"""A stopped daemon answers each pending request with its true outcome."""
 
 import asyncio
 import unittest
--- a/tests/history.py
+++ b/tests/history.py
@@ -102,9 +102,9 @@
             if key not in by_key:
                 violations.append(f'{key}: completed, but never executed')
     violations += [
-        f'{key}: callers got different results {sorted(told)}'
-        for key, told in results.items()
-        if len(told) > 1
+        f'{key}: callers got different results {sorted(found)}'
+        for key, found in results.items()
+        if len(found) > 1
     ]
     return Verdict(judged, tuple(violations))
 
@@ -113,17 +113,17 @@
     calls: typing.Iterable[Call], executions: typing.Iterable[Execution]
 ) -> Verdict:
     """Check that a key never ran if all its calls were answered "not run"."""
-    told = collections.defaultdict(list)
+    calls_by_key = collections.defaultdict(list)
     for call in calls:
         if call.kind == 'run':
-            told[call.idempotency_key].append(call)
+            calls_by_key[call.idempotency_key].append(call)
     executed = collections.defaultdict(list)
     for execution in executions:
         if execution.kind == 'run':
             executed[execution.idempotency_key].append(execution)
     violations = []
     judged = 0
-    for key, rows in told.items():
+    for key, rows in calls_by_key.items():
         not_run = [row for row in rows if row.outcome_type == 'not-run']
         judged += len(not_run)
         others = [row for row in rows if row not in not_run]
@@ -244,11 +244,11 @@
     judged = 0
     for sample in samples:
         judged += 1
-        life = (sample.daemon, sample.incarnation)
-        before = highest.get(life, 0)
+        process = (sample.daemon, sample.incarnation)
+        before = highest.get(process, 0)
         if sample.revision < before:
             violations.append(f'{sample} after revision {before}')
-        highest[life] = max(before, sample.revision)
+        highest[process] = max(before, sample.revision)
         if sample.ready:
             earlier = shown.get(sample.daemon, 0)
             if sample.revision < earlier and sample.revision >= before:
--- a/tests/history_runs.py
+++ b/tests/history_runs.py
@@ -12,10 +12,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Called:
-    """A caller sent a request to one process of a daemon."""
+    """A caller sent a request to one process (name/incarnation) of a daemon."""
 
     call: int
-    life: str
+    process: str
     key: str
     body: str
 
@@ -24,7 +24,7 @@
 class Ordered:
     """A daemon sent the request to a dispatcher."""
 
-    life: str
+    process: str
     key: str
     body: str
     attempt_id: str
@@ -51,7 +51,7 @@
 
 
 def violations(history: typing.Sequence[Event]) -> list[str]:
-    """Return every breach of "at most once" and "not run", one line each."""
+    """Return every violation of "at most once" and "not run", as texts."""
     return [
         *_run_twice(history),
         *_not_run_but_run(history),
@@ -94,8 +94,8 @@
             event
             for event in history[:place]
             if isinstance(event, Called)
-            and (event.life, event.key, event.body)
-            == (order.life, order.key, order.body)
+            and (event.process, event.key, event.body)
+            == (order.process, order.key, order.body)
             and (event.call not in answers or answers[event.call][0] > place)
         ]
         if not open_calls:
--- a/tests/simulation_runs.py
+++ b/tests/simulation_runs.py
@@ -98,10 +98,10 @@
 
     def _observe(self, sender: str, message: object) -> None:
         if isinstance(message, protocol.RunOrder):
-            life = message.attempt_id.rsplit('/', 2)[0]
+            process = message.attempt_id.rsplit('/', 2)[0]
             self.history.append(
                 history_runs.Ordered(
-                    life,
+                    process,
                     message.idempotency_key,
                     message.body['household'],
                     message.attempt_id,
--- a/tests/unit/test_accept.py
+++ b/tests/unit/test_accept.py
@@ -44,7 +44,7 @@
                 _accept.ChangeStatus.ACCEPTED,
             ),
             (
-                'beaten, and another since',
+                'conflict, then another change',
                 4,
                 6,
                 rows('b', 'c', last=6),
--- a/tests/unit/test_history.py
+++ b/tests/unit/test_history.py
@@ -150,9 +150,14 @@
 
     def test_reverted_and_late_revisions_are_seen(self) -> None:
         def sample(
-            at_ms: float, revision: int, life: int = 1, ready: bool = True
+            at_ms: float,
+            revision: int,
+            incarnation: int = 1,
+            ready: bool = True,
         ) -> history.RevisionSample:
-            return history.RevisionSample('d1', life, at_ms, revision, ready)
+            return history.RevisionSample(
+                'd1', incarnation, at_ms, revision, ready
+            )
 
         def check(
             *samples: history.RevisionSample, excused: bool = False
@@ -180,8 +185,10 @@
         )
 
     def test_cut_request_is_seen(self) -> None:
-        cut = dataclasses.replace(_complete_answer(), status=502, outcome=None)
+        unanswered = dataclasses.replace(
+            _complete_answer(), status=502, outcome=None
+        )
         self.assert_tells_apart(
             history.check_all_answered([_complete_answer()]),
-            history.check_all_answered([cut]),
+            history.check_all_answered([unanswered]),
         )
--- a/tests/unit/test_run_states.py
+++ b/tests/unit/test_run_states.py
@@ -27,13 +27,13 @@
     """Stands for the claim registry and statuses; records its calls."""
 
     def __init__(self) -> None:
-        self.told: list[object] = []
+        self.calls: list[object] = []
 
     def update(self, token: str, status: protocol.ClaimStatus) -> None:
-        self.told.append(status)
+        self.calls.append(status)
 
     def forget(self, token: str) -> None:
-        self.told.append('forget')
+        self.calls.append('forget')
 
 
 class RunStatesTest(unittest.TestCase):
@@ -55,12 +55,12 @@
             try:
                 recorder.refuse(run, refusal)
             except AssertionError:
-                self.assertEqual([], fake_claims.told)
+                self.assertEqual([], fake_claims.calls)
                 continue
             allowed.add(state)
             self.assertIs(State.NOT_RUN, run.progress.state)
             self.assertEqual(
-                [protocol.ClaimStatus.NEVER_SENT, 'forget'], fake_claims.told
+                [protocol.ClaimStatus.NEVER_SENT, 'forget'], fake_claims.calls
             )
         self.assertEqual(set(State), set(_PATHS))
         self.assertEqual(
