--- a/tests/history_runs.py
+++ b/tests/history_runs.py
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Called:
-    """A caller sent a request to one process (name/incarnation) of a daemon."""
+    """A caller sent a request to a daemon process, ``name/incarnation``."""
 
     call: int
     process: str
--- a/tests/unit/test_history.py
+++ b/tests/unit/test_history.py
@@ -68,21 +68,21 @@
         self.assertGreater(good.judged, 0)
         self.assertGreater(bad.judged, 0)
 
-    def test_second_execution_is_seen(self) -> None:
+    def test_second_execution_is_detected(self) -> None:
         calls = [_run('completed'), _run('completed')]
         self.assert_tells_apart(
             history.check_at_most_once(calls, [_execution()]),
             history.check_at_most_once(calls, [_execution()] * 2),
         )
 
-    def test_different_results_are_seen(self) -> None:
+    def test_different_results_are_detected(self) -> None:
         calls = [_run('completed'), _run('completed', receipt='r2')]
         self.assert_tells_apart(
             history.check_at_most_once(calls[:1], [_execution()]),
             history.check_at_most_once(calls, [_execution()]),
         )
 
-    def test_false_not_run_is_seen(self) -> None:
+    def test_false_not_run_is_detected(self) -> None:
         self.assert_tells_apart(
             history.check_not_run(
                 [_run('not-run'), _run('completed')], [_execution()]
@@ -93,7 +93,7 @@
             ),
         )
 
-    def test_mixed_versions_are_seen(self) -> None:
+    def test_mixed_versions_are_detected(self) -> None:
         mixed = _rows()[:-1] + _rows('2')[-1:]
         self.assert_tells_apart(
             history.check_one_snapshot([_complete_answer()], {3: 3}),
@@ -102,7 +102,7 @@
             ),
         )
 
-    def test_lost_and_doubled_records_are_seen(self) -> None:
+    def test_lost_and_doubled_records_are_detected(self) -> None:
         for rows in (_rows()[1:], _rows() + _rows()[:1]):
             self.assert_tells_apart(
                 history.check_coverage([_complete_answer()], 'claims', 5_000),
@@ -111,7 +111,7 @@
                 ),
             )
 
-    def test_records_of_covered_ranges_are_all_wanted(self) -> None:
+    def test_covered_ranges_need_all_records(self) -> None:
         """Incomplete records are allowed in missing ranges only."""
         half = {'type': 'partial', 'missing': [[0, 2**31]], 'coverage': 0.5}
         covered = _rows_above(2**31)
@@ -127,7 +127,7 @@
                 ),
             )
 
-    def test_overstated_coverage_is_seen(self) -> None:
+    def test_overstated_coverage_is_detected(self) -> None:
         missing = [[0, 2**31]]
         rows = _rows_above(2**31)
         part = _complete_answer(type='partial', missing=missing, records=rows)
@@ -139,16 +139,16 @@
             history.check_coverage([part], 'claims', 5_000),
         )
 
-    def test_crossed_answer_is_seen(self) -> None:
-        crossed = dataclasses.replace(
+    def test_answer_of_another_caller_is_detected(self) -> None:
+        mismatched = dataclasses.replace(
             _complete_answer(), terms={'kebele': 'yeka'}
         )
         self.assert_tells_apart(
             history.check_matching_records([_complete_answer()]),
-            history.check_matching_records([crossed]),
+            history.check_matching_records([mismatched]),
         )
 
-    def test_reverted_and_late_revisions_are_seen(self) -> None:
+    def test_reverted_and_late_revisions_are_detected(self) -> None:
         def sample(
             at_ms: float,
             revision: int,
@@ -174,7 +174,7 @@
         self.assert_tells_apart(again, check(sample(0, 2), sample(1, 1, 2)))
         self.assertEqual((), check(sample(9_000, 1), excused=True).violations)
 
-    def test_work_at_a_left_target_is_seen(self) -> None:
+    def test_work_at_a_draining_target_is_detected(self) -> None:
         self.assert_tells_apart(
             history.check_draining_targets(
                 [_execution()], {'t1': 0.0}, 5_000.0
@@ -184,7 +184,7 @@
             ),
         )
 
-    def test_cut_request_is_seen(self) -> None:
+    def test_unanswered_request_is_detected(self) -> None:
         unanswered = dataclasses.replace(
             _complete_answer(), status=502, outcome=None
         )
