--- a/samphiredock/coordination/once/_claim_bucket.py
+++ b/samphiredock/coordination/once/_claim_bucket.py
@@ -113,7 +113,7 @@
     randomness
         Spreads the delays between retries.
     health
-        Told of each call to the store and whether it was answered.
+        Records each call to the store and whether it was answered.
     on_idle
         Called when no change is queued any more.
     """
@@ -178,7 +178,7 @@
                     await self._wait_for_retry(delay_ms)
         finally:
             # Even if an exception ends this task, the next change starts a
-            # new one, so that the bucket's keys are not blocked for good.
+            # new one, so that the bucket's keys are not blocked forever.
             self._task = None
             self._retry_waker = None
         self._on_idle()
@@ -198,15 +198,15 @@
         version, bucket = read
         batch = [change for change in self._queue if not change.answer.done()]
         bucket.expire(self._clock.wall_ms())
-        verdicts = [self._apply(bucket, change) for change in batch]
+        answers = [self._apply(bucket, change) for change in batch]
         if bucket.changed:
             error = await self._put(version, bucket, batch)
             if error is not None:
                 return self._on_put_error(error)
         self._failed_commits = 0
-        for change, verdict in zip(batch, verdicts):
+        for change, answer in zip(batch, answers):
             if not change.answer.done():
-                change.answer.set_result(verdict)
+                change.answer.set_result(answer)
         return 0.0
 
     def _apply(
