--- a/tests/failure/test_hedging.py
+++ b/tests/failure/test_hedging.py
@@ -1,4 +1,4 @@
-"""Stragglers do not set the latency, and hedges do not add to overload."""
+"""Hedges shorten the wait for stragglers without adding to overload."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 def _trained_desk() -> search_desk.Desk:
-    """Return a desk whose index answers in 5 ms, in 9 of 10 cases."""
+    """Return a desk whose index answers in 5 ms, with 5 % at 20 ms."""
     desk = search_desk.Desk()
     for number in range(200):
         desk.context.latencies.observe(
@@ -33,11 +33,7 @@
         self.desk.give(*[self.desk.good(row) for row in others])
 
     def test_one_hedge_elsewhere_and_the_loser_is_cancelled(self) -> None:
-        """The caller has the whole answer 4 ms after the hedge.
-
-        The hedge goes to the other replica, marked so that it only takes an
-        idle slot; the first attempt is cancelled where it was sent.
-        """
+        """One hedge goes to the other replica, and the loser is cancelled."""
         hedges = self.desk.tick(100.0)
         self.assertEqual(1, len(hedges))
         (hedge,) = hedges
@@ -53,10 +49,7 @@
         self.assertEqual((1, 1), (tally.hedges_sent, tally.hedges_won))
 
     def test_fixed_delay_takes_the_place_of_the_quantile(self) -> None:
-        """An operator's delay of 50 ms: no hedge before, one after.
-
-        By the quantile, 20 ms here, it would have been sent at 40 ms.
-        """
+        """A configured delay of 50 ms replaces the quantile of 20 ms."""
         self.desk.limits = state.Limits(hedge_after_ms=50.0)
         self.desk.begin()
         others = list(self.desk.waiting.values())[1:]
@@ -65,9 +58,9 @@
         self.assertEqual(1, len(self.desk.tick(10.0)))
 
     def test_hedge_goes_through_another_dispatcher(self) -> None:
-        """A stalled dispatcher does not get the hedge as well.
+        """A hedge must not wait behind the dispatcher of the first attempt.
 
-        Of the two other replicas one is behind the same dispatcher.
+        Of the two other replicas one has the same dispatcher.
         """
         index = self.desk.snapshot.indexes[memory_searches.INDEX]
         for shard in index.shards:
@@ -86,7 +79,7 @@
                 self.assertNotEqual(first[hedge.shard_id], owner)
 
     def test_refused_hedge_leaves_the_first_attempt(self) -> None:
-        """No idle slot: nothing is lost but the hedge, nor paid for it."""
+        """A hedge that finds no idle slot is refunded; the first goes on."""
         (hedge,) = self.desk.tick(100.0)
         tokens = self.desk.context.budget.tokens
         self.desk.give(self.desk.failed(hedge, Status.NO_IDLE_SLOT))
@@ -95,10 +88,9 @@
         self.assertIsInstance(self.desk.outcome, protocol.Answered)
 
     def test_refused_hedge_goes_again_after_a_pause(self) -> None:
-        """The straggler is still late, and a slot may be idle by now.
+        """A refused hedge is sent again after a pause, three times at most.
 
-        Refused four times it is left to the first attempt, and only the
-        first refusal counts as a sign of overload.
+        Only the first refusal counts as a sign of overload.
         """
         latencies = self.desk.context.latencies
         self.desk.tick(50.0)
@@ -114,7 +106,7 @@
         self.assertIsInstance(self.desk.outcome, protocol.Answered)
 
     def test_no_hedge_while_overloaded(self) -> None:
-        """With targets shedding, late shards wait: a hedge is more load."""
+        """While targets shed load, hedges must not add to it."""
         for _ in range(30):
             self.desk.context.latencies.record_overload_sign(
                 memory_searches.INDEX, Status.SHED, 0.0, 0.0
@@ -122,7 +114,7 @@
         self.assertEqual([], self.desk.tick(100.0))
 
     def test_queues_are_a_sign_of_overload_and_pass(self) -> None:
-        """Long waits stop hedges, quick answers bring them back."""
+        """Long queueing times suspend hedges, short ones resume them."""
         latencies = self.desk.context.latencies
         for _ in range(30):
             latencies.record_overload_sign(
@@ -136,17 +128,17 @@
         self.assertFalse(latencies.is_overloaded(memory_searches.INDEX))
 
     def test_no_hedge_beyond_the_budget(self) -> None:
-        """A slow replica set cannot draw more than the budget's share."""
+        """A slow replica set must not exceed the budget for hedges."""
         while self.desk.context.budget.spend_hedge():
             pass
         self.assertEqual([], self.desk.tick(100.0))
         self.assertEqual(1, self.desk.scatter.tally.hedges_denied)
 
     def test_cancelled_losers_keep_the_quantile_up(self) -> None:
-        """The delay does not creep down when the slow tenth is cancelled.
+        """Cancelled attempts count as latencies.
 
-        Left out, the losers would leave only quick samples, the delay would
-        fall, and more would be hedged each time.
+        Without them the hedge delay would fall with each search, and ever
+        more hedges would be sent.
         """
         latencies = self.desk.context.latencies
         before = latencies.hedge_delay_ms(memory_searches.INDEX, 0.95, 0.0)
@@ -164,13 +156,13 @@
 
 
 class HedgeAfterCanaryTest(unittest.TestCase):
-    """The shards that follow a canary are hedged too."""
+    """Hedges of a search that begins with a canary."""
 
     def test_straggler_after_a_slow_canary(self) -> None:
-        """A late canary has another shard asked beside it, at no extra load.
+        """A late canary is joined by another shard, not by a hedge.
 
-        That one answers, so the others are sent; one of them is late as
-        well, and the first canary still is: each gets its own hedge.
+        When that one answers, the other shards are sent; each late shard,
+        the first canary included, gets a hedge of its own.
         """
         desk = _trained_desk()
         desk.canary = True
@@ -194,11 +186,10 @@
     """A daemon that has just started knows no latencies."""
 
     def test_silent_dispatcher_of_the_first_canary(self) -> None:
-        """The first search is answered whole, long before its deadline.
+        """A dead dispatcher must not delay the first search to its deadline.
 
-        Its canary went to a dispatcher that died and is not missed yet. A
-        quarter of the deadline later another shard is asked beside it, then
-        the rest; the lost shard gets its answer from the other replica.
+        After a quarter of the deadline another canary is sent, then the
+        rest; the first canary's shard is answered by its other replica.
         """
         desk = search_desk.Desk(canary=True)
         (lost,) = desk.waiting.values()
@@ -215,14 +206,10 @@
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """Hedges and retries draw from one bucket."""
+    """Hedges and retries share one budget."""
 
     def test_extra_load_is_bounded_when_everything_breaks(self) -> None:
-        """A fault that breaks every attempt does not double the load.
-
-        400 searches of four shards, each attempt broken: beyond the burst
-        no more than the share of retries is sent.
-        """
+        """A fault that breaks every attempt must not double the load."""
         desk = search_desk.Desk()
         sent = needed = 0
         for _ in range(400):
@@ -237,7 +224,7 @@
         self.assertGreater(sent, needed)
 
     def test_hedges_leave_a_reserve_for_retries(self) -> None:
-        """A lost key range costs more than a late one."""
+        """Retries are possible when hedges have used up their part."""
         budget = coordination.RetryBudget()
         while budget.spend_hedge():
             pass
--- a/tests/failure/test_one_snapshot.py
+++ b/tests/failure/test_one_snapshot.py
@@ -1,4 +1,4 @@
-"""Every answer comes from one snapshot of the indexes."""
+"""An outcome holds records of a single snapshot only."""
 
 import unittest
 
@@ -13,13 +13,12 @@
 
 
 class OneSnapshotTest(unittest.TestCase):
-    """A snapshot changes while a search is out."""
+    """The snapshot changes while a search runs."""
 
     def test_answer_at_another_snapshot_is_not_merged(self) -> None:
-        """The caller gets records of the planned snapshot only.
+        """An answer at a newer snapshot must not be merged.
 
-        A hedge or retry lands on a replica that is one version ahead; its
-        answer is refused and counted, and the other replica is asked.
+        It is rejected and counted, and the other replica is queried.
         """
         desk = search_desk.Desk()
         first = next(iter(desk.waiting.values()))
@@ -35,11 +34,10 @@
         self.assertEqual(1, desk.scatter.tally.wrong_snapshot_answers)
 
     def test_gone_everywhere_restarts_whole_on_the_newer(self) -> None:
-        """The caller gets a whole answer, all of it at the newer snapshot.
+        """A search whose snapshot is gone restarts on the newer one.
 
-        Three shards have answered at the old one when both replicas of the
-        fourth say that it is gone.  The newer one is learned during the
-        wait; every shard is asked again, and the old answers are not used.
+        Three shards have answered when both replicas of the fourth no longer
+        have the snapshot; all shards are queried again.
         """
         desk = search_desk.Desk()
         first, *others = desk.waiting.values()
@@ -57,10 +55,9 @@
         self.assertEqual(2, desk.outcome.snapshot_id)
 
     def test_no_newer_snapshot_gives_the_old_answer_in_time(self) -> None:
-        """The caller gets a truthful partial answer, not a late one.
+        """Without a newer snapshot, the old answers are returned in time.
 
-        One shard is gone at both replicas and the store is down, so no
-        newer snapshot is learned; half of the budget is spent waiting.
+        The search waits for half of its time left, not until the deadline.
         """
         desk = search_desk.Desk()
         first, *others = desk.waiting.values()
@@ -75,11 +72,7 @@
         self.assertEqual(0.75, desk.outcome.coverage)
 
     def test_restarts_are_bounded(self) -> None:
-        """A search that never finds its snapshot ends, and says not run.
-
-        Each snapshot is gone by the time its sub-queries arrive, and a
-        newer one is always known.
-        """
+        """Snapshots that vanish again and again must not loop a search."""
         desk = search_desk.Desk()
         sent = 0
         for _ in range(10):
@@ -94,11 +87,10 @@
         self.assertIs(protocol.NotRunReason.NO_SNAPSHOT, desk.outcome.reason)
 
     def test_malformed_snapshot_leaves_the_older_in_force(self) -> None:
-        """Callers go on with the older snapshot while a new one is broken.
+        """A malformed snapshot is counted, and the older one stays in force.
 
-        A publisher writes a snapshot with a gap, an overlap, a shard
-        without replicas, or one at an unknown target; it is counted.  The
-        last is taken once the configuration names the target.
+        A snapshot that names an unknown target is accepted once the
+        configuration has the target.
         """
         counters = metrics.Metrics('test')
         self.addCleanup(counters.close)
--- a/tests/failure/test_quarantine.py
+++ b/tests/failure/test_quarantine.py
@@ -1,4 +1,4 @@
-"""A request that crashes targets is stopped; its neighbours are not."""
+"""A request that crashes targets is stopped; other requests are not."""
 
 import unittest
 
@@ -11,18 +11,18 @@
 Reason = protocol.NotRunReason
 
 _POISON = memory_searches.ask(claimant='poison')
-_INNOCENT = memory_searches.ask(claimant='household-7')
+_HARMLESS = memory_searches.ask(claimant='household-7')
 
 
 class QuarantineTest(unittest.IsolatedAsyncioTestCase):
-    """Four daemons, sixteen targets, one poison request."""
+    """Four daemons, sixteen targets, one request that crashes targets."""
 
     def setUp(self) -> None:
         """Start the scripted tier."""
         self.tier = self.start(memory_searches.make_search(canary=True))
 
     def start(self, search) -> memory_searches.Tier:
-        """Return a tier that is closed at the end."""
+        """Return a tier that is closed when the test ends."""
         tier = memory_searches.Tier(search, search_desk.SEED)
         self.addCleanup(tier.close)
         return tier
@@ -35,22 +35,20 @@
         )
 
     def assert_refused(self, outcome: protocol.SearchOutcome) -> None:
-        """Check a refusal that says why and when to come back."""
+        """Check a refusal's reason, and that it has a retry time."""
         self.assertIsInstance(outcome, protocol.NotRun)
         self.assertIs(Reason.QUARANTINED, outcome.reason)
         self.assertGreater(outcome.retry_after_ms, 0)
 
     async def test_two_targets_die_however_often_it_is_sent(self) -> None:
-        """Two targets die; each further copy is refused at once.
+        """After two crashes, further copies are refused at once.
 
-        The first copy kills its canary's target, then the replica it is
-        tried at alone.  The caller sends it again through every daemon, ten
-        times; each knows, and says so without moving time.
+        The copies are sent to every daemon ten times.
         """
         started_ms = self.tier.clock.now_ms()
         (first,) = await self.ask('d0', _POISON)
         self.assertIsInstance(first, protocol.Unknown)
-        # Two service times and one pause: no wait after the verdict.
+        # Two service times and one pause: no wait after the quarantine.
         took_ms = self.tier.clock.now_ms() - started_ms
         self.assertLess(took_ms, 2 * memory_searches.SERVICE_MS + 30.0)
         await self.tier.move(1.0)
@@ -62,11 +60,10 @@
         self.assertEqual(2, len(self.tier.targets.dead))
 
     async def test_copies_at_one_time(self) -> None:
-        """Twenty copies at once through all daemons kill two targets.
+        """Twenty copies at the same time crash no more than two targets.
 
-        The order in which a content is tried follows from the content, so
-        all canaries go to the same target and die with it; the daemons hear
-        of each other's loss, and the next try has one target again.
+        All canaries go to the same target, since its choice depends on the
+        content only.
         """
         copies = [
             daemon.coordinator.search(_POISON)
@@ -77,10 +74,9 @@
         self.assertEqual(2, len(self.tier.targets.dead))
 
     async def test_content_without_canary_is_tried_alone(self) -> None:
-        """A search without canary loses its first targets, then no more.
+        """Without a canary, only the targets of the first copy are lost.
 
-        All eight shards are sent at once, so up to eight targets die; each
-        later try goes alone, and the second of these convicts.
+        The copy is sent to all eight shards at once, then tried alone.
         """
         self.tier = self.start(memory_searches.make_search(canary=False))
         await self.ask('d0', _POISON)
@@ -90,11 +86,10 @@
         self.assertLessEqual(first, 8 + 2)
         self.assertEqual(first, len(self.tier.targets.dead))
 
-    async def test_innocents_beside_it_are_answered(self) -> None:
-        """Every neighbour gets a whole answer and none is refused later.
+    async def test_harmless_contents_beside_it_are_answered(self) -> None:
+        """Harmless contents at the same targets are answered, not refused.
 
-        Twenty contents run while the poison does, at the same targets, some
-        alone in the second slot of a target that it kills.
+        Some run alone in the second slot of a target that crashes.
         """
         for round_number in range(5):
             self.tier = self.start(memory_searches.make_search(canary=True))
@@ -114,30 +109,27 @@
                 (entry,) = daemon.quarantine.entries()
                 self.assertEqual(2, len(entry.targets))
 
-    async def test_lost_twice_beside_another_is_no_conviction(self) -> None:
-        """A content that died beside the poison twice is not convicted.
+    async def test_uncertain_losses_do_not_quarantine(self) -> None:
+        """Two losses with two explanations each quarantine no content.
 
-        Each ran alone in its exchange, in two slots of the same target, so
-        each loss has two explanations.  The poison's next loss, beside
-        nobody, convicts it alone.
+        Both contents ran at the target that was lost.  The next loss has one
+        explanation and quarantines that content only.
         """
         quarantine = self.tier.daemons['d0'].quarantine
         for target in ('t1', 't2'):
-            quarantine.record_loss('innocent', target)
-            quarantine.record_loss('guilty', target)
-        self.assertFalse(quarantine.is_quarantined('innocent'))
-        self.assertFalse(quarantine.is_quarantined('guilty'))
-        quarantine.record_loss('guilty', 't3')
-        self.assertTrue(quarantine.is_quarantined('guilty'))
-        quarantine.record_success('innocent')
-        self.assertIsNone(quarantine.refusal('innocent'))
+            quarantine.record_loss('harmless', target)
+            quarantine.record_loss('crashing', target)
+        self.assertFalse(quarantine.is_quarantined('harmless'))
+        self.assertFalse(quarantine.is_quarantined('crashing'))
+        quarantine.record_loss('crashing', 't3')
+        self.assertTrue(quarantine.is_quarantined('crashing'))
+        quarantine.record_success('harmless')
+        self.assertIsNone(quarantine.refusal('harmless'))
 
     async def test_a_loss_beside_others_is_tried_again_alone(self) -> None:
-        """A content in the same exchange as the poison is not blamed.
+        """A loss in an exchange with other contents is not counted.
 
-        Two of its shards were in exchanges with others when their targets
-        died.  No loss is counted; each is asked again alone, one at a time,
-        and the answers clear it.
+        The shards are queried again alone, one at a time.
         """
         desk = search_desk.Desk()
         first, second, *others = desk.waiting.values()
@@ -155,11 +147,10 @@
         self.assertEqual(([], 1), (desk.lost, desk.succeeded))
 
     async def test_a_refused_canary_moves_to_another_shard(self) -> None:
-        """A copy that finds the first target dead spares its replica.
+        """A canary whose target is dead moves to another shard.
 
-        The target died under another daemon's copy, whose news is late.
-        Both canaries are refused; by then the content is known as a
-        suspect, so the other shards are not sent at once.
+        The target crashed under another daemon's copy, whose notice is late.
+        Once it arrives, the shards are still queried one at a time.
         """
         desk = search_desk.Desk(canary=True)
         (canary,) = desk.waiting.values()
@@ -171,10 +162,9 @@
         self.assertIn(third.attempt_id, desk.alone)
 
     async def test_a_suspect_is_tried_by_one_daemon_at_a_time(self) -> None:
-        """While one daemon tries a suspect, the others refuse it shortly.
+        """While one daemon tries a suspect, the others refuse it.
 
-        One loss is known.  Once the trial is over without a verdict, the
-        next copy may run.
+        After a trial without a result the next copy may run.
         """
         first = self.tier.daemons['d0'].quarantine
         other = self.tier.daemons['d1'].quarantine
@@ -188,10 +178,9 @@
         self.assert_refused(first.refusal('suspect'))
 
     async def test_store_tells_a_fresh_daemon(self) -> None:
-        """A daemon that starts later refuses it too; a release ends it.
+        """A daemon that starts later reads the quarantine from the store.
 
-        The verdict is in the store.  An operator releases it at another
-        daemon: the mark in the store keeps an old copy from coming back.
+        After a release, an older stored object must not bring it back.
         """
         await self.ask('d0', _POISON)
         await self.tier.move(3_000.0)
@@ -211,10 +200,10 @@
             daemon.quarantine.on_stored(stored)
             self.assertEqual([], daemon.quarantine.entries())
 
-    async def test_store_outage_is_no_hole(self) -> None:
-        """The refusal holds at all daemons while the store is down.
+    async def test_content_is_refused_during_a_store_outage(self) -> None:
+        """All daemons refuse the content while the store is unreachable.
 
-        The verdict is written when the store is back.
+        The quarantine is written when the store is back.
         """
         self.tier.store.outage = True
         await self.ask('d0', _POISON)
@@ -227,28 +216,25 @@
         self.assertEqual(1, len(self.tier.store.objects))
 
     async def test_quarantine_ends(self) -> None:
-        """After its time the content is a new one again."""
+        """A quarantine expires."""
         await self.ask('d0', _POISON)
         self.tier.clock.advance(700_000.0)
         for daemon in self.tier.daemons.values():
             self.assertEqual([], daemon.quarantine.entries())
 
     async def test_a_lost_canary_target_is_no_loss_of_the_content(self):
-        """A target that is down already does not make a content suspect.
-
-        The canary's replicas refuse the connection; the search goes on.
-        """
+        """A target that was down before does not make a content a suspect."""
         self.tier.targets.dead = ['t0', 't8']
-        (outcome,) = await self.ask('d0', _INNOCENT)
+        (outcome,) = await self.ask('d0', _HARMLESS)
         self.assertIsInstance(outcome, protocol.Partial)
         self.assertEqual(0.875, outcome.coverage)
 
     async def test_known_content_needs_no_canary(self) -> None:
-        """A content that succeeded goes to all shards at once."""
-        await self.ask('d0', _INNOCENT)
+        """A content that succeeded recently goes to all shards at once."""
+        await self.ask('d0', _HARMLESS)
         self.tier.targets.ran.clear()
         coordinator = self.tier.daemons['d0'].coordinator
-        again = self.tier.gather(coordinator.search(_INNOCENT))
+        again = self.tier.gather(coordinator.search(_HARMLESS))
         (outcome,) = await again
         self.assertIsInstance(outcome, protocol.Answered)
         self.assertEqual(8, len(self.tier.targets.ran))
--- a/tests/failure/test_truthful_coverage.py
+++ b/tests/failure/test_truthful_coverage.py
@@ -1,4 +1,4 @@
-"""The coverage an answer reports is the coverage it truly had."""
+"""The coverage in an outcome is what the targets really searched."""
 
 import random
 import unittest
@@ -15,14 +15,10 @@
 
 
 class TruthfulCoverageTest(unittest.TestCase):
-    """Targets answer less than they were asked, or claim more."""
+    """Targets search less than they were asked, or state more."""
 
     def test_a_gap_of_one_key_is_not_rounded_away(self) -> None:
-        """The caller of a search with one key unread is told so.
-
-        2**32 - 1 of 2**32 keys is 0.9999999998, which a float of fewer
-        digits, or a rounding for display, would show as whole.
-        """
+        """A gap of one key in 2**32 must not be rounded to full coverage."""
         desk = search_desk.Desk()
         first, *others = desk.waiting.values()
         desk.give(*[desk.good(row) for row in others])
@@ -38,10 +34,9 @@
         )
 
     def test_a_wider_claim_is_not_believed(self) -> None:
-        """A target's false claim does not hide a shard that did not answer.
+        """A target's false range must not hide a shard that did not answer.
 
-        One target says it searched the whole key space, another shard's
-        targets are down; only what the sound answers read is covered.
+        One target states the whole key space; another shard has no target.
         """
         desk = search_desk.Desk()
         first, second, *others = desk.waiting.values()
@@ -56,10 +51,9 @@
         self.assertEqual(1, desk.scatter.tally.bad_answers)
 
     def test_an_empty_answer_of_a_cold_target_is_asked_elsewhere(self) -> None:
-        """The caller gets the record that the cold target did not have.
+        """An answer of a target that has not loaded its shard is retried.
 
-        A target that has not loaded its shard answers well-formed, without
-        records and without ranges; its replica has both.
+        It is well-formed, but has neither records nor ranges.
         """
         desk = search_desk.Desk()
         first, *others = desk.waiting.values()
@@ -70,7 +64,7 @@
         self.assertEqual(4, len(desk.outcome.records))
 
     def test_below_the_least_coverage_there_is_no_answer(self) -> None:
-        """A service that needs 90 % gets no answer at 75 %."""
+        """With a least coverage of 90 %, 75 % is no answer."""
         search = memory_searches.make_search(least_coverage=0.9)
         desk = search_desk.Desk(search=search)
         first, *others = desk.waiting.values()
@@ -83,12 +77,10 @@
         strategies.integers(0, 2**32), strategies.sampled_from((0.0, 0.5))
     )
     def test_any_mix_of_faults(self, seed: int, least: float) -> None:
-        """Coverage is what an independent count of the targets' work gives.
+        """Coverage equals an independent count under random faults.
 
-        Answers come in random order, twice, truncated, in parts, empty, at
-        the wrong snapshot, too wide, broken or not at all, until the
-        deadline, with and without a canary; the fakes note what each truly
-        searched and delivered.
+        Answers arrive in random order, twice, truncated, in parts, empty, at
+        the wrong snapshot, too wide, broken or not at all.
         """
         rng = random.Random(seed)
         desk = search_desk.Desk(
@@ -115,7 +107,7 @@
 def _faulty(
     desk: search_desk.Desk, item: protocol.SubQuery, rng: random.Random
 ) -> tuple[protocol.SubAnswer, list[tuple[int, int]]]:
-    """Return an answer and the ranges that it truly, wholly read."""
+    """Return a random answer, and the ranges that it searched completely."""
     good = desk.good(item)
     low, high = good.ranges[0].low, good.ranges[0].high
     middle = rng.randint(low + 1, high - 1)
@@ -154,7 +146,7 @@
     searched: list[tuple[int, int]],
     least: float,
 ) -> None:
-    """Compare an outcome with a count over the edges of all ranges."""
+    """Compare an outcome with the coverage counted from ``searched``."""
     edges = sorted({0, state.KEY_SPACE_SIZE, *sum(searched, ())})
     gaps = [
         (low, high)
--- a/tests/failure/test_whole_answer.py
+++ b/tests/failure/test_whole_answer.py
@@ -1,4 +1,4 @@
-"""A caller gets the whole answer to their own request."""
+"""A caller gets all records of its own search, each of them once."""
 
 import unittest
 
@@ -10,14 +10,10 @@
 
 
 class WholeAnswerTest(unittest.TestCase):
-    """Answers come late, twice or crossed."""
+    """Answers arrive late, twice or under another attempt's id."""
 
     def test_duplicates_change_nothing(self) -> None:
-        """One stolen radio is one record, however often it is reported.
-
-        Each dispatcher's answer arrives twice, since a message was sent
-        again; the second is dropped and counted.
-        """
+        """A second answer to the same attempt is dropped and counted."""
         desk = search_desk.Desk()
         first, *others = desk.waiting.values()
         answer = desk.good(first)
@@ -30,10 +26,9 @@
         self.assertEqual(2, desk.scatter.tally.late_answers)
 
     def test_record_of_two_replicas_is_given_once(self) -> None:
-        """One stolen radio is one record though two replicas found it.
+        """A record that two replicas return must not appear twice.
 
-        The first replica stopped early but had found it; its shard is
-        asked again elsewhere, and that answer has it too.
+        The first replica's answer is truncated, so the other is queried.
         """
         desk = search_desk.Desk()
         first, *others = desk.waiting.values()
@@ -45,10 +40,9 @@
         self.assertEqual(['k-s0', 'k-s1', 'k-s2', 'k-s3'], sorted(keys))
 
     def test_late_answer_of_a_given_up_attempt_is_dropped(self) -> None:
-        """The records come from the retry, not from the one given up on.
+        """An answer of a dispatcher that was taken for lost is dropped.
 
-        The dispatcher is lost, the shard is asked elsewhere, and then the
-        first dispatcher wakes and sends its answer after all.
+        Its shards have been retried elsewhere by then.
         """
         desk = search_desk.Desk()
         first = next(iter(desk.waiting.values()))
@@ -70,10 +64,9 @@
         self.assertEqual(len(held), desk.scatter.tally.late_answers)
 
     def test_crossed_answers_are_dropped(self) -> None:
-        """An answer under another attempt's id does not fill its shard.
+        """An answer of another target must not settle an attempt.
 
-        A target crosses two callers' answers; the id is known but belongs
-        to another target, so the attempt stays open for its own answer.
+        The attempt stays pending until its own answer arrives.
         """
         desk = search_desk.Desk()
         first, second = list(desk.waiting.values())[:2]
@@ -86,7 +79,7 @@
         self.assertIsInstance(desk.outcome, protocol.Answered)
 
     def test_limit_over_all_shards_is_exact(self) -> None:
-        """The best three of all shards are returned, not of the first."""
+        """A limit of three returns the best three records of all shards."""
         desk = search_desk.Desk(search=memory_searches.make_search(limit=3))
         rows = list(desk.waiting.values())
         for number, row in enumerate(rows):
@@ -100,13 +93,12 @@
 
 
 class NotRunTest(unittest.TestCase):
-    """A search that says "not run" was begun by no target."""
+    """The outcome is ``NotRun`` only if no target began the search."""
 
     def test_only_refusals_give_not_run(self) -> None:
-        """Each replica sheds; the caller is told when to come back.
+        """A search that every replica sheds is ``NotRun`` with a retry time.
 
-        Every attempt ended before a target began, so "not run" is true;
-        each replica was asked twice at most.
+        Each replica is queried twice at most.
         """
         desk = search_desk.Desk()
         while desk.outcome is None:
@@ -122,10 +114,9 @@
         self.assertEqual(4 * 2 * 2, len(desk.sent))
 
     def test_anything_that_may_have_begun_gives_unknown(self) -> None:
-        """One attempt without an end, or broken, forbids "not run".
+        """One attempt that a target may have begun rules out ``NotRun``.
 
-        All others are refused.  The open one's dispatcher is frozen with
-        the batch and may yet run it.
+        All other attempts are refused.
         """
         for status in (None, Status.BROKEN, Status.SILENT, Status.BAD_ANSWER):
             desk = search_desk.Desk()
@@ -140,10 +131,7 @@
                 self.assertIsInstance(desk.outcome, protocol.Unknown)
 
     def test_settled_search_is_answered_at_once(self) -> None:
-        """A search with nothing left to try does not wait for its deadline.
-
-        No replica of any shard is usable.
-        """
+        """A search without usable replicas must not wait for its deadline."""
         desk = search_desk.Desk()
         desk.unusable = {f't{number}' for number in range(8)}
         desk.begin()
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: what is refused at once, and when to come back."""
+"""Admission control: which requests are refused, with which retry time."""
 
 import dataclasses
 import unittest
@@ -12,10 +12,10 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    """Two services at one daemon with room for ten."""
+    """Two services at a daemon that admits ten requests."""
 
     def setUp(self) -> None:
-        """Make two services of at most eight requests each."""
+        """Make two services that may have eight requests in flight each."""
         self.clock = timers.ManualTimers()
         self.admission = coordination.Admission(self.clock)
         self.desk = state.Service('desk', {}, {}, 1.0, 8)
@@ -37,7 +37,7 @@
         return refusal and refusal.reason
 
     def test_service_limit_leaves_room_for_the_others(self) -> None:
-        """A service at its limit is refused, another is not."""
+        """Guards against one service that takes the whole daemon."""
         for _ in range(8):
             self.assertIsNone(self.admit(self.desk))
         self.assertIs(Reason.SHARE_EXCEEDED, self.admit(self.desk))
@@ -46,7 +46,7 @@
         self.assertIsNone(self.admit(self.desk))
 
     def test_batch_gives_way_to_interactive(self) -> None:
-        """Near the daemon's limit only interactive requests get in."""
+        """Near the daemon's limit only interactive requests are admitted."""
         for _ in range(8):
             self.admit(self.desk)
         self.assertIs(Reason.OVERLOADED, self.admit(self.field, 'batch'))
@@ -56,7 +56,7 @@
         self.assertEqual(10, self.admission.in_flight())
 
     def test_retry_after_follows_the_drain_rate(self) -> None:
-        """A daemon that drains ten times slower asks for a longer wait."""
+        """The slower a daemon drains, the longer the retry time."""
         waits = []
         for gap_ms in (100.0, 1_000.0):
             for _ in range(200):
@@ -74,13 +74,13 @@
         self.assertLessEqual(waits[1], 5_000)
 
     def test_short_deadline_is_refused_but_probed(self) -> None:
-        """A deadline that cannot be met is refused; one in 20 is tried.
+        """A deadline that cannot be met is refused, except one in 20.
 
-        Were none tried, a slow minute would never be found to be over.
+        Guards against refusals that continue after latencies have fallen.
         """
-        verdicts = [
+        reasons = [
             self.admit(self.desk, deadline_ms=5.0, fastest_ms=9.0)
             for _ in range(20)
         ]
-        self.assertEqual([Reason.DEADLINE_TOO_SHORT] * 19, verdicts[:19])
-        self.assertIsNone(verdicts[19])
+        self.assertEqual([Reason.DEADLINE_TOO_SHORT] * 19, reasons[:19])
+        self.assertIsNone(reasons[19])
--- a/tests/unit/test_coordinator.py
+++ b/tests/unit/test_coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator's task: timers, lost members, refusals, counters."""
+"""The coordinator: timers, lost members, shutdown and counters."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class CoordinatorTest(unittest.IsolatedAsyncioTestCase):
-    """One coordinator over scripted dispatchers."""
+    """One coordinator with scripted dispatchers."""
 
     def setUp(self) -> None:
         """Start the scripted tier."""
@@ -19,10 +19,9 @@
         self.daemon = self.tier.daemons['d2']
 
     async def test_answer_at_the_deadline_with_what_there_is(self) -> None:
-        """A silent dispatcher costs its shards, not the whole answer.
+        """A silent dispatcher must not cost the caller the whole answer.
 
-        Half of the targets are behind it, there is no latency record yet
-        and so no hedge: at the deadline the caller has the other half.
+        It owns half of the targets, so half of the key space is covered.
         """
         self.tier.targets.silent.add('d1')
         started_ms = self.tier.clock.now_ms()
@@ -37,10 +36,9 @@
         self.assertEqual(0, self.daemon.coordinator.in_flight())
 
     async def test_end_answers_with_what_there_is(self) -> None:
-        """A daemon that stops gives what it has, long before the deadline.
+        """A daemon that stops returns what has been answered so far.
 
-        Half of the targets are silent; were nothing answered yet, the
-        caller would be told that the outcome is unknown.
+        Half of the targets are silent.
         """
         self.tier.targets.silent.add('d1')
         search = self.tier.gather(
@@ -55,7 +53,7 @@
         self.assertEqual(0, self.daemon.coordinator.in_flight())
 
     async def test_end_of_what_nobody_answered_is_unknown(self) -> None:
-        """The targets may have begun it."""
+        """The outcome is unknown, since a target may have begun."""
         self.tier.targets.silent |= {'d0', 'd1'}
         search = self.tier.gather(
             self.daemon.coordinator.search(memory_searches.ask())
@@ -65,11 +63,7 @@
         self.assertIsInstance(outcome, protocol.Unknown)
 
     async def test_lost_member_is_retried_elsewhere(self) -> None:
-        """When membership drops the silent dispatcher, others are asked.
-
-        The first attempts stay with the daemon they were sent to; the
-        targets have moved to another one meanwhile.
-        """
+        """Attempts of a lost dispatcher are sent to the new owner instead."""
         self.tier.targets.silent.add('d1')
         search = self.tier.gather(
             self.daemon.coordinator.search(memory_searches.ask())
@@ -84,7 +78,7 @@
         self.daemon.coordinator.on_member_lost('d1')
 
     async def test_admission_ends_with_the_search(self) -> None:
-        """A search frees its place, whatever its outcome."""
+        """A search that has ended no longer counts as in flight."""
         requests = [memory_searches.ask(claimant=str(n)) for n in range(3)]
         await self.tier.gather(
             *[self.daemon.coordinator.search(row) for row in requests]
@@ -94,7 +88,7 @@
         self.assertEqual(24, self.daemon.counters.total('sub_queries_sent'))
 
     async def test_late_batch_is_counted(self) -> None:
-        """Answers to a query that is over are dropped and counted."""
+        """Answers to a search that has ended are dropped and counted."""
         answer = protocol.SubAnswer('a', 't0', protocol.SubStatus.ANSWERED, 1)
         late = protocol.SubAnswerBatch('gone', [answer])
         self.tier.network.send('d0', 'd2', late)
@@ -103,10 +97,10 @@
 
 
 class ReplicaChoiceTest(unittest.TestCase):
-    """Which replica a shard's first attempt goes to."""
+    """Which replica the first attempt on a shard goes to."""
 
     def test_the_quicker_replica_gets_most_and_the_other_some(self) -> None:
-        """A slow replica is avoided, but seen when it recovers."""
+        """A slow replica gets few attempts, but enough to see it recover."""
         replicas = search_desk.Desk().context.replicas
         for _ in range(50):
             for target, took_ms in (('fast', 2.0), ('slow', 40.0)):
@@ -117,7 +111,7 @@
         self.assertGreater(chosen.count('slow'), 0)
 
     def test_work_in_flight_counts(self) -> None:
-        """Equal replicas share a burst."""
+        """A burst is spread over replicas of equal latency."""
         replicas = search_desk.Desk().context.replicas
         chosen = []
         for _ in range(100):
--- a/tests/unit/test_curve.py
+++ b/tests/unit/test_curve.py
@@ -1,4 +1,4 @@
-"""CURVE keys between daemons."""
+"""CURVE authentication and encryption between daemons."""
 
 import asyncio
 import unittest
@@ -16,16 +16,16 @@
 
 
 class Hello(msgspec.Struct, frozen=True):
-    """A message of these tests."""
+    """A message for these tests."""
 
     number: int
 
 
 class CurveTest(unittest.IsolatedAsyncioTestCase):
-    """Hubs of one process over loopback."""
+    """Peer hubs in one process, connected over loopback."""
 
     def setUp(self) -> None:
-        """Make key pairs for two members and a stranger."""
+        """Make key pairs for two members and an outsider."""
         pairs = [zmq.curve_keypair() for _ in range(3)]
         self.pairs = [(a.decode(), b.decode()) for a, b in pairs]
         self.admitted = {'a': self.pairs[0][0], 'b': self.pairs[1][0]}
@@ -57,10 +57,9 @@
     async def test_admitted_keys_are_heard_and_a_stranger_is_not(
         self,
     ) -> None:
-        """A stranger knows the address and the public key of a member.
+        """A connection with a key that is not admitted is refused.
 
-        It connects with a key pair of its own; the member refuses and
-        counts the connection, and goes on to hear its peers.
+        The refusal is counted, and messages of admitted peers still arrive.
         """
         first, counters, address = self._hub('a', self.pairs[0])
         second, _, second_address = self._hub('b', self.pairs[1])
@@ -76,7 +75,7 @@
         self.assertEqual({('b', 1), ('a', 2)}, set(self.heard))
 
     async def test_nothing_is_sent_in_the_clear(self) -> None:
-        """A member whose key is unknown gets no message at all."""
+        """A message to a peer whose key is unknown is dropped."""
         first, counters, _ = self._hub('a', self.pairs[0])
         _, _, address = self._hub('c', None)
         first.set_address('c', address)
@@ -85,10 +84,10 @@
         self.assertEqual([], self.heard)
 
     async def test_a_member_cannot_speak_for_another(self) -> None:
-        """Its key is admitted, but under another name.
+        """A message whose sender name does not match the key is dropped.
 
-        Believed, it could say for the holder of a claim that the request
-        was never sent, and have it run a second time.
+        Otherwise a member could report for the holder of a claim that its
+        request was never sent, and have the request run a second time.
         """
         _, counters, address = self._hub('a', self.pairs[0])
         liar, _, _ = self._hub('a', self.pairs[1])
@@ -102,7 +101,7 @@
         self.assertEqual([('b', 1)], self.heard)
 
     async def test_a_plain_peer_is_not_heard(self) -> None:
-        """A member with keys takes nothing from a peer without."""
+        """A member with keys receives nothing from a peer without keys."""
         _, counters, address = self._hub('a', self.pairs[0])
         second, _, _ = self._hub('b', self.pairs[1])
         plain, _, _ = self._hub('c', None)
--- a/tests/unit/test_fuzz_requests.py
+++ b/tests/unit/test_fuzz_requests.py
@@ -1,4 +1,4 @@
-"""Random bytes and JSON to the caller interface and the peer codec."""
+"""Random requests of callers, and random frames of peers."""
 
 import asyncio
 import json
@@ -25,14 +25,14 @@
 )
 _TEXT = strategies.text(max_size=6)
 
-# What a frame may hold: the peers' format has no larger integers.
+# MessagePack has no integers outside of this range.
 _FRAME_INTEGERS = strategies.integers(-(2**63), 2**64 - 1)
 
 
 def _values(
     integers: strategies.SearchStrategy[int],
 ) -> strategies.SearchStrategy[object]:
-    """Return values of every kind that a body may hold."""
+    """Return values of every JSON type, nested at most once."""
     return (
         strategies.none()
         | strategies.booleans()
@@ -54,7 +54,7 @@
         _FIELDS | _TEXT, _values(strategies.integers()), max_size=2
     ),
 )
-# aiohttp's client itself refuses to send control characters.
+# aiohttp's client refuses to send control characters in headers.
 _KEY = test_caller_http.KEY
 _TEXTS = strategies.text(
     strategies.characters(
@@ -75,10 +75,10 @@
 
 
 class RequestFuzzTest(unittest.TestCase):
-    """One application and one event loop for all examples."""
+    """Random bodies and idempotency keys; one application for all examples."""
 
     def setUp(self) -> None:
-        """Start the application."""
+        """Start the caller interface over a service in memory."""
         self.loop = asyncio.new_event_loop()
         self.addCleanup(self.loop.close)
         self.service = memory_services.MemoryService()
@@ -101,7 +101,7 @@
     def test_any_body_gets_a_typed_answer(
         self, path: str, body: bytes, key: str
     ) -> None:
-        """Refused as not run without a start, or handed on whole."""
+        """A body is either refused as not run, or reaches the service."""
         before = len(self.service.asked)
         status, answer = self.loop.run_until_complete(
             self._post(path, body, key)
@@ -121,10 +121,10 @@
 
 
 class PeerFuzzTest(unittest.TestCase):
-    """Frames that no daemon would send."""
+    """Random frames at a peer hub, and random bodies at its codec."""
 
     def setUp(self) -> None:
-        """Make a hub on an event loop."""
+        """Make a peer hub on an event loop."""
         self.loop = asyncio.new_event_loop()
         self.addCleanup(self.loop.close)
         self.counters = metrics.Metrics('fuzz')
@@ -160,7 +160,7 @@
         strategies.binary(max_size=200),
     )
     def test_decode_gives_a_value(self, name: bytes, body: bytes) -> None:
-        """A message of the table or a codec error; nothing is raised."""
+        """Decoding returns a message or a codec error, and never raises."""
         got = self.codec.decode(name, body)
         self.assertIsInstance(
             got, (protocol.CodecError, *_parts.PEER_MESSAGES)
--- a/tests/unit/test_suspects.py
+++ b/tests/unit/test_suspects.py
@@ -1,4 +1,4 @@
-"""Which contents become suspects, and which are convicted."""
+"""Which request contents become suspects, and which are quarantined."""
 
 import unittest
 
@@ -6,18 +6,18 @@
 
 
 class OutageTest(unittest.TestCase):
-    """Several targets are lost within two seconds."""
+    """Several targets are lost within a short time."""
 
     def setUp(self) -> None:
-        """Begin without suspects."""
+        """Start without suspects."""
         self.suspects = _suspects.Suspects()
 
     def lose(self, content: str, target: str, at_ms: float) -> None:
-        """Count a target lost under a content."""
+        """Record that a target was lost while it ran a content."""
         self.suspects.record_loss(content, 's', target, at_ms, int(at_ms))
 
     def assert_suspects(self, *contents: str) -> None:
-        """The contents that have a case against them."""
+        """Check which contents are suspects."""
         found = [
             name
             for name in ('a', 'b', 'c', 'poison')
@@ -26,10 +26,9 @@
         self.assertEqual(list(contents), found)
 
     def test_site_that_fails_makes_no_suspects(self) -> None:
-        """Three targets die at once, each under another content.
+        """An outage of three targets makes no content a suspect.
 
-        As suspects the three would be refused at all daemons while each is
-        tried alone, though none of them did anything.
+        Otherwise harmless contents would be refused at all daemons.
         """
         self.lose('a', 't1', 0.0)
         self.lose('b', 't2', 10.0)
@@ -43,7 +42,7 @@
         self.assert_suspects('a', 'b', 'c')
 
     def test_one_content_that_lost_two_is_not_forgiven(self) -> None:
-        """A poison is convicted though an outage falls at the same time."""
+        """An outage at the same time does not clear a content that crashes."""
         self.lose('poison', 't1', 0.0)
         self.lose('poison', 't2', 10.0)
         self.lose('a', 't3', 20.0)
