--- a/samphiredock/coordination/quarantine/_crash_tracker.py
+++ b/samphiredock/coordination/quarantine/_crash_tracker.py
@@ -5,7 +5,7 @@
 from samphiredock.coordination.quarantine import _quarantine
 from samphiredock import timers
 
-_CONTENTS = 20_000
+_MAX_CONTENTS = 20_000
 _KEEP_MS = 600_000.0
 
 
@@ -16,16 +16,16 @@
 
     Parameters
     ----------
-    contents
+    max_contents
         The largest number of fingerprints.
     keep_ms
         For how long a success counts.
     """
 
     def __init__(
-        self, contents: int = _CONTENTS, keep_ms: float = _KEEP_MS
+        self, max_contents: int = _MAX_CONTENTS, keep_ms: float = _KEEP_MS
     ) -> None:
-        self._contents = contents
+        self._max_contents = max_contents
         self._keep_ms = keep_ms
         self._seen_ms: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
@@ -38,7 +38,7 @@
         """Record that the content succeeded now."""
         self._seen_ms[fingerprint] = now_ms
         self._seen_ms.move_to_end(fingerprint)
-        if len(self._seen_ms) > self._contents:
+        if len(self._seen_ms) > self._max_contents:
             self._seen_ms.popitem(last=False)
 
     def forget(self, fingerprint: str) -> None:
--- a/samphiredock/coordination/quarantine/_quarantine.py
+++ b/samphiredock/coordination/quarantine/_quarantine.py
@@ -235,22 +235,24 @@
         else:
             self._add_entry(decoded.entry)
 
-    def _on_suspect(self, sender: str, news: protocol.SuspectNotice) -> None:
+    def _on_suspect(self, sender: str, notice: protocol.SuspectNotice) -> None:
         suspect = None
-        for target in news.targets:
-            suspect = self._count_loss(news.fingerprint, target, news.service)
+        for target in notice.targets:
+            suspect = self._count_loss(
+                notice.fingerprint, target, notice.service
+            )
         if suspect is not None:
-            until_ms = self._clock.now_ms() + news.trial_ms
+            until_ms = self._clock.now_ms() + notice.trial_ms
             suspect.trial_until_ms = max(suspect.trial_until_ms, until_ms)
 
     def _on_quarantined(
-        self, sender: str, news: protocol.QuarantineNotice
+        self, sender: str, notice: protocol.QuarantineNotice
     ) -> None:
-        self._add_entry(news.entry)
+        self._add_entry(notice.entry)
 
-    def _on_cleared(self, sender: str, news: protocol.ClearedNotice) -> None:
-        if news.released or not self.is_quarantined(news.fingerprint):
-            self._suspects.clear(news.fingerprint)
+    def _on_cleared(self, sender: str, notice: protocol.ClearedNotice) -> None:
+        if notice.released or not self.is_quarantined(notice.fingerprint):
+            self._suspects.clear(notice.fingerprint)
 
     def _add_entry(self, entry: protocol.QuarantineEntry) -> None:
         if entry.until_ms > self._clock.wall_ms():
--- a/samphiredock/coordination/quarantine/_suspects.py
+++ b/samphiredock/coordination/quarantine/_suspects.py
@@ -8,10 +8,13 @@
 from samphiredock import protocol
 
 QUARANTINE_MS = 600_000
-TRIAL_MS = 1_000.0
+TRIAL_MS = 1_000.0  # other copies are refused for so long after a loss
 
 _SUSPECT_TTL_MS = 600_000.0
+
+# Losses within this time may belong to the same crash or outage.
 _SAME_CRASH_MS = 2_000.0
+
 _MIN_LOSSES = 2
 _MIN_OUTAGE_TARGETS = 3
 _MIN_OUTAGE_CONTENTS = 2
--- a/samphiredock/coordination/search/_coordinator.py
+++ b/samphiredock/coordination/search/_coordinator.py
@@ -44,11 +44,13 @@
 
 @dataclasses.dataclass(slots=True)
 class _Search:
+    """A search in flight, its timer, and the time that the timer is set to."""
+
     scatter: _scatter.Scatter
     plan: _planner.Plan
     done: asyncio.Future
     timer: timers.Subscription | None = None
-    armed_ms: float = math.inf
+    timer_due_ms: float = math.inf
 
 
 class Coordinator:
@@ -176,13 +178,13 @@
         if refusal is not None:
             return refusal
         try:
-            outcome = await self._run_canaried(plan, configuration.limits)
+            outcome = await self._run_plan(plan, configuration.limits)
         finally:
             self._admission.release(plan.service)
         self._record_latency(plan, outcome, started_ms)
         return outcome
 
-    async def _run_canaried(
+    async def _run_plan(
         self, plan: _planner.Plan, limits: state.Limits
     ) -> protocol.SearchOutcome:
         """Run the search, with a canary if its content is new or a suspect."""
@@ -196,9 +198,9 @@
         scatter = _scatter.Scatter(
             plan, self._context, limits, canary, suspect
         )
-        return await self._run(plan, scatter)
+        return await self._run_scatter(plan, scatter)
 
-    async def _run(
+    async def _run_scatter(
         self, plan: _planner.Plan, scatter: _scatter.Scatter
     ) -> protocol.SearchOutcome:
         future = asyncio.get_running_loop().create_future()
@@ -225,7 +227,7 @@
 
     def _on_timer(self, search: _Search) -> None:
         search.timer = None
-        search.armed_ms = math.inf
+        search.timer_due_ms = math.inf
         if not search.done.done():
             now_ms = self._clock.now_ms()
             self._apply_effects(search, search.scatter.on_tick(now_ms))
@@ -261,11 +263,11 @@
     def _arm_timer(self, search: _Search) -> None:
         """Keep one timer per search, at the time of its next action."""
         due_ms = search.scatter.next_due_ms()
-        if due_ms >= search.armed_ms:
+        if due_ms >= search.timer_due_ms:
             return
         if search.timer is not None:
             search.timer.cancel()
-        search.armed_ms = due_ms
+        search.timer_due_ms = due_ms
         search.timer = self._clock.after(
             due_ms - self._clock.now_ms(), lambda: self._on_timer(search)
         )
--- a/samphiredock/coordination/search/_planner.py
+++ b/samphiredock/coordination/search/_planner.py
@@ -1,4 +1,4 @@
-"""Turn a caller's search request into a plan over one snapshot."""
+"""Turns a caller's search request into a plan over one snapshot."""
 
 import dataclasses
 import math
--- a/samphiredock/coordination/search/_scatter_attempts.py
+++ b/samphiredock/coordination/search/_scatter_attempts.py
@@ -110,7 +110,7 @@
     ) -> None:
         """Remove an attempt that has ended.
 
-        ``took_ms`` is None if the latency of the target is not known by it.
+        ``took_ms`` is None if it says nothing about the target's latency.
         """
         item = attempt.item
         del self._outstanding[item.attempt_id]
--- a/samphiredock/coordination/search/_scatter_canary.py
+++ b/samphiredock/coordination/search/_scatter_canary.py
@@ -30,8 +30,8 @@
 
     def __init__(self, fingerprint: str, canary: bool, suspect: bool) -> None:
         self._fingerprint = fingerprint
-        self._is_canary = canary or suspect
-        self._is_serial = self._is_canary
+        self._in_canary_phase = canary or suspect
+        self._is_serial = self._in_canary_phase
         self._is_suspect = suspect
         self._canaries = 0
         self._held: list[_scatter_round.ShardState] = []
@@ -44,11 +44,11 @@
     ) -> list[_scatter_round.ShardState]:
         """Begin a round; return the shards to query now, all or none."""
         self._is_serial = self._is_serial or self._is_suspect
-        self._is_canary = self._is_serial
+        self._in_canary_phase = self._is_serial
         self._canaries = 0
         self._queue.clear()
         self._lost.clear()
-        if not self._is_canary:
+        if not self._in_canary_phase:
             return shards
         self._queried_targets.clear()
         self._held = sorted(
@@ -67,7 +67,7 @@
     def may_add_canary(self) -> bool:
         """Return whether an overdue canary may be joined by another one."""
         return (
-            self._is_canary
+            self._in_canary_phase
             and not self._is_suspect
             and self._canaries < _MAX_CANARIES
             and bool(self._held)
@@ -83,7 +83,9 @@
 
     def has_waiting(self) -> bool:
         """Return whether a shard waits to be queried alone."""
-        return bool(self._queue) or (self._is_canary and bool(self._held))
+        return bool(self._queue) or (
+            self._in_canary_phase and bool(self._held)
+        )
 
     def enqueue(self, shard: _scatter_round.ShardState) -> None:
         """Queue a shard to be queried alone."""
@@ -95,7 +97,7 @@
         The shard is queued, to be queried alone.
         """
         self._is_suspect = True
-        if self._is_canary or shard in self._lost:
+        if self._in_canary_phase or shard in self._lost:
             self._is_serial = True
         if shard not in self._lost:
             self._lost.append(shard)
@@ -120,7 +122,7 @@
 
         Shards with a loss stay queued, to be queried alone.
         """
-        self._is_canary = False
+        self._in_canary_phase = False
         self._is_serial = False
         free = self._held + [
             shard for shard in self._queue if shard not in self._lost
@@ -139,7 +141,7 @@
         The limit bounds the delay when canaries end without a verdict.
         """
         return (
-            self._is_canary
+            self._in_canary_phase
             and not self._is_suspect
             and self._canaries >= _MAX_CANARIES
         )
@@ -150,7 +152,7 @@
         A further canary shares no replica with those before, so that a
         content that crashes two targets leaves a replica of every shard.
         """
-        if self._is_canary:
+        if self._in_canary_phase:
             for shard in self._held:
                 if self._queried_targets.isdisjoint(shard.shard.replicas):
                     self._canaries += 1
--- a/samphiredock/coordination/search/_scatter_hedges.py
+++ b/samphiredock/coordination/search/_scatter_hedges.py
@@ -120,9 +120,9 @@
         if delay_ms is None:
             return []
         late, self.due_ms = attempts.overdue(delay_ms, now_ms)
-        at_once = self._batch_size()
-        if len(late) > at_once:
-            late = late[:at_once]
+        batch_size = self._batch_size()
+        if len(late) > batch_size:
+            late = late[:batch_size]
             self.due_ms = now_ms + delay_ms * HEDGE_BATCH_INTERVAL_SHARE
         chosen = []
         for attempt in late:
--- a/samphiredock/coordination/search/_scatter_results.py
+++ b/samphiredock/coordination/search/_scatter_results.py
@@ -32,7 +32,7 @@
     LOST = 'lost'
     GONE = 'gone'
     BUSY = 'busy'
-    TRANSIENT = 'passing'
+    TRANSIENT = 'transient'
     REFUSED = 'refused'
     QUARANTINED = 'quarantined'
     UNKNOWN = 'unknown'
--- a/tests/unit/test_coordinator.py
+++ b/tests/unit/test_coordinator.py
@@ -35,7 +35,7 @@
         self.assertLessEqual(took_ms, 162.0)
         self.assertEqual(0, self.daemon.coordinator.in_flight())
 
-    async def test_end_answers_with_what_there_is(self) -> None:
+    async def test_finish_all_answers_with_what_there_is(self) -> None:
         """A daemon that stops returns what has been answered so far.
 
         Half of the targets are silent.
@@ -52,7 +52,7 @@
         self.assertLess(self.tier.clock.now_ms() - started_ms, 102.0)
         self.assertEqual(0, self.daemon.coordinator.in_flight())
 
-    async def test_end_of_what_nobody_answered_is_unknown(self) -> None:
+    async def test_finish_all_without_answers_is_unknown(self) -> None:
         """The outcome is unknown, since a target may have begun."""
         self.tier.targets.silent |= {'d0', 'd1'}
         search = self.tier.gather(
