--- a/tests/failure/test_configuration.py
+++ b/tests/failure/test_configuration.py
@@ -1,4 +1,4 @@
-"""A configuration accepted is in force everywhere and never reverts."""
+"""An accepted configuration comes into force and is never reverted."""
 
 import asyncio
 import collections
@@ -32,7 +32,7 @@
 
 
 class Schedule:
-    """A random run of daemons, operators and faults, recorded."""
+    """A random run of daemons, operators and faults, with its history."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -46,7 +46,7 @@
 
     @property
     def now_ms(self) -> float:
-        """The time of the run."""
+        """The simulated time."""
         return self.network.clock.now_ms()
 
     def start(self, name: str, site: str) -> None:
@@ -64,7 +64,7 @@
         self.unready[name] = floor if not self.network.cuts else 0
         daemon.current_state.subscribe(
             lambda new: self.events.append(
-                history.InForce(
+                history.Applied(
                     self.now_ms,
                     name,
                     daemon.incarnation,
@@ -75,7 +75,7 @@
         )
 
     async def run(self, duration_ms: float) -> None:
-        """Let time pass; note who becomes ready and who holds what."""
+        """Advance the time; record new ready daemons and held revisions."""
         for _ in range(int(duration_ms // 100)):
             await self.network.run(100)
             self._observe()
@@ -88,18 +88,18 @@
             if name in self.unready and daemon.is_ready:
                 floor = self.unready.pop(name)
                 self.events.append(
-                    history.Presented(
+                    history.BecameReady(
                         self.now_ms, name, daemon.incarnation, revision, floor
                     )
                 )
             self.events.append(
-                history.Held(
+                history.Observed(
                     self.now_ms, name, self.reachable_ms[name], revision
                 )
             )
 
     async def operate(self, daemon: memory_daemons.SimDaemon, name: str):
-        """Apply one change as an operator, again while it is unknown."""
+        """Apply a change as an operator; retry while it is unknown."""
         base = daemon.current_state.revision
         for sending in range(20):
             outcome = await daemon.apply(name, base, sending > 0)
@@ -121,24 +121,24 @@
 
     def race(self, number: int) -> None:
         """Let two operators change the same base at two daemons."""
-        for place in self.rng.sample(self.running(), 2):
-            name = f'change-{number}-{place.name}'
-            task = asyncio.create_task(self.operate(place, name))
+        for daemon in self.rng.sample(self.running(), 2):
+            name = f'change-{number}-{daemon.name}'
+            task = asyncio.create_task(self.operate(daemon, name))
             self.operators.append(task)
 
-    def _site(self, site: str) -> list[memory_daemons.SimDaemon]:
+    def _daemons_of(self, site: str) -> list[memory_daemons.SimDaemon]:
         return [d for d in self.network.daemons.values() if d.site == site]
 
     async def fault(self, number: int) -> None:
-        """One fault round operators' changes, then its end."""
+        """Inject one random fault around changes, then end it."""
         kind = self.rng.choice(('store', 'freeze', 'cut', 'restart', 'old'))
         self.faults[kind] += 1
         site = self.rng.choice(list(SITES))
         await _FAULTS[kind](self, number, site)
 
-    async def _store_dies(self, number: int, site: str) -> None:
+    async def _store_outage(self, number: int, site: str) -> None:
         self.race(number)
-        # The outage begins as soon as the first write has taken effect.
+        # The outage begins as soon as the first write has succeeded.
         before = self.store.position
         for _ in range(40):
             await self.network.run(5)
@@ -148,8 +148,8 @@
         await self.run(8_000)
         self.store.outage = False
 
-    async def _site_frozen(self, number: int, site: str) -> None:
-        frozen = self._site(site)
+    async def _freeze_site(self, number: int, site: str) -> None:
+        frozen = self._daemons_of(site)
         for daemon in frozen:
             daemon.clock.frozen = True
         self.race(number)
@@ -158,7 +158,7 @@
             self.reachable_ms[daemon.name] = self.now_ms
             daemon.clock.wake()
 
-    async def _site_cut(self, number: int, site: str) -> None:
+    async def _partition_site(self, number: int, site: str) -> None:
         self.network.cuts = {
             frozenset((site, other)) for other in SITES if other != site
         }
@@ -172,27 +172,27 @@
             self.reachable_ms[name] = self.now_ms
             self.unready[name] = 0
 
-    async def _restarted(self, number: int, site: str) -> None:
+    async def _restart_site(self, number: int, site: str) -> None:
         self.race(number)
         await self.run(self.rng.uniform(0, 200))
-        for daemon in self._site(site):
+        for daemon in self._daemons_of(site):
             daemon.kill()
             self.start(daemon.name, site)
         await self.run(3_000)
 
-    async def _stale_start(self, number: int, site: str) -> None:
-        # Every read is old: only the peers know what is in force.
+    async def _start_on_stale_reads(self, number: int, site: str) -> None:
+        # Every read is stale: only peers have the revision in force.
         self.race(number)
         await self.run(3_000)
         self.store.chances = {_Fault.STALE: 1.0}
-        daemon = self._site(site)[0]
+        daemon = self._daemons_of(site)[0]
         daemon.kill()
         self.start(daemon.name, site)
         await self.run(4_000)
         self.store.chances = {_Fault.STALE: 0.2}
 
     def stored(self) -> dict[int, str]:
-        """Return the changes that the store's object lists."""
+        """Return the changes listed in the store's object."""
         key = coordination.CONFIGURATION_KEY
         last = msgspec.json.decode(
             self.store.objects[key].value, type=state.ConfigurationSource
@@ -201,16 +201,16 @@
 
 
 _FAULTS: dict[str, typing.Callable] = {
-    'store': Schedule._store_dies,
-    'freeze': Schedule._site_frozen,
-    'cut': Schedule._site_cut,
-    'restart': Schedule._restarted,
-    'old': Schedule._stale_start,
+    'store': Schedule._store_outage,
+    'freeze': Schedule._freeze_site,
+    'cut': Schedule._partition_site,
+    'restart': Schedule._restart_site,
+    'old': Schedule._start_on_stale_reads,
 }
 
 
-async def play(seed: int) -> Schedule:
-    """Run one schedule to its quiet end."""
+async def run_schedule(seed: int) -> Schedule:
+    """Run one schedule until all faults have ended."""
     run = Schedule(seed)
     run.store.write(coordination.CONFIGURATION_KEY, source(1, 'first'))
     names = list(SITES)
@@ -229,8 +229,8 @@
     return run
 
 
-async def started(revision: int, daemons: int) -> Schedule:
-    """Return settled daemons with a revision in force, spread over sites."""
+async def start_daemons(revision: int, daemons: int) -> Schedule:
+    """Return running daemons with a revision in force, spread over sites."""
     run = Schedule(SEED)
     run.store.write(coordination.CONFIGURATION_KEY, source(revision, 'first'))
     for number in range(daemons):
@@ -243,19 +243,18 @@
     """Eight daemons in three sites of two regions."""
 
     def test_never_reverts_under_a_random_schedule(self) -> None:
-        """What was accepted is in force in time, and nothing goes back.
+        """Accepted changes come into force in time and are never reverted.
 
-        Two operators race from one base again and again while the store
-        loses answers, reads old objects and dies just after it took a
-        change; sites are frozen, cut off and restarted with nothing kept.
-        The recorded history is judged by the checks of each promise.
+        Operators race from one base while the store loses answers, returns old
+        objects and fails right after a write; sites are frozen, partitioned
+        and restarted.
         """
         totals: collections.Counter = collections.Counter()
         for number in range(SCHEDULES):
             seed = SEED + number
-            run = asyncio.run(play(seed))
+            run = asyncio.run(run_schedule(seed))
             with self.subTest(seed=seed):
-                self.judge(run)
+                self.assert_invariants(run)
             totals.update(run.faults)
             totals.update(run.network.faults)
             totals.update(
@@ -266,22 +265,22 @@
                 for event in run.events
             )
         print(f'configuration, {SCHEDULES} seeds from {SEED}: {dict(totals)}')
-        for name in ('ChangeAccepted', 'ChangeConflict', 'Presented'):
+        for name in ('ChangeAccepted', 'ChangeConflict', 'BecameReady'):
             self.assertGreaterEqual(totals[name], 20, name)
         lost, outage = _Fault.LOST_AFTER.value, _Fault.OUTAGE.value
         for name in (*_FAULTS, 'loss', f'store {lost}', f'store {outage}'):
             self.assertGreaterEqual(totals[name], 3, name)
 
-    def judge(self, run: Schedule) -> None:
-        """Assert every promise on a run's history."""
+    def assert_invariants(self, run: Schedule) -> None:
+        """Assert all checkers on a run's history."""
         events = run.events
         self.assertEqual([], history.reverted(events)[:3])
-        self.assertEqual([], history.presented_too_old(events)[:3])
-        self.assertEqual([], history.two_of_one_revision(events)[:3])
-        self.assertEqual([], history.refused_but_in_force(events)[:3])
+        self.assertEqual([], history.ready_too_old(events)[:3])
+        self.assertEqual([], history.conflicting_revisions(events)[:3])
+        self.assertEqual([], history.refused_but_applied(events)[:3])
         lost = history.accepted_but_lost(events, run.stored())
         self.assertEqual([], lost[:3])
-        self.assertEqual([], history.late(events, IN_FORCE_LIMIT_MS)[:3])
+        self.assertEqual([], history.overdue(events, IN_FORCE_LIMIT_MS)[:3])
         final = {
             d.current_state.revision for d in run.network.daemons.values()
         }
@@ -294,14 +293,12 @@
     async def test_frozen_site_is_not_ready_until_it_has_the_newer(
         self,
     ) -> None:
-        """A caller at a woken site is never served on the old revision.
+        """A woken site is not ready until it has the revision in force.
 
-        A site is frozen while a change is accepted and the store dies.
-        When it wakes it still holds the old revision: it is not ready
-        until its peers have told it, and then holds the new one.
+        The change was accepted while the site was frozen; the store is down.
         """
-        run = await started(1, 6)
-        frozen = run._site('yeka-c')
+        run = await start_daemons(1, 6)
+        frozen = run._daemons_of('yeka-c')
         for daemon in frozen:
             daemon.clock.frozen = True
         task = asyncio.create_task(
@@ -322,15 +319,13 @@
         self.assertEqual({(False, 1), (False, 2), (True, 2)}, seen)
 
     async def test_fresh_daemon_while_the_store_is_down(self) -> None:
-        """It learns from the addresses in its settings, and is ready.
+        """Without the store, a new daemon gets the configuration from peers.
 
-        The store goes down just after a change was accepted.  A daemon
-        that starts then, with nothing, gets members and configuration
-        from its peers; one that knows no peer is never ready.
+        Without a reachable peer it never becomes ready.
         """
 
         async def body(seeds: tuple[str, ...]) -> tuple[bool, int, int]:
-            run = await started(1, 6)
+            run = await start_daemons(1, 6)
             task = asyncio.create_task(
                 run.network.daemons['entry-1'].apply('two', 1)
             )
@@ -349,13 +344,11 @@
         self.assertEqual((False, 0, 1), await body(()))
 
     async def test_store_restored_from_a_backup(self) -> None:
-        """The revision in force stays, and the next change gets a new one.
+        """A store restored from a backup does not bring back an old revision.
 
-        The store comes back with an older object under a higher version.
-        It is counted and not applied; an operator's next change, made
-        from the revision in force, is numbered above that.
+        The next change is numbered above the revision in force.
         """
-        run = await started(5, 3)
+        run = await start_daemons(5, 3)
         run.store.write(coordination.CONFIGURATION_KEY, source(3, 'three'))
         await run.run(2_000)
         daemons = list(run.network.daemons.values())
--- a/tests/simulation_runs.py
+++ b/tests/simulation_runs.py
@@ -1,4 +1,4 @@
-"""Runners of several daemons in one process, under faults from a seed."""
+"""Simulates runners of several daemons in one process, with seeded faults."""
 
 import asyncio
 import itertools
@@ -17,7 +17,7 @@
 
 
 class System(memory_runners.RunnerSystem):
-    """Daemons, dispatchers, a store and the history of what they did."""
+    """Daemons, dispatchers and a store; records the history of requests."""
 
     def __init__(
         self,
@@ -38,9 +38,10 @@
         issued_at_ms: int | None = None,
         deadline_ms: int | None = None,
     ) -> asyncio.Task:
-        """Send a request as a caller; the task ends with its outcome.
+        """Send a request as a caller; the task returns its outcome.
 
-        Like many a caller it issues the key anew with each try.
+        By default the key is issued at the current time, as many callers do
+        with each retry.
         """
         number = next(self._calls)
         self.history.append(
@@ -67,18 +68,18 @@
         return outcome
 
     def start_drain(self, daemon: memory_runners.Daemon) -> asyncio.Task:
-        """Tell a daemon to leave."""
+        """Start to drain a daemon."""
         return asyncio.create_task(daemon.runner.drain())
 
     async def outcome(
         self, call: asyncio.Task, within_ms: float = 10_000.0
     ) -> typing.Any:
-        """Move time until a call is answered."""
+        """Advance the time until a call is answered; return its outcome."""
         await self.clock.pass_ms(within_ms, call.done)
         return call.result()
 
-    async def executed(self) -> None:
-        """Move time until a target has run a request."""
+    async def wait_executed(self) -> None:
+        """Advance the time until a target has run a request."""
         await self.clock.pass_ms(1_000, lambda: self.executions() > 0)
 
     def executions(self) -> int:
@@ -88,7 +89,7 @@
         )
 
     def on_executed(self, order: protocol.RunOrder, receipt: str) -> None:
-        """Note it in the history."""
+        """Record an execution in the history."""
         self.history.append(
             history_runs.Executed(
                 order.idempotency_key, order.attempt_id, receipt
@@ -109,10 +110,10 @@
 
 
 class RunnerTestCase(unittest.IsolatedAsyncioTestCase):
-    """Two daemons; what was recorded is judged at the end of each test."""
+    """Two daemons; the recorded history is checked after each test."""
 
     def setUp(self) -> None:
-        """Start them."""
+        """Start both daemons."""
         self.metrics = metrics.Metrics('test')
         self.addCleanup(self.metrics.close)
         self.system = System(SEED, self.metrics, 4.0)
@@ -120,20 +121,20 @@
         self.second = self.system.start('entry-2')
 
     def tearDown(self) -> None:
-        """Judge what was recorded."""
+        """Check the recorded history."""
         self.assertEqual([], history_runs.violations(self.system.history))
 
-    async def assert_told(
+    async def assert_outcome_type(
         self, call: asyncio.Task, kind: type
     ) -> protocol.RunOutcome:
-        """Assert the kind of a call's outcome; return it."""
+        """Assert the type of a call's outcome; return the outcome."""
         outcome = await self.system.outcome(call)
         self.assertIsInstance(outcome, kind)
         return outcome
 
 
 class FaultSimulation:
-    """A run of random calls and faults, then calm and last calls."""
+    """Random calls and faults, then calls of every key without faults."""
 
     NAMES = ('entry-1', 'entry-2', 'entry-3')
     KEYS = tuple(f'payout-{number}' for number in range(16))
@@ -142,10 +143,10 @@
     def __init__(self, seed: int, counters: metrics.Metrics) -> None:
         self.system = System(seed, counters, latency_ms=8.0)
         self._random = self.system.random
-        self._steps = 0
+        self._step_number = 0
 
     async def run(self) -> None:
-        """Run to the end; the history is judged by the test."""
+        """Run the simulation; the test checks the history."""
         system = self.system
         for name in self.NAMES:
             system.start(name)
@@ -160,12 +161,12 @@
             memory_platform.Fault.STALE: 0.20,
         }
         for number in range(self.STEPS):
-            self._steps = number
+            self._step_number = number
             self._step()
             await system.clock.pass_ms(
                 self._random.choice((0, 0, 3, 10, 60, 700))
             )
-        self._calm()
+        self._end_faults()
         await system.clock.pass_ms(10_000)
         for key in self.KEYS:
             for name in self.NAMES:
@@ -189,7 +190,7 @@
         other = key is None and self._random.random() < 0.05
         self.system.call(
             self.system.daemons[name or self._random.choice(self.NAMES)],
-            key or self._random.choice(self._near()),
+            key or self._random.choice(self._active_keys()),
             'household-8' if other else 'household-7',
             deadline_ms=self._random.choice((None, 300, 5_000)),
         )
@@ -203,28 +204,28 @@
         self.system.faults['outage'] += 1
 
     def _freeze(self) -> None:
-        daemon = self._any()
+        daemon = self._random_daemon()
         if not daemon.host.frozen:
             daemon.host.frozen = True
             self.system.faults['freeze'] += 1
 
     def _wake(self) -> None:
-        self._any().host.wake(self._random)
+        self._random_daemon().host.wake(self._random)
 
     def _kill(self) -> None:
-        daemon = self._any()
+        daemon = self._random_daemon()
         self.system.kill(daemon)
         self.system.start(daemon.name)
 
-    def _near(self) -> tuple[str, ...]:
-        """Return the few keys in use now: calls of one key must meet."""
-        first = self._steps * len(self.KEYS) // self.STEPS
+    def _active_keys(self) -> tuple[str, ...]:
+        """Return the few keys in use now, so that calls share keys."""
+        first = self._step_number * len(self.KEYS) // self.STEPS
         return self.KEYS[max(0, first - 2) : first + 1]
 
-    def _any(self) -> memory_runners.Daemon:
+    def _random_daemon(self) -> memory_runners.Daemon:
         return self.system.daemons[self._random.choice(self.NAMES)]
 
-    def _calm(self) -> None:
+    def _end_faults(self) -> None:
         self.system.store.outage = False
         self.system.store.chances = {}
         self.system.hub.loss = 0.0
