--- a/samphiredock/coordination/forwarding/_live_targets.py
+++ b/samphiredock/coordination/forwarding/_live_targets.py
@@ -21,7 +21,7 @@
 class LiveTargets:
     """Registered targets by id and by service, with their observed health.
 
-    Implements :class:`coordination.Routes` for targets that are asked
+    Implements :class:`TargetView` for targets that are asked
     directly: each target is its own dispatcher.
     """
 
--- a/samphiredock/coordination/forwarding/_merger_assignments.py
+++ b/samphiredock/coordination/forwarding/_merger_assignments.py
@@ -21,7 +21,7 @@
 class MergerAssignments:
     """Which daemon asks each target of one search.
 
-    Implements :class:`coordination.Routes`.
+    Implements :class:`TargetView`.
 
     Parameters
     ----------
--- a/samphiredock/coordination/forwarding/_null_crash_tracker.py
+++ b/samphiredock/coordination/forwarding/_null_crash_tracker.py
@@ -2,7 +2,7 @@
 
 
 class NullCrashTracker:
-    """Suspicions that record nothing and refuse nothing."""
+    """A crash tracker that records nothing and refuses nothing."""
 
     def record_loss(self, fingerprint: str, target: str, service: str) -> None:
         """Do nothing."""
--- a/samphiredock/coordination/search/_scatter_canary.py
+++ b/samphiredock/coordination/search/_scatter_canary.py
@@ -138,7 +138,7 @@
     def has_enough_canaries(self) -> bool:
         """Return whether to stop sending canaries.
 
-        The limit bounds the delay when canaries end without a verdict.
+        The limit bounds the delay when canaries neither succeed nor crash.
         """
         return (
             self._in_canary_phase
--- a/standins/search_desk.py
+++ b/standins/search_desk.py
@@ -65,7 +65,7 @@
         self.outcome: protocol.SearchOutcome | None = None
         self.take(self.scatter.start(self.now_ms))
 
-    # Routes and suspicions.
+    # Target view and crash tracker.
 
     def owner(self, target: str) -> str:
         return f'd{int(target[1:]) % 4}'
