--- a/samphiredock/coordination/fleet/_gossip.py
+++ b/samphiredock/coordination/fleet/_gossip.py
@@ -107,7 +107,7 @@
         effects += self._reports.expire_suspicions(now_ms)
         effects += self._verify_reports()
         if now_ms >= self._next_probe_ms:
-            self._next_probe_ms = now_ms + self._reports.period_ms()
+            self._next_probe_ms = now_ms + self._reports.probe_period_ms()
             effects += self._probe_next(now_ms)
         if now_ms >= self._next_lost_ms:
             self._next_lost_ms = now_ms + _LOST_PROBE_INTERVAL_MS
@@ -144,7 +144,7 @@
         names = [row.name for row in chosen]
         return effects + self._ask_state(names, full=True)
 
-    def ask_some(self) -> _Effects:
+    def ask_neighbours(self) -> _Effects:
         """Ask some neighbours for their member tables."""
         return self._ask_state(self._random_neighbours(_REFRESH_PEERS))
 
@@ -221,7 +221,7 @@
         return [_gossip_state.SendTo(name, message)]
 
     def _probe_next(self, now_ms: float) -> _Effects:
-        name = self._probes.next_target(self.neighbours())
+        name = self._probes.next_member(self.neighbours())
         return self._probe(name, now_ms + _DIRECT_TIMEOUT_MS) if name else []
 
     def _probe_lost(self, now_ms: float) -> _Effects:
@@ -237,7 +237,7 @@
     def _expire_probes(self, now_ms: float) -> _Effects:
         effects: _Effects = []
         for number, probe in self._probes.due(now_ms):
-            row = self.table.get(probe.target)
+            row = self.table.get(probe.member)
             known = row is not None and row.state in (_ALIVE, _SUSPECT)
             if probe.asked_by or probe.indirect or not known:
                 self._probes.close(number)
@@ -246,21 +246,21 @@
                 continue
             probe.indirect = True
             probe.due_ms = now_ms + _INDIRECT_TIMEOUT_MS
-            effects += self._probe_through_others(number, probe.target)
+            effects += self._probe_through_others(number, probe.member)
         return effects
 
-    def _probe_through_others(self, number: int, target: str) -> _Effects:
+    def _probe_through_others(self, number: int, member: str) -> _Effects:
         helpers = [
             name
             for name in self._random_neighbours(_INDIRECT_PROBES + 1)
-            if name != target
+            if name != member
         ][:_INDIRECT_PROBES]
         versions = self._versions()
         return [
             _gossip_state.SendTo(
                 name,
                 protocol.ProbeAsk(
-                    number, target, versions, self._reports.rows_for(name)
+                    number, member, versions, self._reports.rows_for(name)
                 ),
             )
             for name in helpers
@@ -320,7 +320,7 @@
         effects = self._reports.merge(message.rows, now_ms)
         effects.append(_gossip_state.PeerVersions(sender, message.versions))
         probe = self._probes.get(message.number)
-        if probe is not None and probe.target == sender:
+        if probe is not None and probe.member == sender:
             self._probes.close(message.number)
             if probe.asked_by:
                 effects += self._relay_answer(probe, message)
@@ -329,7 +329,7 @@
             # connection to it is silent.  The target's own probes detect a
             # silent connection in the other direction.
             self._probes.close(message.number)
-            effects.append(_gossip_state.ResetPeer(probe.target))
+            effects.append(_gossip_state.ResetPeer(probe.member))
         if was_lost and sender not in self._reports.lost_since:
             effects += self._ask_state([sender])
         return effects
@@ -406,7 +406,7 @@
 """The messages that :meth:`Gossip.on_message` handles."""
 
 
-def health_of(row: protocol.MemberRow, revision: int) -> dict:
+def status_row(row: protocol.MemberRow, revision: int) -> dict:
     """Return one member's row in the output of ``status``."""
     return {
         'member': _member_table.member_of(row),
--- a/samphiredock/coordination/fleet/_gossip_state.py
+++ b/samphiredock/coordination/fleet/_gossip_state.py
@@ -80,7 +80,7 @@
     daemon and ``asked_number`` the number of its probe.
     """
 
-    target: str
+    member: str
     due_ms: float
     indirect: bool = False
     asked_by: str = ''
@@ -124,7 +124,7 @@
         for probe in self._open.values():
             probe.due_ms += delay_ms
 
-    def next_target(self, others: typing.Sequence[str]) -> str | None:
+    def next_member(self, others: typing.Sequence[str]) -> str | None:
         """Return the next member to probe, None if there is none.
 
         Each member comes once in a round, in random order, so that the time
--- a/samphiredock/coordination/fleet/_membership.py
+++ b/samphiredock/coordination/fleet/_membership.py
@@ -155,7 +155,7 @@
         """Return all known members, dead ones included, for ``status``."""
         revisions = self.revisions()
         return [
-            _gossip.health_of(row, revisions.get(row.name, 0))
+            _gossip.status_row(row, revisions.get(row.name, 0))
             for row in self._gossip.table.rows()
         ]
 
@@ -253,7 +253,7 @@
             return
         self._ask_seeds()
         self._execute(self._gossip.ask_unknown(self._listed))
-        self._execute(self._gossip.ask_some())
+        self._execute(self._gossip.ask_neighbours())
 
     def _ask_seeds(self) -> None:
         if self._joined:
--- a/samphiredock/coordination/fleet/_reports.py
+++ b/samphiredock/coordination/fleet/_reports.py
@@ -21,7 +21,7 @@
 _SUSPECT = protocol.MemberState.SUSPECT
 _DEAD = protocol.MemberState.DEAD
 _LEFT = protocol.MemberState.LEFT
-_GONE = (_DEAD, _LEFT)
+_LOST = (_DEAD, _LEFT)
 
 _Effects = list[_gossip_state.GossipEffect]
 
@@ -58,7 +58,7 @@
         """This daemon's own row."""
         return self.table.get(self._name)
 
-    def period_ms(self) -> float:
+    def probe_period_ms(self) -> float:
         """Return the time between two probes at the current fleet size."""
         small = len(self.table.names()) <= _SMALL_FLEET_SIZE
         return _SMALL_FLEET_PERIOD_MS if small else _PERIOD_MS
@@ -70,7 +70,7 @@
         gossip reaches the suspect and the refutation comes back.
         """
         rounds = math.log2(len(self.table.names()) + 1)
-        return max(_MIN_SUSPICION_MS, self.period_ms() * rounds)
+        return max(_MIN_SUSPICION_MS, self.probe_period_ms() * rounds)
 
     def disseminate(self, name: str) -> None:
         """Piggyback a member's row on the next messages."""
@@ -124,7 +124,7 @@
         if self.table.get(row.name) is not None:
             return False
         has_left = self._left_incarnations.get(row.name, -1) >= row.incarnation
-        return row.state in _GONE or has_left
+        return row.state in _LOST or has_left
 
     def _record_left(self, row: protocol.MemberRow) -> None:
         """Record the incarnation of an unknown member that has left.
@@ -178,7 +178,7 @@
         self._suspected_until.pop(name, None)
         if row.state is _SUSPECT:
             self._suspected_until[name] = now_ms + self.suspicion_ms()
-        if row.state in _GONE:
+        if row.state in _LOST:
             self.lost_since.setdefault(name, now_ms)
         else:
             self.lost_since.pop(name, None)
--- a/samphiredock/coordination/targets/_budget.py
+++ b/samphiredock/coordination/targets/_budget.py
@@ -5,7 +5,7 @@
 from samphiredock import protocol
 
 _BURST_TOKENS = 20.0
-_DEBT_TOKENS = 100.0
+_MAX_DEBT_TOKENS = 100.0
 
 
 class RetryBudget:
@@ -62,7 +62,7 @@
         For retries after the loss of a dispatcher or target: there is at
         most one for each attempt, and refusing it would lose coverage.
         """
-        self._tokens = max(-_DEBT_TOKENS, self._tokens - 1.0)
+        self._tokens = max(-_MAX_DEBT_TOKENS, self._tokens - 1.0)
 
     def refund(self, shard: str = '') -> None:
         """Return the token of a hedge that no target started."""
--- a/samphiredock/coordination/targets/_dispatcher.py
+++ b/samphiredock/coordination/targets/_dispatcher.py
@@ -91,7 +91,7 @@
         peers.subscribe(protocol.RunOrder, self._on_run)
         peers.subscribe(protocol.CancelAttempts, self._on_cancel)
         if signs is not None:
-            signs.subscribe(self._on_sign)
+            signs.subscribe(self._on_leaving_changed)
             clock.every(_RETURN_PROBE_PERIOD_MS, self._probe_leaving)
 
     def follow_ownership(
@@ -303,13 +303,15 @@
             self._metrics.add('cancels_unconfirmed', len(attempts))
             return
         answer = reply.unwrap()
-        never = set(answer.never_started)
-        ended = never.union(answer.stopped)
+        never_started = set(answer.never_started)
+        ended = never_started.union(answer.stopped)
         for pending in attempts:
             attempt_id = pending.job.attempt_id
             if pending.ticket is not None and attempt_id in ended:
                 managed.scheduler.confirm_ended(pending.ticket, [attempt_id])
-            if attempt_id in never and self._outbox.pending(attempt_id):
+            if attempt_id in never_started and self._outbox.pending(
+                attempt_id
+            ):
                 self._refuse_cancelled(pending)
 
     def _refuse_cancelled(self, pending: _outbox.PendingAttempt) -> None:
@@ -417,7 +419,7 @@
 
     # Leaving targets.
 
-    def _on_sign(self, target: str, leaving: bool) -> None:
+    def _on_leaving_changed(self, target: str, leaving: bool) -> None:
         managed = self._managed.get(target)
         if managed is not None:
             self.execute(target, managed.scheduler.set_leaving(leaving))
--- a/samphiredock/coordination/targets/_exchanges.py
+++ b/samphiredock/coordination/targets/_exchanges.py
@@ -19,7 +19,7 @@
 _SAMPLE_EVERY = 8
 """One exchange in this many is recorded in ``target_service_ms``."""
 
-Answer = typing.Callable[
+AnswerCallback = typing.Callable[
     [_scheduler_types.Job, protocol.SubAnswer | protocol.RunReport], None
 ]
 
@@ -58,7 +58,7 @@
         clock: timers.Timers,
         counters: metrics.Metrics,
         signs: _target_signs.TargetSigns | None,
-        answer: Answer,
+        answer: AnswerCallback,
         silent_after_ms: typing.Callable[[], float],
     ) -> None:
         self._clock = clock
@@ -66,7 +66,7 @@
         self._signs = signs
         self._answer = answer
         self._silent_after_ms = silent_after_ms
-        self._count = 0
+        self._answered_batches = 0
 
     async def run(
         self, managed: ManagedTarget, start: _scheduler_types.StartExchange
@@ -215,8 +215,8 @@
         return lost_during
 
     def _sample(self, job: _scheduler_types.Job, started_ms: float) -> None:
-        self._count += 1
-        if self._count % _SAMPLE_EVERY:
+        self._answered_batches += 1
+        if self._answered_batches % _SAMPLE_EVERY:
             return
         self._metrics.observe(
             'target_service_ms',
--- a/samphiredock/coordination/targets/_observed_health.py
+++ b/samphiredock/coordination/targets/_observed_health.py
@@ -17,16 +17,16 @@
 _INITIAL = 'unknown'
 TARGET_STATES = ('unknown', 'warming', 'serving', 'suspect', 'leaving', 'lost')
 
-_LIVE = ['unknown', 'warming', 'serving', 'suspect', 'lost']
+_NOT_LEAVING = ['unknown', 'warming', 'serving', 'suspect', 'lost']
 
 TARGET_TRANSITIONS = (
     ('answered', ['unknown', 'lost'], 'warming'),
     ('answered', 'suspect', 'serving'),
     ('warmed', 'warming', 'serving'),
-    ('unloaded', _LIVE, 'warming'),
+    ('unloaded', _NOT_LEAVING, 'warming'),
     ('failed', ['unknown', 'warming', 'serving'], 'suspect'),
-    ('gone', _LIVE, 'lost'),
-    ('leave', _LIVE, 'leaving'),
+    ('gone', _NOT_LEAVING, 'lost'),
+    ('leave', _NOT_LEAVING, 'leaving'),
     ('come_back', 'leaving', 'warming'),
 )
 """Trigger, sources, destination; a trigger in another state is ignored."""
--- a/tests/failure/test_membership.py
+++ b/tests/failure/test_membership.py
@@ -8,7 +8,7 @@
 from standins import memory_daemons
 
 SEED = int(os.environ.get('SAMPHIREDOCK_SEED', '20261202'))
-THREE_REGIONS = {'bole-a': 'addis', 'kirkos-b': 'adama', 'yeka-c': 'mekelle'}
+REGION_BY_SITE = {'bole-a': 'addis', 'kirkos-b': 'adama', 'yeka-c': 'mekelle'}
 
 
 def simulate(
@@ -40,7 +40,7 @@
 
     async def start(self, network: memory_daemons.Network) -> set[str]:
         """Start nine daemons, wait until all hold all live; return names."""
-        memory_daemons.start_sites(network, THREE_REGIONS, 9)
+        memory_daemons.start_sites(network, REGION_BY_SITE, 9)
         await network.run(3_000)
         everyone = set(network.daemons)
         self.assert_views(network, everyone)
@@ -71,7 +71,7 @@
 
         async def body(network: memory_daemons.Network) -> None:
             everyone = await self.start(network)
-            regions = list(THREE_REGIONS.values())
+            regions = list(REGION_BY_SITE.values())
             network.cuts = {
                 frozenset((regions[0], regions[1])),
                 frozenset((regions[0], regions[2])),
@@ -107,17 +107,17 @@
 
         async def body(network: memory_daemons.Network) -> None:
             everyone = await self.start(network)
-            sleeper = network.daemons['entry-4']
-            sleeper.clock.frozen = True
+            frozen = network.daemons['entry-4']
+            frozen.clock.frozen = True
             await network.run(8_000)
             self.assert_views(network, everyone - {'entry-4'})
             network.daemons['entry-7'].kill()
             await network.run(8_000)
-            self.assertFalse(sleeper.membership.is_current())
-            sleeper.clock.wake()
-            self.assertFalse(sleeper.membership.is_current())
+            self.assertFalse(frozen.membership.is_current())
+            frozen.clock.wake()
+            self.assertFalse(frozen.membership.is_current())
             await network.run(3_000)
-            self.assertTrue(sleeper.membership.is_current())
+            self.assertTrue(frozen.membership.is_current())
             self.assert_views(network, everyone - {'entry-7'})
 
         simulate(body)
@@ -136,7 +136,7 @@
             for daemon in network.daemons.values():
                 daemon.clock.wake()
             network.cuts = {
-                frozenset(('entry-1', site)) for site in THREE_REGIONS
+                frozenset(('entry-1', site)) for site in REGION_BY_SITE
             }
             await network.run(3_500)
             current = [
--- a/tests/unit/test_dispatcher.py
+++ b/tests/unit/test_dispatcher.py
@@ -57,7 +57,7 @@
         self.assertEqual(answered, self.peers.statuses())
         self.assertEqual(0, self.dispatcher.in_flight())
 
-    async def test_one_turn_makes_one_exchange(self) -> None:
+    async def test_jobs_of_one_loop_iteration_share_an_exchange(self) -> None:
         first = dispatching.batch(dispatching.item('1'), dispatching.item('2'))
         await self._deliver(first, dispatching.batch(dispatching.item('3')))
         self.assertEqual(1, len(self.link.batches))
@@ -65,7 +65,9 @@
         await dispatching.settle()
         self._assert_answered(**dict.fromkeys('123', 'answered'))
 
-    async def test_broken_batch_tells_who_ran_alone(self) -> None:
+    async def test_broken_batch_reports_whether_the_attempt_ran_alone(
+        self,
+    ) -> None:
         for names, healthy in (('1', True), ('2', False), ('34', False)):
             self.setUp()
             self.dispatcher.scheduler('t1')
@@ -81,7 +83,7 @@
                 self.assertEqual(len(names) == 1, answer.ran_alone)
                 self.assertEqual(not healthy, answer.target_lost)
 
-    async def test_target_that_was_dead_before_is_not_lost_under_a_request(
+    async def test_unreachable_target_is_not_reported_as_lost(
         self,
     ) -> None:
         """An unreachable target is not reported as lost during the attempt.
@@ -225,7 +227,7 @@
         await self.dispatcher.drain()
         self._assert_answered(**{'1': 'answered'})
 
-    async def test_drain_waits_for_answers_that_leave_later(self) -> None:
+    async def test_drain_waits_for_unsent_answers(self) -> None:
         """They are sent in the next iteration of the event loop."""
         self.peers.deliver(dispatching.batch(dispatching.item('1', 't9')))
         await self.dispatcher.drain()
--- a/tests/unit/test_scheduler.py
+++ b/tests/unit/test_scheduler.py
@@ -64,7 +64,7 @@
     ) -> None:
         """The modelled target runs lost exchanges until their deadline."""
         scheduler = _scheduler_of(slots=slots)
-        now_ms, runs_until, out = 0.0, {}, []
+        now_ms, runs_until, open_tickets = 0.0, {}, []
         for number, (step, amount) in enumerate(steps):
             effects = []
             if step == 'submit':
@@ -74,8 +74,8 @@
                 )
             elif step == 'wait':
                 now_ms += amount
-            elif out:
-                ticket = out.pop(0)
+            elif open_tickets:
+                ticket = open_tickets.pop(0)
                 exchange_end = _ANSWERED if step == 'answer' else _LOST
                 if exchange_end is _ANSWERED:
                     runs_until.pop(ticket)
@@ -84,11 +84,11 @@
             for effect in effects:
                 if isinstance(effect, _scheduler_types.StartExchange):
                     runs_until[effect.ticket] = effect.deadline_at_ms
-                    out.append(effect.ticket)
+                    open_tickets.append(effect.ticket)
             running = [
                 ticket
                 for ticket, until_ms in runs_until.items()
-                if ticket in out or until_ms > now_ms
+                if ticket in open_tickets or until_ms > now_ms
             ]
             self.assertLessEqual(len(running), slots)
 
@@ -158,7 +158,7 @@
         self.assertEqual({'1': 'expired'}, dispatching.refused(effects))
         self.assertEqual([['2']], dispatching.sent(effects))
 
-    def test_leaving_and_released_lanes_send_nothing(self) -> None:
+    def test_leaving_and_released_targets_get_nothing(self) -> None:
         for close, status in (
             (_scheduler.TargetScheduler.set_leaving, 'draining'),
             (_scheduler.TargetScheduler.set_released, 'not-owner'),
--- a/tests/unit/test_target_signs.py
+++ b/tests/unit/test_target_signs.py
@@ -183,11 +183,9 @@
     def _exchange(self) -> int:
         """Let the other daemon ask; return how many signs it was sent."""
         self.other._ask_peer()
-        settling_after_reads = self.other_peers.of(protocol.TargetSignsWanted)[
-            -1
-        ]
+        request = self.other_peers.of(protocol.TargetSignsWanted)[-1]
         self.peers.sent.clear()
-        self.peers.deliver(settling_after_reads)
+        self.peers.deliver(request)
         sent_signs = self.peers.of(protocol.TargetSign)
         for sign in sent_signs:
             self.other_peers.deliver(sign)
