--- a/samphiredock/coordination/fleet/_gossip.py
+++ b/samphiredock/coordination/fleet/_gossip.py
@@ -20,6 +20,8 @@
 
 TICK_MS = 100.0
 _GAP_MS = 1_500.0
+"""A tick that is later than this means that the process was frozen."""
+
 _DIRECT_TIMEOUT_MS = 300.0
 _INDIRECT_TIMEOUT_MS = 400.0
 _INDIRECT_PROBES = 3
@@ -132,7 +134,8 @@
         """Ask some of the daemons in ``rows`` that are not live members.
 
         The directory may list daemons long dead, so they become members
-        only when they answer.
+        only when they answer.  The ``MemberChanged`` effects make their
+        addresses known to the peer connections.
         """
         unknown = [row for row in rows if not self.table.is_live(row.name)]
         chosen = self._rng.sample(
@@ -170,9 +173,9 @@
     def on_gap(self, now_ms: float) -> _Effects:
         """Handle a freeze of this process that ended now.
 
-        The view is outdated and the other daemons may hold this one dead.
-        Without this the daemon would suspect every member and act on the
-        targets it owned before.
+        The view is outdated, and the other daemons may have declared this
+        one dead.  Without this the daemon would suspect every member and
+        use the targets it owned before.
         """
         last_ms, self._last_ms = self._last_ms, now_ms
         if not self._view_freshness.is_stale:
@@ -225,7 +228,7 @@
         return self._probe(name, now_ms + _DIRECT_TIMEOUT_MS) if name else []
 
     def _probe_lost(self, now_ms: float) -> _Effects:
-        """Probe one dead member, to detect the end of a partition."""
+        """Probe one lost member, to detect the end of a partition."""
         effects: _Effects = []
         for name in self._reports.forget_lost(now_ms - _LOST_RETENTION_MS):
             effects.append(_gossip_state.MemberForgotten(name))
@@ -267,6 +270,10 @@
         ]
 
     def _verify_reports(self) -> _Effects:
+        """Probe members whose suspicion or death is unverified.
+
+        The probe carries the report, so that the member can refute it.
+        """
         effects: _Effects = []
         unverified = self._reports.unverified
         for _ in range(min(_VERIFY_PER_TICK, len(unverified))):
@@ -325,8 +332,8 @@
             if probe.asked_by:
                 effects += self._relay_answer(probe, message)
         elif probe is not None and probe.indirect:
-            # Another member reaches the target, so only this daemon's
-            # connection to it is silent.  The target's own probes detect a
+            # Another daemon reaches the member, so only this daemon's
+            # connection to it is silent.  The member's own probes detect a
             # silent connection in the other direction.
             self._probes.close(message.number)
             effects.append(_gossip_state.ResetPeer(probe.member))
--- a/samphiredock/coordination/fleet/_gossip_state.py
+++ b/samphiredock/coordination/fleet/_gossip_state.py
@@ -1,4 +1,4 @@
-"""Effects and partial states of the membership protocol."""
+"""Effects of the membership protocol, and classes that hold its state."""
 
 import dataclasses
 import math
@@ -13,6 +13,8 @@
 _MAX_REFRESH_MS = 3_000.0
 _ROWS_PER_MESSAGE = 8
 _SENDS_PER_DECADE = 4
+"""Times a row is sent for each power of ten in the number of members."""
+
 _MIN_SENDS = 8
 
 
@@ -75,7 +77,7 @@
 class OpenProbe:
     """A probe that has not been answered.
 
-    ``indirect`` says that others were asked to probe the target too.  If
+    ``indirect`` says that others were asked to probe the member too.  If
     the probe was sent on behalf of another daemon, ``asked_by`` is that
     daemon and ``asked_number`` the number of its probe.
     """
--- a/samphiredock/coordination/fleet/_membership.py
+++ b/samphiredock/coordination/fleet/_membership.py
@@ -169,7 +169,10 @@
         return self._settling.is_settled(now_ms, self._versions())
 
     def on_change(self, callback: _ChangeCallback) -> None:
-        """Call ``callback(joined, lost)`` when the live members change."""
+        """Call ``callback(joined, lost)`` when the live members change.
+
+        A member whose entry changed, as after a restart, is in both.
+        """
         self._change_callbacks.append(callback)
 
     def on_peer_versions(self, callback: _VersionsCallback) -> None:
@@ -202,7 +205,7 @@
         self._settling.on_store()
 
     def leave(self) -> None:
-        """Tell all members that this daemon owns no targets any more."""
+        """Tell all members that this daemon has left and owns no targets."""
         row = self._gossip.leave()
         self.broadcast(protocol.StatePush([row]))
         self._execute([])
@@ -246,6 +249,7 @@
         self._execute(self._gossip.ask_unknown(self._listed))
 
     def _seed_names(self) -> set[str]:
+        """Return the names that stand for daemons known by address only."""
         return {f'@{address}' for address in self._seeds}
 
     def _join(self) -> None:
@@ -344,6 +348,6 @@
 def watchers_of(
     members: typing.Iterable[state.Member], site: str, count: int
 ) -> list[str]:
-    """Return ``count`` members of a site that watch the store for it."""
+    """Return up to ``count`` members that watch the store for a site."""
     names = [member.name for member in members if member.site == site]
     return list(itertools.islice(_relay.relay_order(names, 'watchers'), count))
--- a/samphiredock/coordination/fleet/_ownership.py
+++ b/samphiredock/coordination/fleet/_ownership.py
@@ -25,6 +25,7 @@
 _Targets = typing.Mapping[str, state.Target]
 _Group = tuple[str, ...]
 _Kind = tuple[str, tuple[str, ...]]
+"""A target's site and the indexes of which it holds shards."""
 
 
 def ownership_groups(
@@ -257,6 +258,7 @@
 def _nearest(
     site: str, live: list[state.Member], sites: _Sites
 ) -> list[state.Member]:
+    """Return the members in a site, else in its region, else all."""
     home = sites.get(site)
     region = home.region if home else ''
     return (
--- a/samphiredock/coordination/fleet/_relay.py
+++ b/samphiredock/coordination/fleet/_relay.py
@@ -156,8 +156,9 @@
             self._metrics.add('peer_messages_unreadable')
             return
         self._forward(envelope)
-        # A version notice is attributed to the relay, so that the object is
-        # fetched from there: large objects then follow the tree, too.
+        # A version notice is attributed to the daemon that relayed it, so
+        # that the object is fetched from there: large objects then follow
+        # the tree, too.
         notice = isinstance(message, protocol.ObjectVersion)
         self._peers.deliver(sender if notice else envelope.origin, message)
 
--- a/samphiredock/coordination/fleet/_reports.py
+++ b/samphiredock/coordination/fleet/_reports.py
@@ -45,7 +45,8 @@
         self.unverified: collections.deque[protocol.MemberRow] = (
             collections.deque(maxlen=_MAX_UNVERIFIED)
         )
-        # The highest incarnation known to have left, of unknown members.
+        # The highest incarnation that is known to have left, for members
+        # that are not in the table.
         self._left_incarnations: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
@@ -108,9 +109,9 @@
             elif not self.table.beats(row) or self._is_outdated(row):
                 self._record_left(row)
             elif from_exchange and self._needs_verification(row):
-                # After a partition each side holds the other's members dead.
-                # Accepting that would remove live members on both sides for
-                # a moment; the member itself is probed instead.
+                # After a partition each side has declared the other's members
+                # dead.  Accepting that would remove live members on both
+                # sides for a moment; the member itself is probed instead.
                 self.unverified.append(row)
             else:
                 effects += self._accept(row, now_ms)
@@ -162,8 +163,9 @@
         mine = self.me
         incarnation, refutation = mine.incarnation, row.refutation + 1
         if row.incarnation > incarnation or row.state is _LEFT:
-            # An earlier process of this daemon had a later wall clock, or
-            # has left with the same incarnation.
+            # A process takes its incarnation from the wall clock.  An earlier
+            # process of this daemon had a later one, or has left with the
+            # same one.
             incarnation, refutation = row.incarnation + 1, 0
         self.table.set(
             msgspec.structs.replace(
--- a/samphiredock/coordination/targets/_budget.py
+++ b/samphiredock/coordination/targets/_budget.py
@@ -14,7 +14,8 @@
     Hedges and retries share the bucket, so that a fault which causes both
     cannot multiply the load.  A quarter of the bucket is reserved for
     retries: without a retry a key range is missing from the answer, without
-    a hedge the answer is only late.
+    a hedge the answer is only late.  One bucket serves all shards: the
+    methods ignore their ``shard``, which other budgets need.
 
     Parameters
     ----------
@@ -65,5 +66,5 @@
         self._tokens = max(-_MAX_DEBT_TOKENS, self._tokens - 1.0)
 
     def refund(self, shard: str = '') -> None:
-        """Return the token of a hedge that no target started."""
+        """Put back the token of a hedge that no target started."""
         self._tokens = min(self._burst, self._tokens + 1.0)
--- a/samphiredock/coordination/targets/_dispatcher.py
+++ b/samphiredock/coordination/targets/_dispatcher.py
@@ -32,7 +32,7 @@
 
 
 class Dispatcher:
-    """Holds the connections to targets and executes their schedulers.
+    """Holds the connections to targets and runs a scheduler for each.
 
     Coordinators, in this daemon or others, send it sub-queries and orders
     and get one answer for each attempt.
@@ -285,7 +285,8 @@
         """Whether a cancel is worth the exchange that it costs.
 
         Coordinators cancel many attempts right at the deadline, when the
-        target stops by itself.
+        target stops by itself.  A run is always cancelled, since only the
+        target can prove that it never started.
         """
         left_ms = job.expires_at_ms - self._clock.now_ms()
         return job.item is None or left_ms > _MIN_LEFT_TO_CANCEL_MS
--- a/samphiredock/coordination/targets/_exchanges.py
+++ b/samphiredock/coordination/targets/_exchanges.py
@@ -17,7 +17,7 @@
 
 _PROBE_TIMEOUT_MS = 300.0
 _SAMPLE_EVERY = 8
-"""One exchange in this many is recorded in ``target_service_ms``."""
+"""One answered batch in this many is recorded in ``target_service_ms``."""
 
 AnswerCallback = typing.Callable[
     [_scheduler_types.Job, protocol.SubAnswer | protocol.RunReport], None
@@ -48,7 +48,7 @@
     signs
         Gets a target's report that it is draining; None to drop reports.
     answer
-        Sends a job's origin how the job ended.
+        Sends the answer on a job to the daemon that the job came from.
     silent_after_ms
         Returns how long to wait for the answer to a batch.
     """
--- a/samphiredock/coordination/targets/_handover.py
+++ b/samphiredock/coordination/targets/_handover.py
@@ -1,9 +1,10 @@
 """Handover of a target when its owner changes.
 
 Exchanges of the previous owner still take slots after the change.  A live
-previous owner reports how many.  If it is dead, the target is asked; until
-the target answers, all its slots count as taken, for at most the longest
-deadline.
+previous owner reports how many; until then this daemon uses at most half of
+the slots.  If the previous owner is dead, the target is asked; until the
+target answers, all its slots count as taken.  Either wait ends after the
+longest deadline.
 """
 
 import dataclasses
@@ -24,7 +25,11 @@
 
 @dataclasses.dataclass(slots=True)
 class _Takeover:
-    """A target taken over while its previous owner may still use slots."""
+    """A target taken over while its previous owner may still use slots.
+
+    ``old`` is the previous owner.  From ``until_ms`` on this daemon may use
+    all slots, confirmed or not.
+    """
 
     old: str
     old_is_live: bool
@@ -80,7 +85,7 @@
     name
         This daemon's member name.
     schedulers
-        The dispatcher.
+        The dispatcher, as far as the handover uses it.
     peers, clock, counters
         Connections to the other daemons, the timer service, the metrics.
     is_live
--- a/samphiredock/coordination/targets/_observed_health.py
+++ b/samphiredock/coordination/targets/_observed_health.py
@@ -66,7 +66,10 @@
         self.trigger(event)
 
     def on_answer(self, jobs: int, busy_ms: float, now_ms: float) -> None:
-        """Record that the target answered an exchange of some ``jobs``."""
+        """Record that the target answered an exchange.
+
+        ``jobs`` is the number of its jobs, ``busy_ms`` the time it took.
+        """
         self._measure(jobs, busy_ms, now_ms)
         if self.state == 'serving':
             return
@@ -90,7 +93,8 @@
     def on_failure(self, lost: bool, now_ms: float) -> None:
         """Record a failed exchange.
 
-        ``lost`` says that a new connection to the target failed too.
+        ``lost`` says that the target could not be reached, or that a health
+        request after the failure failed too.
         """
         self._good_answers = 0
         self._failures += 1
@@ -132,7 +136,7 @@
         return now_ms - self._lost_at_ms if self.state == 'lost' else 0.0
 
     def is_lost(self, now_ms: float) -> bool:
-        """Whether the target is lost and its next trial is not due yet."""
+        """Whether the target is lost and the pause before a retry not over."""
         return self.state == 'lost' and now_ms < self._resume_at_ms
 
     def expected_job_ms(self, now_ms: float) -> float:
@@ -146,7 +150,10 @@
         return self._job_ms
 
     def queue_wait_ms(self, jobs: int) -> float:
-        """Return the time in which the target serves that many queued jobs."""
+        """Return the expected time to serve this many queued jobs.
+
+        It is a fixed 100 ms while the target's rate is not known.
+        """
         if not self._jobs_per_ms:
             return 100.0
         return jobs / self._jobs_per_ms
--- a/samphiredock/coordination/targets/_outbox.py
+++ b/samphiredock/coordination/targets/_outbox.py
@@ -76,7 +76,7 @@
         job: _scheduler_types.Job,
         answer: protocol.SubAnswer | protocol.RunReport,
     ) -> None:
-        """Send a job's origin how it ended, unless already answered."""
+        """Send the answer on a job to its origin, unless already answered."""
         if self._pending.pop(job.attempt_id, None) is None:
             return
         if isinstance(answer, protocol.RunReport):
--- a/samphiredock/coordination/targets/_replica_selector.py
+++ b/samphiredock/coordination/targets/_replica_selector.py
@@ -10,8 +10,8 @@
 _FAILURE_PENALTY = 6.0
 """How much the expected wait grows for a target that fails every request.
 Failures are often fast, so by latency alone a failing target would be
-preferred, and each failure costs a retry.  The value is low enough that one
-failure does not outweigh an ``other_site_factor`` of 3."""
+preferred, and each failure costs a retry.  A single failure must not
+outweigh an ``other_site_factor`` of 3."""
 
 OTHER_SITE_FACTOR = 1.05
 _EXPLORE_SHARE = 0.01
@@ -25,6 +25,7 @@
     """Attempts in flight at one target, its latency and failure rate.
 
     ``started_ms`` has the start of each attempt in flight, oldest first.
+    ``factor`` multiplies the expected wait; it is 1.0 in this site.
     """
 
     __slots__ = (
@@ -75,11 +76,11 @@
 
 
 class ReplicaSelector:
-    """Selects the replica with the shorter expected wait of two drawn.
+    """Selects the better of two random replicas (power of two choices).
 
-    Two replicas are drawn at random.  The expected wait is the target's
-    smoothed latency times this daemon's attempts in flight there, and grows
-    with the target's failure rate.  A small share of attempts goes to any
+    The better one has the shorter expected wait: the target's smoothed
+    latency times this daemon's attempts in flight there, increased by the
+    target's failure rate.  A small share of attempts goes to any
     replica at random, so that the recovery of a slow one is noticed.
 
     Parameters
@@ -151,8 +152,8 @@
     ) -> int:
         """Return the index of the first of the two candidates.
 
-        If other sites count as much slower, it is a near one if there is
-        any: with two of three drawn at random, a single near candidate
+        If ``other_site_factor`` is above its default, a near candidate is
+        preferred: with two of three drawn at random, a single near one
         would be left out a third of the time.
         """
         if self._other_site_factor > OTHER_SITE_FACTOR:
@@ -179,7 +180,8 @@
     def record_ended(self, target: str, took_ms: float | None) -> None:
         """Record that an attempt ended.
 
-        ``took_ms`` is its latency, None to leave the latency as it is.
+        ``took_ms`` is its latency, None to leave the latency as it is.  The
+        oldest start is removed, whichever attempt ended.
         """
         load = self._load(target)
         load.started_ms.popleft()
--- a/samphiredock/coordination/targets/_scheduler.py
+++ b/samphiredock/coordination/targets/_scheduler.py
@@ -168,7 +168,6 @@
             exchange_end is _scheduler_types.ExchangeEnd.LOST
             and exchange.unconfirmed
         ):
-            # The target may go on working until the deadline there.
             self._held_slots[ticket] = until_ms
         busy_ms = now_ms - exchange.started_ms
         busy_per_job_ms = busy_ms / max(1, len(exchange.jobs))
@@ -338,6 +337,7 @@
     def _make_room(
         self, job: _scheduler_types.Job, now_ms: float
     ) -> list[_scheduler_types.Effect]:
+        """Refuse a queued job to make room for ``job``, or else ``job``."""
         wait_ms = self.health.queue_wait_ms(len(self._queue))
         victim = self._queue.victim(job, now_ms + wait_ms)
         if victim is not None:
@@ -407,6 +407,7 @@
     def _unfit_status(
         self, job: _scheduler_types.Job, job_ms: float, now_ms: float
     ) -> protocol.SubStatus | None:
+        """Return why a job must not be sent any more, None if it may."""
         if job.expires_at_ms <= now_ms + job_ms:
             return protocol.SubStatus.EXPIRED
         if self._is_quarantined(job.request.fingerprint):
--- a/samphiredock/coordination/targets/_scheduler_types.py
+++ b/samphiredock/coordination/targets/_scheduler_types.py
@@ -11,7 +11,9 @@
 class Job:
     """One sub-query or unrepeatable request (run) that needs a slot.
 
-    ``item`` is the sub-query within ``request``, None for a run.
+    ``origin`` is the daemon that gets the answer, ``flow`` decides whose
+    share the job counts against.  ``item`` is the sub-query within
+    ``request``.  A run has no item (None) and no ``query_id`` (empty).
     """
 
     origin: str
@@ -31,7 +33,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartExchange:
-    """Effect: send these jobs to the target in one exchange."""
+    """Effect: send these jobs to the target in one exchange.
+
+    ``ticket`` is the exchange's number, which the scheduler expects back
+    when it ends.
+    """
 
     ticket: int
     jobs: tuple[Job, ...]
@@ -54,10 +60,10 @@
 class ExchangeEnd(enum.Enum):
     """What the end of an exchange says about its slot and its target.
 
-    ``ANSWERED``: the target served it; the slot is free.  ``FREE``: it was
-    never sent, the target did not serve it, or the target is draining; the
-    slot is free.  ``LOST``: no answer came; the target may still use the
-    slot.
+    ``ANSWERED``: the target served the request; the slot is free.
+    ``FREE``: the request was not sent, or the target did not serve it or is
+    draining; the slot is free.  ``LOST``: no answer came; the target may
+    still use the slot.
     """
 
     ANSWERED = 'answered'
--- a/samphiredock/coordination/targets/_shares.py
+++ b/samphiredock/coordination/targets/_shares.py
@@ -37,11 +37,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shares:
-    """Weights and caps of sites and services, as parts of 1.0.
+    """Weights and caps of sites and services, as fractions of 1.0.
 
-    Weights divide one target's throughput; caps bound the part of its slot
-    time that is used.  A missing site or service gets the minimum weight; a
-    missing cap is 1.0, which is no bound.
+    Weights divide one target's throughput; caps bound the fraction of its
+    slot time that a site or service may use.  A missing site or service gets
+    the minimum weight; a missing cap is 1.0, which is no bound.
     """
 
     site_shares: typing.Mapping[str, float]
@@ -120,7 +120,7 @@
     limit
         Maximum number of items.
     slots
-        The target's slots; caps are parts of their time.
+        The target's slots; caps are fractions of their time.
     shares
         Weights and caps.
     """
@@ -209,7 +209,7 @@
     def victim(
         self, newcomer: QueueItem, expires_before_ms: float
     ) -> typing.Any | None:
-        """Return the item to drop for ``newcomer``, None to refuse that.
+        """Return the item to drop for ``newcomer``, None to refuse it.
 
         It is taken from the flow that is most beyond its guaranteed part of
         the limit, so that a flooding site displaces only its own items.
--- a/samphiredock/coordination/targets/_target_signs.py
+++ b/samphiredock/coordination/targets/_target_signs.py
@@ -32,9 +32,9 @@
 
 
 class TargetObject(msgspec.Struct, frozen=True):
-    """The stored object ``targets/NAME``, an operator's sign on a target.
+    """A sign on a target, of any source; ``at_ms`` is wall-clock time.
 
-    ``at_ms`` is wall-clock time.
+    An operator's sign is stored in this form as ``targets/NAME``.
     """
 
     leaving: bool
@@ -57,8 +57,9 @@
 class TargetSigns:
     """The newest sign of each source on each target.
 
-    A target is leaving while the newest sign of any source says so.  A newer
-    operator's sign of return also replaces the target's own sign.  A host
+    A target is leaving while the newest sign of any source says so.  An
+    operator's sign of return replaces an older sign of the target itself,
+    too: the operator need not wait for a probe.  A host
     list that no longer shows a target as leaving may be outdated, so its
     return becomes a leaving sign of the target itself, which the owner's
     next probe of the target confirms or ends.
@@ -107,7 +108,7 @@
         peers.subscribe(protocol.TargetSignsWanted, self._on_wanted)
 
     def subscribe(self, listener: _Listener) -> None:
-        """Call ``listener(target, leaving)`` when a target's state changes."""
+        """Call ``listener(target, leaving)`` when :meth:`is_usable` changes."""
         self._listeners.append(listener)
 
     def is_usable(self, target: str) -> bool:
@@ -167,8 +168,9 @@
     ) -> None:
         """Apply a target's own report and broadcast it if it is news.
 
-        ``asked_at_ms`` is the wall-clock time at which the target was asked:
-        an answer to a question from before the newest sign is no return.
+        ``asked_at_ms`` is the wall-clock time at which the target was asked.
+        If that was before the newest sign, the answer is outdated and does
+        not count as a return.
         """
         known = self._signs.get(target, {}).get(SignSource.TARGET)
         if known is None and not leaving:
@@ -285,6 +287,7 @@
         return sorted(rows, key=lambda row: (row.at_ms, row.target))
 
     def _own_digest(self) -> int:
+        """Return the digest of the shared signs; 0 stands for no digest."""
         if not self._digest:
             rows = sorted(
                 self._shared_signs(),
--- a/tests/failure/test_leaving_targets.py
+++ b/tests/failure/test_leaving_targets.py
@@ -99,7 +99,7 @@
             await self._assert_sends_nothing()
 
     async def test_without_signs_it_is_sent_work_again_and_again(self) -> None:
-        """Without the safeguard, every later sub-query goes to the target."""
+        """Without signs, every later sub-query still goes to the target."""
         self.dispatcher = self._dispatcher(None)
         self.peers._handlers[protocol.SubQueryBatch].pop(0)
         for _ in range(3):
--- a/tests/failure/test_membership.py
+++ b/tests/failure/test_membership.py
@@ -34,12 +34,12 @@
     def assert_views(
         self, network: memory_daemons.Network, expected: set[str]
     ) -> None:
-        """Assert that the ``expected`` members hold exactly these live."""
+        """Assert that the ``expected`` members see exactly these as live."""
         views = {name: network.daemons[name].live_names() for name in expected}
         self.assertEqual({name: expected for name in expected}, views)
 
     async def start(self, network: memory_daemons.Network) -> set[str]:
-        """Start nine daemons, wait until all hold all live; return names."""
+        """Start nine daemons, wait until each sees all; return their names."""
         memory_daemons.start_sites(network, REGION_BY_SITE, 9)
         await network.run(3_000)
         everyone = set(network.daemons)
--- a/tests/unit/dispatching.py
+++ b/tests/unit/dispatching.py
@@ -3,7 +3,6 @@
 import asyncio
 import typing
 
-
 from samphiredock.coordination.targets import _scheduler_types
 from samphiredock.coordination.targets import _shares
 from samphiredock import protocol
--- a/tests/unit/test_dispatcher.py
+++ b/tests/unit/test_dispatcher.py
@@ -139,7 +139,10 @@
         self._assert_answered(**{'1': 'cancelled'})
 
     async def test_run_read_after_a_freeze_is_refused(self) -> None:
-        """The sender may have given up on it; with the gap noticed or not."""
+        """The sender may have given up on it meanwhile.
+
+        The order is read before or after the timer notices the freeze.
+        """
         self.clock.unseen_gap_ms = 4_000.0
         await self._deliver(dispatching.order('1'))
         self.clock.unseen_gap_ms = 0.0
--- a/tests/unit/test_gossip.py
+++ b/tests/unit/test_gossip.py
@@ -155,7 +155,7 @@
         self.assertIn('d', self.live())
 
     def test_leaving_daemon_sends_its_row_to_each_prober(self) -> None:
-        """A prober that missed the broadcast holds it live until then."""
+        """A prober that missed the broadcast learns that the daemon left."""
         self.gossip.leave()
         for number in range(30):
             probe = protocol.Probe(number, HELD, [])
--- a/tests/unit/test_neighbours.py
+++ b/tests/unit/test_neighbours.py
@@ -32,12 +32,12 @@
     """A large fleet, and one in which all probe each other."""
 
     def test_small_fleet_probes_every_member(self) -> None:
-        """In a small fleet every daemon probes every other."""
+        """Up to 33 daemons the graph of probes is a full mesh."""
         sizes = {len(names) for names in graph_of(33).values()}
         self.assertEqual({32}, sizes)
 
     def test_large_fleet_probes_every_member_and_is_connected(self) -> None:
-        """Every member is probed, and the graph is connected."""
+        """Otherwise a failure would go undetected or not be known to all."""
         graph = graph_of(490)
         self.assertEqual(
             {_neighbours.NEIGHBOUR_COUNT},
--- a/tests/unit/test_ownership.py
+++ b/tests/unit/test_ownership.py
@@ -128,6 +128,7 @@
         self.dispatcher.follow_ownership(
             'd1', self.table, lambda name: name in [r.name for r in self.live]
         )
+        # A daemon that owns t1 whenever it is live together with d1.
         self.other = next(
             name
             for name in (f'd{number}' for number in range(2, 99))
@@ -148,6 +149,7 @@
         self.table.refresh()
 
     def _idle(self) -> int:
+        """Return the idle slots of t1, once it is past its ramp-up."""
         scheduler = self.dispatcher.scheduler('t1')
         for _ in range(4):
             scheduler.health.on_answer(0, 0.0, 0.0)
--- a/tests/unit/test_scheduler.py
+++ b/tests/unit/test_scheduler.py
@@ -18,6 +18,7 @@
 def _scheduler_of(
     slots: int = 2, **limits: object
 ) -> _scheduler.TargetScheduler:
+    """Return a scheduler whose target is serving, so that all slots count."""
     scheduler = _scheduler.TargetScheduler(
         dispatching.target(slots=slots), state.Limits(**limits)
     )
