--- a/samphiredock/coordination/targets/_target_signs.py
+++ b/samphiredock/coordination/targets/_target_signs.py
@@ -131,15 +131,15 @@
         """Apply a stored object below ``targets/``; count unreadable ones."""
         name = stored.key.removeprefix(TARGETS_PREFIX)
         try:
-            status = _DECODER.decode(stored.value)
+            sign = _DECODER.decode(stored.value)
         except (msgspec.DecodeError, UnicodeDecodeError):
             self._metrics.add('target_objects_unreadable')
             return
-        self._learn(name, SignSource.OPERATOR, status)
+        self._learn(name, SignSource.OPERATOR, sign)
         own = self._signs[name].get(SignSource.TARGET)
-        if own is not None and not status.leaving:
-            if own.at_ms < status.at_ms:
-                self._learn(name, SignSource.TARGET, status)
+        if own is not None and not sign.leaving:
+            if own.at_ms < sign.at_ms:
+                self._learn(name, SignSource.TARGET, sign)
 
     def on_hosts(self, hosts: typing.Iterable[transport.Host]) -> None:
         """Apply the platform's host list and broadcast what changed."""
@@ -149,19 +149,19 @@
             was_leaving = known is not None and known.leaving
             if host.leaving == was_leaving:
                 continue
-            status = TargetObject(host.leaving, now_ms)
-            self._learn_from_host_list(host.name, status)
+            sign = TargetObject(host.leaving, now_ms)
+            self._learn_from_host_list(host.name, sign)
             self._broadcaster.broadcast(
                 protocol.TargetSign(host.name, host.leaving, now_ms, True)
             )
 
-    def _learn_from_host_list(self, name: str, status: TargetObject) -> None:
+    def _learn_from_host_list(self, name: str, sign: TargetObject) -> None:
         known = self._signs.get(name, {}).get(SignSource.HOST_LIST)
-        if known is not None and known.leaving and not status.leaving:
+        if known is not None and known.leaving and not sign.leaving:
             # Keeps the date of the leaving sign, so that a return which
             # another daemon has already seen is newer.
             self._learn(name, SignSource.TARGET, known)
-        self._learn(name, SignSource.HOST_LIST, status)
+        self._learn(name, SignSource.HOST_LIST, sign)
 
     def on_target_report(
         self, target: str, leaving: bool, asked_at_ms: int | None = None
@@ -228,13 +228,13 @@
         return [source for source, sign in signs.items() if sign.leaving]
 
     def _learn(
-        self, target: str, source: SignSource, status: TargetObject
+        self, target: str, source: SignSource, sign: TargetObject
     ) -> None:
         signs = self._signs.setdefault(target, {})
         known = signs.get(source)
-        if known is not None and _sort_key(status) <= _sort_key(known):
+        if known is not None and _sort_key(sign) <= _sort_key(known):
             return
-        signs[source] = status
+        signs[source] = sign
         self._digest = 0
         is_leaving = bool(self._leaving_sources(target))
         if is_leaving == (target in self._leaving):
@@ -254,11 +254,11 @@
             listener(target, is_leaving)
 
     def _on_peer_sign(self, sender: str, sign: protocol.TargetSign) -> None:
-        status = TargetObject(sign.leaving, sign.at_ms)
+        learned = TargetObject(sign.leaving, sign.at_ms)
         if sign.from_host_list:
-            self._learn_from_host_list(sign.target, status)
+            self._learn_from_host_list(sign.target, learned)
         else:
-            self._learn(sign.target, SignSource.TARGET, status)
+            self._learn(sign.target, SignSource.TARGET, learned)
 
     def _on_wanted(
         self, sender: str, wanted: protocol.TargetSignsWanted
@@ -276,12 +276,12 @@
         rows = [
             protocol.TargetSign(
                 target,
-                status.leaving,
-                status.at_ms,
+                sign.leaving,
+                sign.at_ms,
                 source is SignSource.HOST_LIST,
             )
             for target, signs in self._signs.items()
-            for source, status in signs.items()
+            for source, sign in signs.items()
             if source is not SignSource.OPERATOR
         ]
         return sorted(rows, key=lambda row: (row.at_ms, row.target))
@@ -323,8 +323,8 @@
             await _pause.pause(self._clock, pause_ms)
 
 
-def _sort_key(status: TargetObject) -> tuple[int, bool]:
-    return status.at_ms, status.leaving
+def _sort_key(sign: TargetObject) -> tuple[int, bool]:
+    return sign.at_ms, sign.leaving
 
 
 def _stored_at_ms(stored: transport.StoredObject) -> int:
