--- a/samphiredock/coordination/targets/_target_signs.py
+++ b/samphiredock/coordination/targets/_target_signs.py
@@ -108,7 +108,7 @@
         peers.subscribe(protocol.TargetSignsWanted, self._on_wanted)
 
     def subscribe(self, listener: _Listener) -> None:
-        """Call ``listener(target, leaving)`` when :meth:`is_usable` changes."""
+        """Call ``listener(target, leaving)`` when ``is_usable`` changes."""
         self._listeners.append(listener)
 
     def is_usable(self, target: str) -> bool:
