--- a/tests/unit/test_replica_selector.py
+++ b/tests/unit/test_replica_selector.py
@@ -15,7 +15,7 @@
     def setUp(self) -> None:
         """Record a latency of 15 ms for all targets."""
         self.now_ms = 1_000.0
-        self.replicas = coordination.ReplicaSelector(
+        self.selector = coordination.ReplicaSelector(
             random.Random(SEED),
             lambda target: target != 'far',
             3.0,
@@ -23,11 +23,11 @@
         )
         for target in ('near', 'other', 'far'):
             for _ in range(40):
-                self.replicas.record_sent(target)
-                self.replicas.record_ended(target, 15.0)
+                self.selector.record_sent(target)
+                self.selector.record_ended(target, 15.0)
 
     def _share_of(self, target: str, *candidates: str) -> float:
-        chosen = [self.replicas.choose(candidates) for _ in range(1_000)]
+        chosen = [self.selector.choose(candidates) for _ in range(1_000)]
         return chosen.count(target) / len(chosen)
 
     def test_near_target_is_selected_while_healthy(self) -> None:
@@ -36,27 +36,27 @@
 
     def test_hanging_target_is_avoided(self) -> None:
         """A silent target gets no more attempts before the first times out."""
-        self.replicas.record_sent('near')
+        self.selector.record_sent('near')
         self.now_ms += 90.0
         self.assertLess(self._share_of('near', 'near', 'far'), 0.05)
 
     def test_abandoned_attempt_still_counts_as_in_flight(self) -> None:
         """A hedged attempt that was cancelled here may hang at its target."""
-        self.replicas.record_sent('near')
+        self.selector.record_sent('near')
         sent_ms = self.now_ms
         self.now_ms += 60.0
-        self.replicas.record_ended('near', 60.0)
-        self.replicas.keep_in_flight('near', sent_ms)
+        self.selector.record_ended('near', 60.0)
+        self.selector.keep_in_flight('near', sent_ms)
         self.now_ms += 60.0
         self.assertLess(self._share_of('near', 'near', 'far'), 0.05)
-        self.replicas.record_ended('near', 120.0)
+        self.selector.record_ended('near', 120.0)
 
     def test_slow_target_is_tried_again_after_some_seconds(self) -> None:
         """Without decay, a target without attempts would stay slow."""
         for _ in range(3):
-            self.replicas.record_latency('near', 180.0)
+            self.selector.record_latency('near', 180.0)
         self.now_ms += 20_000.0
-        self.replicas.record_latency('far', 15.0)
+        self.selector.record_latency('far', 15.0)
         self.assertGreater(self._share_of('near', 'near', 'far'), 0.9)
 
     def test_target_that_fails_some_attempts_is_avoided(self) -> None:
@@ -65,36 +65,36 @@
         By latency alone it would be selected, and each failure costs a retry.
         """
         for number in range(50):
-            self.replicas.record_sent('near')
+            self.selector.record_sent('near')
             if number % 5 in (1, 3):
-                self.replicas.record_ended('near', None)
-                self.replicas.record_failure('near')
+                self.selector.record_ended('near', None)
+                self.selector.record_failure('near')
             else:
-                self.replicas.record_ended('near', 15.0)
+                self.selector.record_ended('near', 15.0)
         self.assertLess(self._share_of('near', 'near', 'far'), 0.05)
 
     def test_single_failure_does_not_select_another_site(self) -> None:
         """Single failures are normal and must not cause cross-site traffic."""
-        self.replicas.record_failure('near')
+        self.selector.record_failure('near')
         self.assertGreater(self._share_of('near', 'near', 'far'), 0.95)
 
     def test_failures_are_forgotten(self) -> None:
         """Without decay, a target without attempts would stay failing."""
         for _ in range(20):
-            self.replicas.record_failure('near')
+            self.selector.record_failure('near')
         self.now_ms += 20_000.0
-        self.replicas.record_latency('far', 15.0)
+        self.selector.record_latency('far', 15.0)
         self.assertGreater(self._share_of('near', 'near', 'far'), 0.9)
 
     def test_near_target_is_always_one_of_the_two_drawn(self) -> None:
         """A third of the pairs drawn from three would not include it."""
         for name in ('far-2', 'far-3'):
-            self.replicas.record_latency(name, 15.0)
-        replicas = coordination.ReplicaSelector(
+            self.selector.record_latency(name, 15.0)
+        selector = coordination.ReplicaSelector(
             random.Random(SEED), lambda target: target == 'a', 3.0
         )
         for target in ('a', 'b', 'c'):
             for _ in range(40):
-                replicas.record_latency(target, 15.0)
-        chosen = [replicas.choose(('b', 'c', 'a')) for _ in range(1_000)]
+                selector.record_latency(target, 15.0)
+        chosen = [selector.choose(('b', 'c', 'a')) for _ in range(1_000)]
         self.assertGreater(chosen.count('a') / len(chosen), 0.95)
