--- a/samphiredock/coordination/forwarding/_forwarder.py
+++ b/samphiredock/coordination/forwarding/_forwarder.py
@@ -45,7 +45,7 @@
         Site, limits and time allowances.
     routing, targets
         The routing table in force, and the registered targets.
-    tools
+    context
         Replica selector, latencies and retry budget, shared by all requests.
     dialect, links
         The targets' HTTP protocol, and the connections to them.
@@ -63,7 +63,7 @@
         settings: _forward_types.ForwardSettings,
         routing: _forward_types.Routing,
         targets: _live_targets.LiveTargets,
-        tools: _scatter_types.Tools,
+        context: _scatter_types.ScatterContext,
         dialect: _forward_types.Dialect,
         links: _forward_types.Links,
         clock: timers.Timers,
@@ -75,13 +75,13 @@
         self._settings = settings
         self._routing = routing
         self._targets = targets
-        self._tools = tools
+        self._context = context
         self._order_client = order_client
         self.target_client = _target_client.TargetClient(
-            targets, dialect, links, clock, settings.once_kept_ms, crashes
+            targets, dialect, links, clock, settings.max_idle_once_ms, crashes
         )
         self._sender = _attempt_sender.AttemptSender(
-            self.target_client, order_client, tools.replicas, clock
+            self.target_client, order_client, context.replicas, clock
         )
         self._clock = clock
         self._metrics = counters
@@ -215,13 +215,15 @@
     async def _run(
         self, plan: _route_plans.ForwardPlan, started_ms: float
     ) -> protocol.ForwardOutcome:
-        tools, assignments = self._tools, None
+        context, assignments = self._context, None
         if self._order_client is not None and plan.is_gather:
             assignments = self._order_client.assign_mergers(
                 plan.scatter.shards
             )
-            tools = dataclasses.replace(tools, routes=assignments)
-        scatter = _scatter.Scatter(plan.scatter, tools, self._settings.limits)
+            context = dataclasses.replace(context, targets=assignments)
+        scatter = _scatter.Scatter(
+            plan.scatter, context, self._settings.limits
+        )
         done = asyncio.get_running_loop().create_future()
         pending = _pending_requests.PendingRequest(
             plan,
@@ -236,7 +238,7 @@
             self._sender.apply(pending, scatter.start(started_ms))
             finish: _scatter_types.Finish = await done
         except asyncio.CancelledError:
-            scatter.abandon()
+            scatter.cancel()
             self._sender.cancel(pending)
             self._metrics.add('requests_left', route=plan.route.name)
             self._outcome_log.log_ended(pending, None)
--- a/samphiredock/coordination/forwarding/_no_suspicions.py
+++ b/samphiredock/coordination/forwarding/_null_crash_tracker.py
@@ -1,13 +1,13 @@
 """A stub for searches that track no suspicious contents."""
 
 
-class NoSuspicions:
+class NullCrashTracker:
     """Suspicions that record nothing and refuse nothing."""
 
-    def note_lost(self, fingerprint: str, target: str, service: str) -> None:
+    def record_loss(self, fingerprint: str, target: str, service: str) -> None:
         """Do nothing."""
 
-    def note_succeeded(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Do nothing."""
 
     def is_quarantined(self, fingerprint: str) -> bool:
--- a/samphiredock/coordination/forwarding/_window_budget.py
+++ b/samphiredock/coordination/forwarding/_window_budget.py
@@ -51,7 +51,7 @@
         slack is used, since too many daemons might use all of it.
     """
 
-    also_charged = frozenset(
+    charged_refusals = frozenset(
         {
             protocol.SubStatus.SHED,
             protocol.SubStatus.EXPIRED,
@@ -81,7 +81,9 @@
         self._slack = slack
         self._window_ms = window_ms
 
-    def note_needed(self, shards: typing.Sequence[str], share: float) -> None:
+    def record_first_attempts(
+        self, shards: typing.Sequence[str], share: float
+    ) -> None:
         """Count the first request to each shard; ``share`` is ignored."""
         now_ms = self._clock.now_ms()
         for shard in shards:
@@ -110,10 +112,10 @@
     def _try_spend(self, shard: str, part: float) -> bool:
         if self.left(shard, part) < 1.0:
             return False
-        self.owe(shard)
+        self.charge(shard)
         return True
 
-    def owe(self, shard: str = '') -> None:
+    def charge(self, shard: str = '') -> None:
         """Count an extra request without checking the budget."""
         self._windows[shard].extra.append(self._clock.now_ms())
 
--- a/samphiredock/coordination/targets/_budget.py
+++ b/samphiredock/coordination/targets/_budget.py
@@ -28,14 +28,16 @@
         self._reserve = burst / 4.0
         self._tokens = burst
 
-    also_charged: frozenset[protocol.SubStatus] = frozenset()
+    charged_refusals: frozenset[protocol.SubStatus] = frozenset()
 
     @property
     def tokens(self) -> float:
         """The tokens left; may be negative."""
         return self._tokens
 
-    def note_needed(self, shards: typing.Sequence[str], share: float) -> None:
+    def record_first_attempts(
+        self, shards: typing.Sequence[str], share: float
+    ) -> None:
         """Add ``share`` of a token for the first attempt at each shard."""
         self.deposit(len(shards), share)
 
@@ -57,7 +59,7 @@
         self._tokens -= 1.0
         return True
 
-    def owe(self, shard: str = '') -> None:
+    def charge(self, shard: str = '') -> None:
         """Take a token even if none is left, down to a bounded debt.
 
         For retries after the loss of a dispatcher or target: there is at
