--- a/samphiredock/coordination/quarantine/_suspects.py
+++ b/samphiredock/coordination/quarantine/_suspects.py
@@ -1,6 +1,6 @@
-"""The judgement on contents that ran while a target was lost.
+"""Decides which request contents are suspects, and which are quarantined.
 
-A pure object: losses and successes go in, verdicts come out.
+It does no I/O: losses and the time go in, quarantine entries come out.
 """
 
 import dataclasses
@@ -20,7 +20,10 @@
 
 @dataclasses.dataclass(slots=True)
 class _Loss:
-    """A target lost; ``sure`` unless another content ran there too."""
+    """The loss of a target.
+
+    ``is_certain`` is false if another content may have caused it.
+    """
 
     at_ms: float
     is_certain: bool
@@ -28,9 +31,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Suspect:
-    """What is known against one content.
+    """A content to which targets were lost.
 
-    ``is_final`` marks a verdict that was published: it is not withdrawn.
+    ``losses`` has the lost targets, and ``entry`` the quarantine, if there
+    is one.  ``is_published`` marks a quarantine that came from the store or
+    another daemon; it is not withdrawn.  Until ``trial_until_ms`` a copy of
+    the content is being tried alone.
     """
 
     fingerprint: str
@@ -42,24 +48,24 @@
     is_published: bool = False
 
     def should_quarantine(self) -> bool:
-        """Whether two targets were lost, at least one beyond doubt."""
+        """Return whether enough targets were lost, one of them certainly."""
         return len(self.losses) >= _MIN_LOSSES and any(
             loss.is_certain for loss in self.losses.values()
         )
 
 
 class Suspects:
-    """Cases by content.
+    """Suspects by the fingerprint of their content.
 
-    One crash can take two contents that each ran alone in an exchange, in
-    two slots of the target.  Such a loss is unsure for both: it makes them
-    suspects, and only a further loss, beside nobody, convicts.  The
-    innocent one is cleared by its next run.
+    A crash may hit two contents that each run alone in an exchange, in two
+    slots of the same target.  The loss is then uncertain for both: both
+    become suspects, and a content is quarantined only after a loss for which
+    it is the only explanation.  The harmless one is cleared by its next run.
 
-    A rack or a site that fails takes several targets at once, each under
-    another content.  One content cannot have done that, so that those with
-    a single loss in it are no suspects: each would be refused everywhere
-    while it is tried alone.
+    A rack or a site that fails takes down several targets at once, each while
+    it runs another content.  No single content can cause that, so contents
+    with a single loss in such an outage are no suspects; otherwise each would
+    be refused at all daemons while it is tried alone.
     """
 
     def __init__(self, quarantine_ms: int = QUARANTINE_MS) -> None:
@@ -69,33 +75,36 @@
         self._recent_losses: list[tuple[float, str, str]] = []
 
     def get(self, fingerprint: str, now_ms: float) -> Suspect | None:
-        """Return the case against a content, unless it has lapsed."""
-        case = self._suspects.get(fingerprint)
-        if case is None:
+        """Return a suspect; None if there is none or it has expired."""
+        suspect = self._suspects.get(fingerprint)
+        if suspect is None:
             return None
-        if case.entry is None and now_ms - case.seen_ms > _SUSPECT_TTL_MS:
+        if (
+            suspect.entry is None
+            and now_ms - suspect.seen_ms > _SUSPECT_TTL_MS
+        ):
             del self._suspects[fingerprint]
             return None
-        return case
+        return suspect
 
     def entry_of(
         self, fingerprint: str, now_ms: float, wall_ms: int
     ) -> protocol.QuarantineEntry | None:
-        """Return the quarantine in force against a content."""
-        case = self.get(fingerprint, now_ms)
-        if case is None or case.entry is None:
+        """Return the quarantine of a content that is in force, if any."""
+        suspect = self.get(fingerprint, now_ms)
+        if suspect is None or suspect.entry is None:
             return None
-        if case.entry.until_ms <= wall_ms:
+        if suspect.entry.until_ms <= wall_ms:
             del self._suspects[fingerprint]
             return None
-        return case.entry
+        return suspect.entry
 
     def entries(self, wall_ms: int) -> list[protocol.QuarantineEntry]:
         """Return the quarantines in force."""
         return [
-            case.entry
-            for case in self._suspects.values()
-            if case.entry is not None and case.entry.until_ms > wall_ms
+            suspect.entry
+            for suspect in self._suspects.values()
+            if suspect.entry is not None and suspect.entry.until_ms > wall_ms
         ]
 
     def record_loss(
@@ -106,50 +115,50 @@
         now_ms: float,
         wall_ms: int,
     ) -> Suspect:
-        """Count a target lost under a content that ran alone."""
-        case = self._get_or_add(fingerprint)
-        case.service = service or case.service
-        case.seen_ms = now_ms
-        if target not in case.losses:
-            case.losses[target] = _Loss(now_ms, True)
+        """Record that a target was lost while it ran only this content."""
+        suspect = self._get_or_add(fingerprint)
+        suspect.service = service or suspect.service
+        suspect.seen_ms = now_ms
+        if target not in suspect.losses:
+            suspect.losses[target] = _Loss(now_ms, True)
             self._mark_uncertain(fingerprint, target, now_ms, wall_ms)
             self._clear_outage(fingerprint, target, now_ms)
-        self._update_entry(case, wall_ms)
-        return case
+        self._update_entry(suspect, wall_ms)
+        return suspect
 
     def clear(self, fingerprint: str) -> None:
-        """Forget a content."""
+        """Remove a suspect, and its quarantine."""
         self._suspects.pop(fingerprint, None)
 
     def put_entry(
         self, entry: protocol.QuarantineEntry, now_ms: float
     ) -> None:
-        """Take over a verdict from the store or another daemon."""
-        case = self._get_or_add(entry.fingerprint)
-        case.seen_ms = now_ms
-        case.entry = entry
-        case.is_published = True
+        """Apply a quarantine from the store or another daemon."""
+        suspect = self._get_or_add(entry.fingerprint)
+        suspect.seen_ms = now_ms
+        suspect.entry = entry
+        suspect.is_published = True
 
     def _get_or_add(self, fingerprint: str) -> Suspect:
-        case = self._suspects.get(fingerprint)
-        if case is None:
+        suspect = self._suspects.get(fingerprint)
+        if suspect is None:
             if len(self._suspects) >= _MAX_SUSPECTS:
                 self._evict()
-            case = self._suspects[fingerprint] = Suspect(fingerprint)
-        return case
+            suspect = self._suspects[fingerprint] = Suspect(fingerprint)
+        return suspect
 
     def _evict(self) -> None:
-        """Make room; a suspect goes before a convicted content."""
+        """Remove the oldest suspect; one in quarantine only if all are."""
         oldest = min(
             self._suspects.values(),
-            key=lambda case: (case.entry is not None, case.seen_ms),
+            key=lambda suspect: (suspect.entry is not None, suspect.seen_ms),
         )
         del self._suspects[oldest.fingerprint]
 
     def _mark_uncertain(
         self, fingerprint: str, target: str, now_ms: float, wall_ms: int
     ) -> None:
-        """Mark losses unsure that one crash of the target explains."""
+        """Mark losses of several contents in the same crash as uncertain."""
         recent = [
             row
             for row in self._losses_by_target.get(target, ())
@@ -158,15 +167,15 @@
         others = [name for _, name in recent if name != fingerprint]
         self._losses_by_target[target] = [*recent, (now_ms, fingerprint)]
         for name in [*others, fingerprint] if others else []:
-            case = self._suspects.get(name)
-            if case is not None and target in case.losses:
-                case.losses[target].is_certain = False
-                self._update_entry(case, wall_ms)
+            suspect = self._suspects.get(name)
+            if suspect is not None and target in suspect.losses:
+                suspect.losses[target].is_certain = False
+                self._update_entry(suspect, wall_ms)
 
     def _clear_outage(
         self, fingerprint: str, target: str, now_ms: float
     ) -> None:
-        """Drop the suspects that an outage of several targets explains."""
+        """Clear the losses that belong to an outage of several targets."""
         self._recent_losses = [
             row
             for row in self._recent_losses
@@ -181,24 +190,24 @@
         ):
             return
         for name in contents:
-            case = self._suspects.get(name)
-            if case is not None and len(case.losses) < _MIN_LOSSES:
-                case.losses.clear()
-                case.trial_until_ms = 0.0
-                if case.entry is None:
+            suspect = self._suspects.get(name)
+            if suspect is not None and len(suspect.losses) < _MIN_LOSSES:
+                suspect.losses.clear()
+                suspect.trial_until_ms = 0.0
+                if suspect.entry is None:
                     del self._suspects[name]
 
-    def _update_entry(self, case: Suspect, wall_ms: int) -> None:
-        if not case.should_quarantine():
-            # A verdict of moments ago may rest on a loss now in doubt.
-            if not case.is_published:
-                case.entry = None
+    def _update_entry(self, suspect: Suspect, wall_ms: int) -> None:
+        if not suspect.should_quarantine():
+            # A loss that has just become uncertain withdraws a quarantine.
+            if not suspect.is_published:
+                suspect.entry = None
             return
-        if case.entry is None:
-            case.entry = protocol.QuarantineEntry(
-                case.fingerprint,
-                case.service,
-                sorted(case.losses),
+        if suspect.entry is None:
+            suspect.entry = protocol.QuarantineEntry(
+                suspect.fingerprint,
+                suspect.service,
+                sorted(suspect.losses),
                 wall_ms,
                 wall_ms + self._quarantine_ms,
             )
