--- a/samphiredock/coordination/targets/_budget.py
+++ b/samphiredock/coordination/targets/_budget.py
@@ -29,6 +29,7 @@
         self._tokens = burst
 
     charged_refusals: frozenset[protocol.SubStatus] = frozenset()
+    """None: a refusal is charged only if the retry rules say so."""
 
     @property
     def tokens(self) -> float:
@@ -41,9 +42,9 @@
         """Add ``share`` of a token for the first attempt at each shard."""
         self.deposit(len(shards), share)
 
-    def deposit(self, needed: int, share: float) -> None:
-        """Add ``share`` of a token for each of ``needed`` first attempts."""
-        self._tokens = min(self._burst, self._tokens + needed * share)
+    def deposit(self, first_attempts: int, share: float) -> None:
+        """Add ``share`` of a token for each first attempt."""
+        self._tokens = min(self._burst, self._tokens + first_attempts * share)
 
     def spend_hedge(self, shard: str = '') -> bool:
         """Take a token for a hedge, if more than the reserve is left."""
