--- a/samphiredock/coordination/fleet/_gossip.py
+++ b/samphiredock/coordination/fleet/_gossip.py
@@ -20,6 +20,8 @@
 
 TICK_MS = 100.0
 _GAP_MS = 1_500.0
+"""A tick that is later than this means that the process was frozen."""
+
 _DIRECT_TIMEOUT_MS = 300.0
 _INDIRECT_TIMEOUT_MS = 400.0
 _INDIRECT_PROBES = 3
@@ -107,7 +109,7 @@
         effects += self._reports.expire_suspicions(now_ms)
         effects += self._verify_reports()
         if now_ms >= self._next_probe_ms:
-            self._next_probe_ms = now_ms + self._reports.period_ms()
+            self._next_probe_ms = now_ms + self._reports.probe_period_ms()
             effects += self._probe_next(now_ms)
         if now_ms >= self._next_lost_ms:
             self._next_lost_ms = now_ms + _LOST_PROBE_INTERVAL_MS
@@ -132,7 +134,8 @@
         """Ask some of the daemons in ``rows`` that are not live members.
 
         The directory may list daemons long dead, so they become members
-        only when they answer.
+        only when they answer.  The ``MemberChanged`` effects make their
+        addresses known to the peer connections.
         """
         unknown = [row for row in rows if not self.table.is_live(row.name)]
         chosen = self._rng.sample(
@@ -144,7 +147,7 @@
         names = [row.name for row in chosen]
         return effects + self._ask_state(names, full=True)
 
-    def ask_some(self) -> _Effects:
+    def ask_neighbours(self) -> _Effects:
         """Ask some neighbours for their member tables."""
         return self._ask_state(self._random_neighbours(_REFRESH_PEERS))
 
@@ -170,9 +173,9 @@
     def on_gap(self, now_ms: float) -> _Effects:
         """Handle a freeze of this process that ended now.
 
-        The view is outdated and the other daemons may hold this one dead.
-        Without this the daemon would suspect every member and act on the
-        targets it owned before.
+        The view is outdated, and the other daemons may have declared this
+        one dead.  Without this the daemon would suspect every member and
+        use the targets it owned before.
         """
         last_ms, self._last_ms = self._last_ms, now_ms
         if not self._view_freshness.is_stale:
@@ -221,11 +224,11 @@
         return [_gossip_state.SendTo(name, message)]
 
     def _probe_next(self, now_ms: float) -> _Effects:
-        name = self._probes.next_target(self.neighbours())
+        name = self._probes.next_member(self.neighbours())
         return self._probe(name, now_ms + _DIRECT_TIMEOUT_MS) if name else []
 
     def _probe_lost(self, now_ms: float) -> _Effects:
-        """Probe one dead member, to detect the end of a partition."""
+        """Probe one lost member, to detect the end of a partition."""
         effects: _Effects = []
         for name in self._reports.forget_lost(now_ms - _LOST_RETENTION_MS):
             effects.append(_gossip_state.MemberForgotten(name))
@@ -237,7 +240,7 @@
     def _expire_probes(self, now_ms: float) -> _Effects:
         effects: _Effects = []
         for number, probe in self._probes.due(now_ms):
-            row = self.table.get(probe.target)
+            row = self.table.get(probe.member)
             known = row is not None and row.state in (_ALIVE, _SUSPECT)
             if probe.asked_by or probe.indirect or not known:
                 self._probes.close(number)
@@ -246,27 +249,31 @@
                 continue
             probe.indirect = True
             probe.due_ms = now_ms + _INDIRECT_TIMEOUT_MS
-            effects += self._probe_through_others(number, probe.target)
+            effects += self._probe_through_others(number, probe.member)
         return effects
 
-    def _probe_through_others(self, number: int, target: str) -> _Effects:
+    def _probe_through_others(self, number: int, member: str) -> _Effects:
         helpers = [
             name
             for name in self._random_neighbours(_INDIRECT_PROBES + 1)
-            if name != target
+            if name != member
         ][:_INDIRECT_PROBES]
         versions = self._versions()
         return [
             _gossip_state.SendTo(
                 name,
                 protocol.ProbeAsk(
-                    number, target, versions, self._reports.rows_for(name)
+                    number, member, versions, self._reports.rows_for(name)
                 ),
             )
             for name in helpers
         ]
 
     def _verify_reports(self) -> _Effects:
+        """Probe members whose suspicion or death is unverified.
+
+        The probe carries the report, so that the member can refute it.
+        """
         effects: _Effects = []
         unverified = self._reports.unverified
         for _ in range(min(_VERIFY_PER_TICK, len(unverified))):
@@ -320,16 +327,16 @@
         effects = self._reports.merge(message.rows, now_ms)
         effects.append(_gossip_state.PeerVersions(sender, message.versions))
         probe = self._probes.get(message.number)
-        if probe is not None and probe.target == sender:
+        if probe is not None and probe.member == sender:
             self._probes.close(message.number)
             if probe.asked_by:
                 effects += self._relay_answer(probe, message)
         elif probe is not None and probe.indirect:
-            # Another member reaches the target, so only this daemon's
-            # connection to it is silent.  The target's own probes detect a
+            # Another daemon reaches the member, so only this daemon's
+            # connection to it is silent.  The member's own probes detect a
             # silent connection in the other direction.
             self._probes.close(message.number)
-            effects.append(_gossip_state.ResetPeer(probe.target))
+            effects.append(_gossip_state.ResetPeer(probe.member))
         if was_lost and sender not in self._reports.lost_since:
             effects += self._ask_state([sender])
         return effects
@@ -406,7 +413,7 @@
 """The messages that :meth:`Gossip.on_message` handles."""
 
 
-def health_of(row: protocol.MemberRow, revision: int) -> dict:
+def status_row(row: protocol.MemberRow, revision: int) -> dict:
     """Return one member's row in the output of ``status``."""
     return {
         'member': _member_table.member_of(row),
--- a/samphiredock/coordination/fleet/_gossip_state.py
+++ b/samphiredock/coordination/fleet/_gossip_state.py
@@ -1,4 +1,4 @@
-"""Effects and partial states of the membership protocol."""
+"""Effects of the membership protocol, and classes that hold its state."""
 
 import dataclasses
 import math
@@ -13,6 +13,8 @@
 _MAX_REFRESH_MS = 3_000.0
 _ROWS_PER_MESSAGE = 8
 _SENDS_PER_DECADE = 4
+"""Times a row is sent for each power of ten in the number of members."""
+
 _MIN_SENDS = 8
 
 
@@ -75,12 +77,12 @@
 class OpenProbe:
     """A probe that has not been answered.
 
-    ``indirect`` says that others were asked to probe the target too.  If
+    ``indirect`` says that others were asked to probe the member too.  If
     the probe was sent on behalf of another daemon, ``asked_by`` is that
     daemon and ``asked_number`` the number of its probe.
     """
 
-    target: str
+    member: str
     due_ms: float
     indirect: bool = False
     asked_by: str = ''
@@ -124,7 +126,7 @@
         for probe in self._open.values():
             probe.due_ms += delay_ms
 
-    def next_target(self, others: typing.Sequence[str]) -> str | None:
+    def next_member(self, others: typing.Sequence[str]) -> str | None:
         """Return the next member to probe, None if there is none.
 
         Each member comes once in a round, in random order, so that the time
--- a/samphiredock/coordination/fleet/_reports.py
+++ b/samphiredock/coordination/fleet/_reports.py
@@ -21,7 +21,7 @@
 _SUSPECT = protocol.MemberState.SUSPECT
 _DEAD = protocol.MemberState.DEAD
 _LEFT = protocol.MemberState.LEFT
-_GONE = (_DEAD, _LEFT)
+_LOST = (_DEAD, _LEFT)
 
 _Effects = list[_gossip_state.GossipEffect]
 
@@ -45,7 +45,8 @@
         self.unverified: collections.deque[protocol.MemberRow] = (
             collections.deque(maxlen=_MAX_UNVERIFIED)
         )
-        # The highest incarnation known to have left, of unknown members.
+        # The highest incarnation that is known to have left, for members
+        # that are not in the table.
         self._left_incarnations: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
@@ -58,7 +59,7 @@
         """This daemon's own row."""
         return self.table.get(self._name)
 
-    def period_ms(self) -> float:
+    def probe_period_ms(self) -> float:
         """Return the time between two probes at the current fleet size."""
         small = len(self.table.names()) <= _SMALL_FLEET_SIZE
         return _SMALL_FLEET_PERIOD_MS if small else _PERIOD_MS
@@ -70,7 +71,7 @@
         gossip reaches the suspect and the refutation comes back.
         """
         rounds = math.log2(len(self.table.names()) + 1)
-        return max(_MIN_SUSPICION_MS, self.period_ms() * rounds)
+        return max(_MIN_SUSPICION_MS, self.probe_period_ms() * rounds)
 
     def disseminate(self, name: str) -> None:
         """Piggyback a member's row on the next messages."""
@@ -108,9 +109,9 @@
             elif not self.table.beats(row) or self._is_outdated(row):
                 self._record_left(row)
             elif from_exchange and self._needs_verification(row):
-                # After a partition each side holds the other's members dead.
-                # Accepting that would remove live members on both sides for
-                # a moment; the member itself is probed instead.
+                # After a partition each side has declared the other's members
+                # dead.  Accepting that would remove live members on both
+                # sides for a moment; the member itself is probed instead.
                 self.unverified.append(row)
             else:
                 effects += self._accept(row, now_ms)
@@ -124,7 +125,7 @@
         if self.table.get(row.name) is not None:
             return False
         has_left = self._left_incarnations.get(row.name, -1) >= row.incarnation
-        return row.state in _GONE or has_left
+        return row.state in _LOST or has_left
 
     def _record_left(self, row: protocol.MemberRow) -> None:
         """Record the incarnation of an unknown member that has left.
@@ -162,8 +163,9 @@
         mine = self.me
         incarnation, refutation = mine.incarnation, row.refutation + 1
         if row.incarnation > incarnation or row.state is _LEFT:
-            # An earlier process of this daemon had a later wall clock, or
-            # has left with the same incarnation.
+            # A process takes its incarnation from the wall clock.  An earlier
+            # process of this daemon had a later one, or has left with the
+            # same one.
             incarnation, refutation = row.incarnation + 1, 0
         self.table.set(
             msgspec.structs.replace(
@@ -178,7 +180,7 @@
         self._suspected_until.pop(name, None)
         if row.state is _SUSPECT:
             self._suspected_until[name] = now_ms + self.suspicion_ms()
-        if row.state in _GONE:
+        if row.state in _LOST:
             self.lost_since.setdefault(name, now_ms)
         else:
             self.lost_since.pop(name, None)
--- a/samphiredock/coordination/targets/_exchanges.py
+++ b/samphiredock/coordination/targets/_exchanges.py
@@ -17,9 +17,9 @@
 
 _PROBE_TIMEOUT_MS = 300.0
 _SAMPLE_EVERY = 8
-"""One exchange in this many is recorded in ``target_service_ms``."""
+"""One answered batch in this many is recorded in ``target_service_ms``."""
 
-Answer = typing.Callable[
+AnswerCallback = typing.Callable[
     [_scheduler_types.Job, protocol.SubAnswer | protocol.RunReport], None
 ]
 
@@ -48,7 +48,7 @@
     signs
         Gets a target's report that it is draining; None to drop reports.
     answer
-        Sends a job's origin how the job ended.
+        Sends the answer on a job to the daemon that the job came from.
     silent_after_ms
         Returns how long to wait for the answer to a batch.
     """
@@ -58,7 +58,7 @@
         clock: timers.Timers,
         counters: metrics.Metrics,
         signs: _target_signs.TargetSigns | None,
-        answer: Answer,
+        answer: AnswerCallback,
         silent_after_ms: typing.Callable[[], float],
     ) -> None:
         self._clock = clock
@@ -66,7 +66,7 @@
         self._signs = signs
         self._answer = answer
         self._silent_after_ms = silent_after_ms
-        self._count = 0
+        self._answered_batches = 0
 
     async def run(
         self, managed: ManagedTarget, start: _scheduler_types.StartExchange
@@ -215,8 +215,8 @@
         return lost_during
 
     def _sample(self, job: _scheduler_types.Job, started_ms: float) -> None:
-        self._count += 1
-        if self._count % _SAMPLE_EVERY:
+        self._answered_batches += 1
+        if self._answered_batches % _SAMPLE_EVERY:
             return
         self._metrics.observe(
             'target_service_ms',
