--- a/tests/failure/test_cross_site_orders.py
+++ b/tests/failure/test_cross_site_orders.py
@@ -174,14 +174,14 @@
         taken = []
         original = sender._on_report
 
-        def spoil(flight, out, report):
+        def spoil(pending, sent_order, report):
             if report.merged and not taken:
                 taken.append(report)
                 foreign = protocol.MergedItem(999, 'receipt-x', 1)
                 report = protocol.MergeReport(
                     (*report.merged, foreign), (), b'z' * 16
                 )
-            original(flight, out, report)
+            original(pending, sent_order, report)
 
         sender._on_report = spoil
         self.answer_all()
--- a/tests/unit/test_introduce.py
+++ b/tests/unit/test_introduce.py
@@ -40,9 +40,9 @@
         self.assertEqual([], forwarding.successors(self.daemons, 'c-1'))
 
     def test_introduction_round_trip(self) -> None:
-        told = forwarding.introduction_request(self.daemons)
+        request = forwarding.introduction_request(self.daemons)
         self.assertEqual(
-            tuple(self.daemons), forwarding.read_introduction(told.body)
+            tuple(self.daemons), forwarding.read_introduction(request.body)
         )
 
     def test_malformed_introduction(self) -> None:
@@ -65,6 +65,6 @@
             self.assertLess(len(body) / seconds, 1_000.0, daemons)
 
     def test_interval_stays_short(self) -> None:
-        """A daemon that starts refuses its callers until it is told."""
+        """A daemon that starts refuses its callers until it has the list."""
         self.assertLess(forwarding.introduction_interval_ms(195), 2_000.0)
         self.assertLess(forwarding.introduction_interval_ms(490), 5_000.0)
--- a/tests/unit/test_logs.py
+++ b/tests/unit/test_logs.py
@@ -45,8 +45,8 @@
         stream.write(line)
         got += self._drain()
         rows = [json.loads(row) for row in got.splitlines()]
-        told = [row['count'] for row in rows if 'count' in row]
-        self.assertEqual([stream.left_out], told)
+        counts = [row['count'] for row in rows if 'count' in row]
+        self.assertEqual([stream.left_out], counts)
         written = len([row for row in rows if 'count' not in row])
         self.assertEqual(5_001, written + stream.left_out)
 
