--- a/samphiredock/protocol/_claims.py
+++ b/samphiredock/protocol/_claims.py
@@ -1,6 +1,9 @@
 """Messages between daemons about claims of unrepeatable requests.
 
-The holder of a claim is the daemon that wrote it to the store.
+A claim is a stored record by which one daemon reserves a request's
+idempotency key, so that no other daemon sends the request too; see
+:class:`samphiredock.state.Claim`.  The holder of a claim is the daemon that
+wrote it to the store.
 """
 
 import enum
--- a/samphiredock/protocol/_codec.py
+++ b/samphiredock/protocol/_codec.py
@@ -2,8 +2,8 @@
 
 A message is sent as two frames: the name of its type and its MessagePack
 body.  Only a fixed set of types is accepted.  Decoding any other name, or a
-malformed body, returns a :class:`CodecError`, which the receiver counts and
-drops.
+malformed body, returns a :class:`CodecError`; the receiver counts it and drops
+the message.
 """
 
 import dataclasses
--- a/samphiredock/protocol/_dispatch_messages.py
+++ b/samphiredock/protocol/_dispatch_messages.py
@@ -7,10 +7,10 @@
 
 
 class TargetSign(msgspec.Struct, frozen=True):
-    """Reports that a target is leaving or is back, as one daemon saw it.
+    """Reports that a target is leaving, or is not leaving any more.
 
-    ``at_ms`` is the wall-clock time in ms since the epoch at which the sign
-    was seen; of two signs of one source, the later one applies.  The source
+    ``at_ms`` is the wall-clock time in ms since the epoch at which a daemon
+    saw it; of two signs of one source, the later one applies.  The source
     is the target itself or, with ``from_host_list``, the platform's host
     list as read by a daemon of the target's site.
     """
@@ -22,9 +22,10 @@
 
 
 class TargetSignsWanted(msgspec.Struct, frozen=True):
-    """Asks a peer for all its target signs unless its digest is the same.
+    """Asks a peer for all its target signs if they differ from the sender's.
 
-    ``digest`` is that of the sender's signs; with 0 the peer always answers.
+    ``digest`` is that of the sender's signs; the peer does not answer if its
+    own signs have the same digest.  With 0 it always answers.
     """
 
     digest: int = 0
--- a/samphiredock/protocol/_forwarding.py
+++ b/samphiredock/protocol/_forwarding.py
@@ -1,4 +1,8 @@
-"""Requests that are passed on to targets unchanged, and their outcomes."""
+"""Requests that are passed on to targets unchanged, and their outcomes.
+
+A request to a route with several shards is sent to one target of each shard.
+The response body of one shard is a part; the parts are merged.
+"""
 
 import dataclasses
 import typing
@@ -58,8 +62,8 @@
 class ForwardRequest:
     """A caller's request that is passed on to targets unchanged.
 
-    ``headers`` are the end-to-end headers, without those that this system
-    sets itself.  ``path`` is undecoded, with its query string.
+    ``headers`` are the end-to-end headers, without those that the
+    daemon sets itself.  ``path`` is undecoded, with its query string.
     ``deadline_ms`` is how much longer the caller waits, None if the caller
     did not state it.
     """
@@ -78,10 +82,9 @@
     """A target's HTTP response and how it is interpreted.
 
     Only a reply with status ``ANSWERED`` may be merged.  ``receipt`` is the
-    target's proof that it ran this request.  ``is_forwardable`` says that
-    the response, if it is a failure, may be passed on to the caller: its
-    HTTP status states nothing about the request that is not known to be
-    true, such as that it has not run.
+    target's proof that it ran this request.  ``is_forwardable`` says that a
+    failure response may be passed on to the caller; it may not if its HTTP
+    status would promise that the request has not run, which is not proven.
     """
 
     status: _queries.SubStatus
@@ -102,8 +105,8 @@
 class Gathered:
     """A response merged from the parts of several shards.
 
-    ``receipts`` are those of the parts that were merged, ``missing`` counts
-    the shards whose part was not.  ``body`` holds the greatest records of
+    ``receipts`` are those of the merged parts; ``missing`` counts the shards
+    whose part was not merged.  ``body`` holds the greatest records of
     all merged parts, the greatest first.
     """
 
--- a/samphiredock/protocol/_membership.py
+++ b/samphiredock/protocol/_membership.py
@@ -10,7 +10,10 @@
 
 
 class MemberState(enum.IntEnum):
-    """The state of a member; of two rows otherwise equal the higher wins."""
+    """The state of a member.
+
+    Of two rows of one incarnation and refutation the higher state wins.
+    """
 
     ALIVE = 0
     SUSPECT = 1
@@ -23,7 +26,7 @@
 
     ``incarnation`` is higher after each restart of the member.
     ``refutation`` is higher each time that the member refutes, within one
-    incarnation, a report that it is suspect, dead or gone.
+    incarnation, a report that it is suspect, dead or has left.
     """
 
     name: str
@@ -45,9 +48,11 @@
 
 
 class Probe(msgspec.Struct, frozen=True, array_like=True):
-    """Asks a member whether it is alive; ``number`` is echoed in the answer.
+    """Asks a member whether it is alive.
 
-    ``rows`` are piggybacked membership updates, here and in the following.
+    In this and the following messages ``number`` identifies the question and
+    is echoed in the answer, and ``versions`` are the sender's.  ``rows`` are
+    piggybacked membership updates in the three probe messages.
     """
 
     number: int
@@ -73,11 +78,12 @@
 
 
 class StateAsk(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for every member row that differs; without digests, for all.
+    """Asks for the member rows of every bucket whose digest differs.
 
-    ``digests`` holds one digest for each bucket of member names.  Sent by a
-    daemon that joins, by one that was suspended, and periodically by every
-    daemon to a random peer.
+    ``row`` is the sender's own.  ``digests`` holds one digest for each bucket
+    of member names; if it is empty, all rows are asked for.  Sent by a daemon
+    that joins or whose process was frozen, and periodically by every daemon
+    to a random peer.
     """
 
     number: int
@@ -134,7 +140,10 @@
 
 
 class RevisionHeld(msgspec.Struct, frozen=True):
-    """Confirms to the daemon that accepted a revision that it is in force."""
+    """Confirms that the sender has a configuration revision in force.
+
+    Sent to the daemon that accepted the revision.
+    """
 
     revision: int
 
@@ -167,4 +176,4 @@
     RevisionHeld,
     Envelope,
 )
-"""The types above, to be given to a :class:`Codec`."""
+"""The message types of this module, to be given to a :class:`Codec`."""
--- a/samphiredock/protocol/_merge_orders.py
+++ b/samphiredock/protocol/_merge_orders.py
@@ -2,7 +2,8 @@
 
 A search over many shards whose targets are at another site sends one order
 to a daemon there instead of a request to each target, and receives merged
-parts instead of a response from each.  The order is the body of an HTTP
+parts instead of a response from each.  A part is the response body of one
+shard: records of fixed length, which are compared as bytes.  The order is the body of an HTTP
 request; each chunk of the response is one report.
 """
 
@@ -13,10 +14,9 @@
 from samphiredock.protocol import _queries
 
 MAX_ITEMS = 4_096
-"""Most targets of one order, so that a corrupt one cannot start an unlimited
+"""Most targets of one order, so that a corrupt order cannot start an unlimited
 number of requests."""
 
-
 MAX_DURATION_MS = 3_600_000.0
 """Longest duration in an order; excludes infinity, which no timer takes."""
 
@@ -25,8 +25,9 @@
     """One attempt of an order: the target to ask.
 
     ``number`` identifies the attempt within its search.  ``target`` is the
-    target's id and ``service`` the service that the sender expects there:
-    another target may have taken over the id since.
+    target's id and ``service`` the service that the sender expects there.
+    If another target has taken over the id since, the receiver does not ask
+    it and reports ``NOT_ORDERED``.
     """
 
     number: int
@@ -39,9 +40,9 @@
 
     The first six fields are the request; see :class:`ForwardRequest`.
     ``left_ms`` is the time left until the deadline when the order was sent.
-    Parts that arrive within ``gather_ms`` of the receipt are merged to their
-    greatest ``top`` records; later parts, and all parts if ``gather_ms`` is
-    0, are reported one by one.  Records not greater than ``floor`` cannot be
+    Parts that arrive within ``gather_ms`` after the order was received are
+    merged to their greatest ``top`` records; later parts, and all parts if
+    ``gather_ms`` is 0, are reported one by one.  Records not greater than ``floor`` cannot be
     in the search's answer and may be dropped.
     """
 
@@ -132,13 +133,14 @@
         )
     if len(numbers) < len(order.items):
         return result.Failure(
-            'got two items of one number in an order, '
-            'expected different numbers'
+            'got an order with two items of one number, '
+            'expected a different number for each item'
         )
     if not 0.0 < order.left_ms <= MAX_DURATION_MS or order.top < 0:
         return result.Failure(
             f'got left_ms {order.left_ms} and top {order.top}, '
-            f'expected more than 0 up to {MAX_DURATION_MS:.0f}, and 0 or more'
+            f'expected left_ms above 0 and at most {MAX_DURATION_MS:.0f}, '
+            'and top 0 or more'
         )
     if not 0.0 <= order.gather_ms <= MAX_DURATION_MS:
         return result.Failure(
--- a/samphiredock/protocol/_operator_api.py
+++ b/samphiredock/protocol/_operator_api.py
@@ -56,7 +56,7 @@
 
 
 class TargetRow(msgspec.Struct, frozen=True):
-    """One target in the body of ``status``.
+    """One target in the response to the operators' ``status`` call.
 
     ``dispatcher`` is the daemon that owns the target, None while no live
     daemon does.  A target that is not ``usable`` gets no new work, for
--- a/samphiredock/protocol/_operator_changes.py
+++ b/samphiredock/protocol/_operator_changes.py
@@ -1,4 +1,4 @@
-"""Configuration changes by operators and what operators are shown.
+"""Configuration changes, their outcomes and history, and quarantine entries.
 
 Bodies of the operators' HTTP interface.  ``retry_after_ms`` is how long the
 client should wait before it tries again.
@@ -17,7 +17,8 @@
     identifies the change, so that a daemon can tell whether its write has
     succeeded when the store's response to it was lost.  ``repeated`` says
     that the same change was sent before with an unknown outcome: a daemon
-    that cannot read the store then cannot say that nothing was changed.
+    that cannot read the store then answers :class:`ChangeUnknown`, because
+    the earlier attempt may have been accepted.
     ``overlays`` maps the names of sites to their overlays.
     """
 
@@ -30,7 +31,7 @@
 
 
 class ChangeAccepted(msgspec.Struct, frozen=True, tag='accepted'):
-    """The change is stored as ``revision`` and will be in force everywhere."""
+    """The change is stored as ``revision``; every daemon will apply it."""
 
     revision: int
 
--- a/samphiredock/protocol/_quarantine.py
+++ b/samphiredock/protocol/_quarantine.py
@@ -1,6 +1,6 @@
 """Messages between daemons about request contents that crash targets.
 
-``fingerprint`` is the digest of a content.
+``fingerprint`` is the digest of a request's content.
 """
 
 import msgspec
@@ -11,8 +11,8 @@
 class SuspectNotice(msgspec.Struct, frozen=True):
     """Targets were lost while they ran this content and nothing else.
 
-    The sender tests the content on its own for up to ``trial_ms`` after the
-    receipt; until then the receiver refuses it.
+    For up to ``trial_ms`` the sender tests the content on its own; for that
+    long after the notice the receiver refuses it.
     """
 
     fingerprint: str
@@ -41,7 +41,8 @@
 class StoredQuarantine(msgspec.Struct, frozen=True):
     """The stored object ``quarantine/FINGERPRINT``.
 
-    A ``released`` one is kept, so that daemons that read it drop the entry.
+    With ``released`` the object is kept instead of deleted, so that daemons
+    that read it drop the entry.
     """
 
     entry: _operator_changes.QuarantineEntry
--- a/samphiredock/protocol/_queries.py
+++ b/samphiredock/protocol/_queries.py
@@ -101,9 +101,20 @@
 class SubStatus(enum.Enum):
     """How one attempt ended.
 
-    ``NOT_ORDERED`` and ``ORDER_LOST`` are for attempts of a merge order.
-    With the first, the daemon that got the order has not asked the target.
-    With the second, that daemon was lost and may have asked it.
+    ``SNAPSHOT_GONE``, ``NOT_LOADED``, ``DRAINING``: as in
+    :class:`TargetStatus`.  ``SHED``: refused for overload, by the target or
+    by the dispatcher's queue.  ``EXPIRED``: the deadline was too near.
+    ``UNREACHABLE``: no connection to the target.  ``NOT_OWNER``: the daemon
+    asked does not own the target, or the target is not of the service.
+    ``NO_IDLE_SLOT``: a hedge would have had to wait.  ``QUARANTINED``: the
+    request's content is known or suspected to crash targets.
+
+    ``BROKEN``: the exchange failed after it had begun.  ``SILENT``: no
+    response in time.  ``BAD_ANSWER``: a malformed or mismatched response.
+
+    The last two are for attempts of a merge order.  ``NOT_ORDERED``: the
+    daemon that received the order has not asked the target.  ``ORDER_LOST``:
+    contact with that daemon was lost; it may have asked the target.
     """
 
     ANSWERED = 'answered'
@@ -139,7 +150,11 @@
         SubStatus.NOT_ORDERED,
     }
 )
-"""The statuses that prove that no target has begun the attempt."""
+"""The statuses of attempts that count as not begun by any target.
+
+For an unrepeatable request they are proof of that.  A search may have been
+begun and then stopped if its status is ``EXPIRED`` or ``CANCELLED``.
+"""
 
 
 class SubAnswer(msgspec.Struct, frozen=True):
@@ -214,9 +229,9 @@
 class RunReport(msgspec.Struct, frozen=True):
     """How a :class:`RunOrder` ended.
 
-    ``accepted`` and ``result`` are the target's, with the status
-    ``ANSWERED``.  ``target_lost`` says that the target could not be reached
-    afterwards.
+    ``accepted`` and ``result`` are as in :class:`TargetRunAnswer`; they are
+    set only with the status ``ANSWERED``.  ``target_lost`` says that the
+    target could not be reached afterwards.
     """
 
     attempt_id: str
--- a/samphiredock/protocol/_target_api.py
+++ b/samphiredock/protocol/_target_api.py
@@ -1,5 +1,6 @@
 """Bodies of the HTTP protocol between a dispatcher and a target.
 
+A target has a fixed number of slots; each works on one exchange at a time.
 ``deadline_ms`` is the time left when the request was sent;
 ``retry_after_ms`` how long the target asks to be left without new work.
 """
@@ -12,7 +13,14 @@
 
 
 class TargetStatus(enum.Enum):
-    """How an item ended, as the target reports it."""
+    """How an item ended, as the target reports it.
+
+    ``SNAPSHOT_GONE``: the target does not hold the snapshot.  ``NOT_LOADED``:
+    it does not hold the shard, or has not loaded it yet.  ``SHED``: it is
+    overloaded.  ``DRAINING``: it takes no new work because it is about to
+    stop.  ``EXPIRED``: the deadline passed before the item was begun or, if
+    it is a search, before it was finished.
+    """
 
     OK = 'ok'
     SNAPSHOT_GONE = 'snapshot-gone'
@@ -132,7 +140,9 @@
 class TargetHealth(msgspec.Struct, frozen=True):
     """Answer of ``GET /health``.
 
-    A hint only: it may be out of date, or wrong about requests that fail.
+    A hint only: it may be out of date, or claim health while requests fail.
+    ``running`` is the number of busy slots, ``load`` the number of exchanges
+    for each slot.
     """
 
     healthy: bool
--- a/samphiredock/state/_claims.py
+++ b/samphiredock/state/_claims.py
@@ -32,9 +32,9 @@
 OUTCOME_LIMIT_BYTES = 4_096
 """Space that an open claim reserves, so that its outcome always fits."""
 
-_FORMAT = 1
+_FORMAT = 1  # of stored buckets; one of another format is not decoded
 _DIGEST_BYTES = 16
-_OVERHEAD_BYTES = 64
+_OVERHEAD_BYTES = 64  # allowance for the JSON syntax around one claim
 
 
 class ClaimState(enum.Enum):
@@ -176,9 +176,9 @@
         """Write the final state of a claim.
 
         Returns False if the key is claimed with another token by now.  The
-        final state is also written if the claim is missing: the put that
-        opens it may still arrive, and it fails then because this write has
-        changed the object's version.
+        final state is also written if the claim is missing: the write that
+        opens it may still reach the store, and it fails then because this
+        one has changed the object's version.
         """
         existing = self.claims.get(digest)
         if existing is not None and existing.token != final.token:
--- a/samphiredock/state/_configuration.py
+++ b/samphiredock/state/_configuration.py
@@ -9,10 +9,14 @@
 import typing
 
 REQUEST_CLASSES = ('interactive', 'batch')
+"""Classes of requests; an overloaded daemon refuses ``batch`` first."""
 
 
 class MergeKind(enum.Enum):
-    """How the records of several shards are ordered in one answer."""
+    """How the records of several shards are ordered in one answer.
+
+    ``BY_SCORE``: the highest score first.  ``BY_KEY``: the lowest key first.
+    """
 
     BY_SCORE = 'by-score'
     BY_KEY = 'by-key'
@@ -24,10 +28,9 @@
 
     ``deadline_ms`` is the deadline of a request that states none.
     ``least_coverage`` is the smallest fraction of the key space with which
-    an answer is given; below it the outcome is not an answer.  ``canary``
-    says that one shard is asked before the others, so that a content that
-    crashes targets costs few of them.  ``limit`` is the largest number of
-    records.  ``fields`` are the names that a request's terms may have; empty
+    an answer is given; below it the caller gets no records.  ``canary`` says
+    that one shard is asked before the others, so that a content that crashes
+    targets costs few of them.  ``limit`` is the largest number of records.  ``fields`` are the names that a request's terms may have; empty
     allows every name.
     """
 
@@ -94,7 +97,7 @@
     """A back end and what it allows from all daemons together.
 
     ``slots`` is how many exchanges it works on at once, ``connections`` how
-    many connections it accepts, ``connect_ms`` how long connecting takes.
+    many connections it accepts, ``connect_ms`` the expected time to connect.
     """
 
     name: str
@@ -114,12 +117,14 @@
     request.  ``key_retention_ms`` is the age up to which idempotency keys
     are accepted.  ``queue_per_target`` bounds the attempts queued for one
     target, ``in_flight_per_daemon`` the requests in progress at one daemon.
-    ``hedge_budget`` is the allowed number of hedges and
-    retries for each first attempt.  A hedge is sent after the quantile
-    ``hedge_quantile`` of measured latencies, or after ``hedge_after_ms`` if
-    that is not 0.  ``batch_window_ms`` is how long a dispatcher waits for
-    further items of a batch, ``batch_items`` the most items of one.
-    ``silent_after_ms`` is when an exchange without a response is given up.
+
+    ``hedge_budget`` is the allowed number of hedges and retries for each
+    first attempt.  A hedge is sent after ``hedge_after_ms`` or, if that is 0,
+    after the quantile ``hedge_quantile`` of measured latencies.
+
+    ``batch_window_ms`` is how long a dispatcher waits for further items of a
+    batch, ``batch_items`` the most items of one.  ``silent_after_ms`` is when
+    an exchange without a response is given up.
     """
 
     deadline_limit_ms: int = 30_000
--- a/samphiredock/state/_entry_settings.py
+++ b/samphiredock/state/_entry_settings.py
@@ -1,4 +1,8 @@
-"""The settings of a daemon that passes requests on, read from a JSON5 file."""
+"""The settings of an entry daemon, read from a JSON5 file.
+
+An entry daemon accepts HTTP requests of callers and passes them on to targets
+unchanged; the platform's adapter runs it.
+"""
 
 import dataclasses
 import pathlib
@@ -14,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntrySettings:
-    """What a daemon that passes requests on needs at its start.
+    """What an entry daemon needs at its start.
 
     Addresses are ``IP:port``:
 
@@ -45,11 +49,11 @@
       after the daemon has reported that it is not ready;
     - ``watch_ms``: how long a watch request to the store waits for a change,
       which bounds how long a store that stops responding goes unnoticed;
-    - ``collect_ms``: how long the daemon waits after a change before the
-      next watch, so that further changes come together;
+    - ``collect_ms``: how long the daemon waits after a change of targets
+      before the next watch, so that one response returns further changes;
     - ``caller_way_ms``: network round trip from the caller, subtracted from
-      a route's ``aim_ms``; it excludes connecting, which follows from the
-      time that callers state.
+      a route's ``aim_ms``; it excludes connecting, whose time is estimated
+      from the remaining time that callers state.
 
     Choice of targets:
 
--- a/samphiredock/state/_keys.py
+++ b/samphiredock/state/_keys.py
@@ -1,4 +1,4 @@
-"""The keys file: the operators' token and the daemons' CURVE keys."""
+"""The keys file: the operators' token and the daemons' ZeroMQ CURVE keys."""
 
 import dataclasses
 import pathlib
--- a/samphiredock/state/_member.py
+++ b/samphiredock/state/_member.py
@@ -4,7 +4,10 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """One daemon; ``incarnation`` is higher after each restart."""
+    """One daemon, stored under ``members/NAME``.
+
+    ``incarnation`` is higher after each restart.
+    """
 
     name: str
     site: str
--- a/samphiredock/state/_overlay.py
+++ b/samphiredock/state/_overlay.py
@@ -9,7 +9,7 @@
 from samphiredock.state import _checks
 
 _SERVICE_RULES = {
-    'cap': _checks.number(0.0, 1.0, "part of the site's capacity")
+    'cap': _checks.number(0.0, 1.0, "fraction of the targets' capacity")
 }
 _TARGET_RULES = {
     'url': _checks.url().optional(),
@@ -30,6 +30,7 @@
 }
 
 Rows = dict[str, dict[str, typing.Any]]
+"""The converted fields of the objects of one section, by name."""
 
 
 class BaseRows(typing.Protocol):
--- a/samphiredock/state/_routes.py
+++ b/samphiredock/state/_routes.py
@@ -81,13 +81,14 @@
         ``host`` may have a port, ``path`` a query string; both are ignored.
         """
         name = host.partition(':')[0].lower()
-        plain = path.partition('?')[0]
-        fitting = [
+        bare_path = path.partition('?')[0]
+        matching = [
             route
             for route in self.routes
-            if route.host.lower() == name and plain.startswith(route.prefix)
+            if route.host.lower() == name
+            and bare_path.startswith(route.prefix)
         ]
-        return max(fitting, key=lambda route: len(route.prefix), default=None)
+        return max(matching, key=lambda route: len(route.prefix), default=None)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/samphiredock/state/_settings.py
+++ b/samphiredock/state/_settings.py
@@ -1,4 +1,8 @@
-"""The settings of one daemon, read from a JSON5 file."""
+"""The settings of ``samphiredockd``, read from a JSON5 file.
+
+Daemons that pass requests on have settings of their own, see
+:mod:`samphiredock.state._entry_settings`.
+"""
 
 import dataclasses
 import pathlib
@@ -25,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settings:
-    """What a daemon needs at its start, before it has reached any other.
+    """What a daemon needs at its start, before it has reached another daemon.
 
     ``caller_address`` and ``operator_address`` are ``IP:port``;
     ``peer_address`` is ``tcp://IP:port``.  ``peers`` are the peer addresses
--- a/samphiredock/state/_snapshots.py
+++ b/samphiredock/state/_snapshots.py
@@ -61,13 +61,13 @@
     if len(shard_ids) != len(index.shards):
         problems.append(f'{name}: got a shard id twice, expected unique ids')
     covered_to = 0
-    rows = sorted(index.shards, key=lambda shard: shard.key_range.low)
-    for shard in rows:
+    shards = sorted(index.shards, key=lambda shard: shard.key_range.low)
+    for shard in shards:
         low, high = shard.key_range.low, shard.key_range.high
         if low != covered_to or high <= low:
             problems.append(
                 f'{name}/{shard.shard_id}: got range {low} to {high}, '
-                f'expected one that begins at {covered_to}'
+                f'expected one that begins at {covered_to} and is not empty'
             )
         covered_to = max(covered_to, high)
     if covered_to != KEY_SPACE_SIZE:
