--- a/samphiredock/protocol/_merge_orders.py
+++ b/samphiredock/protocol/_merge_orders.py
@@ -1,10 +1,10 @@
 """Merge orders: a daemon asks targets of its site and merges their parts.
 
-A search over many shards whose targets are at another site sends one order
-to a daemon there instead of a request to each target, and receives merged
-parts instead of a response from each.  A part is the response body of one
-shard: records of fixed length, which are compared as bytes.  The order is the body of an HTTP
-request; each chunk of the response is one report.
+A search over many shards whose targets are at another site sends one order to
+a daemon there instead of a request to each target, and receives merged parts
+instead of a response from each.  A part is the response body of one shard:
+records of fixed length, which are compared as bytes.  The order is the body of
+an HTTP request; each chunk of the response is one report.
 """
 
 import msgspec
@@ -42,8 +42,8 @@
     ``left_ms`` is the time left until the deadline when the order was sent.
     Parts that arrive within ``gather_ms`` after the order was received are
     merged to their greatest ``top`` records; later parts, and all parts if
-    ``gather_ms`` is 0, are reported one by one.  Records not greater than ``floor`` cannot be
-    in the search's answer and may be dropped.
+    ``gather_ms`` is 0, are reported one by one.  Records not greater than
+    ``floor`` cannot be in the search's answer and may be dropped.
     """
 
     request_id: str
--- a/samphiredock/state/_compiler.py
+++ b/samphiredock/state/_compiler.py
@@ -100,10 +100,10 @@
     """The stored configuration: the operators' files and their last change.
 
     ``change_id`` identifies the change, so that a daemon whose write was not
-    answered can tell from the stored object whether it succeeded.
-    ``recent`` lists the latest accepted changes, this one last, so that the
-    daemon can tell even if others have been accepted since.  ``accepted_at_ms`` is a wall-clock
-    time in ms since the epoch; ``overlays`` is keyed by site.
+    answered can tell from the stored object whether it succeeded. ``recent``
+    lists the latest accepted changes, this one last, so that the daemon can
+    tell even if others have been accepted since.  ``accepted_at_ms`` is a
+    wall-clock time in ms since the epoch; ``overlays`` is keyed by site.
     """
 
     revision: int
--- a/samphiredock/state/_configuration.py
+++ b/samphiredock/state/_configuration.py
@@ -27,11 +27,12 @@
     """One search that a service may run.
 
     ``deadline_ms`` is the deadline of a request that states none.
-    ``least_coverage`` is the smallest fraction of the key space with which
-    an answer is given; below it the caller gets no records.  ``canary`` says
-    that one shard is asked before the others, so that a content that crashes
-    targets costs few of them.  ``limit`` is the largest number of records.  ``fields`` are the names that a request's terms may have; empty
-    allows every name.
+    ``least_coverage`` is the smallest fraction of the key space with which an
+    answer is given; below it the caller gets no records.  ``canary`` says that
+    one shard is asked before the others, so that a content that crashes
+    targets costs few of them.  ``limit`` is the largest number of records.
+    ``fields`` are the names that a request's terms may have; empty allows
+    every name.
     """
 
     name: str
