--- a/samphiredock/state/_claims.py
+++ b/samphiredock/state/_claims.py
@@ -90,7 +90,7 @@
     """
 
     GRANTED = 'granted'
-    MET = 'met'
+    CLAIMED = 'met'
     KEY_REUSED = 'key-reused'
     FULL = 'full'
 
@@ -170,7 +170,7 @@
         if existing.state is ClaimState.NOT_RUN or is_replaceable:
             self._set(digest, wanted)
             return OpenDecision(OpenStatus.GRANTED)
-        return OpenDecision(OpenStatus.MET, existing)
+        return OpenDecision(OpenStatus.CLAIMED, existing)
 
     def close(self, digest: str, final: Claim) -> bool:
         """Write the final state of a claim.
--- a/tests/unit/test_claim_buckets.py
+++ b/tests/unit/test_claim_buckets.py
@@ -31,7 +31,7 @@
         self.assertIs(GRANTED, self.opened.status)
         for replaces in (None, 'a/1/2'):
             met = self.bucket.open('key', _open('b/1/1'), replaces)
-            self.assertIs(state.OpenStatus.MET, met.status)
+            self.assertIs(state.OpenStatus.CLAIMED, met.status)
             self.assertEqual('a/1/1', met.claim.token)
         taken = self.bucket.open('key', _open('b/1/1'), 'a/1/1')
         self.assertIs(GRANTED, taken.status)
@@ -43,7 +43,7 @@
         self.close('a/1/1', state.ClaimState.DONE)
         self.close('a/1/1', state.ClaimState.NOT_RUN)
         met = self.bucket.open('key', _open('b/1/1'), 'a/1/1')
-        self.assertIs(state.OpenStatus.MET, met.status)
+        self.assertIs(state.OpenStatus.CLAIMED, met.status)
         self.assertIs(state.ClaimState.DONE, met.claim.state)
 
     def test_reopening_the_own_claim_needs_no_write(self) -> None:
