--- a/samphiredock/state/_keys.py
+++ b/samphiredock/state/_keys.py
@@ -102,7 +102,7 @@
     raw = read.unwrap()
     row = report.read_object('$', raw, _KEYS_RULES)
     raw_fields = raw if isinstance(raw, dict) else {}
-    curve = _read_pair(report, raw_fields.get('curve'))
+    curve = _read_curve_pair(report, raw_fields.get('curve'))
     admitted = raw_fields.get('admitted')
     if isinstance(admitted, dict):
         _check_admitted(report, admitted, 'curve' in raw_fields)
@@ -113,7 +113,7 @@
     )
 
 
-def _read_pair(report: _checks.ProblemReport, raw: object) -> CurvePair | None:
+def _read_curve_pair(report: _checks.ProblemReport, raw: object) -> CurvePair | None:
     if not isinstance(raw, dict):
         return None
     pair = report.read_object('curve', raw, _CURVE_PAIR_RULES)
