--- a/samphiredock/state/_claims.py
+++ b/samphiredock/state/_claims.py
@@ -84,19 +84,19 @@
 class OpenStatus(enum.Enum):
     """Result of an attempt to open a claim.
 
-    ``MET``: another claim for the same request exists.  ``KEY_REUSED``: the
-    key has been claimed for a request with other content.  ``FULL``: the
-    bucket has no space left.
+    ``CLAIMED``: another claim for the same request exists.
+    ``KEY_REUSED``: the key has been claimed for a request with other content.
+    ``FULL``: the bucket has no space left.
     """
 
     GRANTED = 'granted'
-    CLAIMED = 'met'
+    CLAIMED = 'claimed'
     KEY_REUSED = 'key-reused'
     FULL = 'full'
 
 
 class OpenDecision(msgspec.Struct, frozen=True):
-    """The status; for ``MET`` and ``KEY_REUSED`` also the existing claim."""
+    """The status, with the existing claim if it is the obstacle."""
 
     status: OpenStatus
     claim: Claim | None = None
--- a/samphiredock/state/_keys.py
+++ b/samphiredock/state/_keys.py
@@ -113,7 +113,9 @@
     )
 
 
-def _read_curve_pair(report: _checks.ProblemReport, raw: object) -> CurvePair | None:
+def _read_curve_pair(
+    report: _checks.ProblemReport, raw: object
+) -> CurvePair | None:
     if not isinstance(raw, dict):
         return None
     pair = report.read_object('curve', raw, _CURVE_PAIR_RULES)
--- a/tests/unit/test_claim_buckets.py
+++ b/tests/unit/test_claim_buckets.py
@@ -1,4 +1,4 @@
-"""Claims within one bucket object."""
+"""Opening, closing and expiring claims in one bucket object."""
 
 import unittest
 
@@ -13,47 +13,50 @@
 
 
 class BucketTest(unittest.TestCase):
-    """Opening and closing claims in a working copy."""
+    """Each request runs at most once, whichever daemon opens its claim."""
 
     def setUp(self) -> None:
-        """Make a bucket with one open claim."""
+        """Create a bucket with one open claim."""
         self.bucket = state.Bucket()
         self.opened = self.bucket.open('key', _open('a/1/1'), None)
 
     def close(self, token: str, ended: state.ClaimState) -> bool:
-        """Close the claim as one holder."""
+        """Close the claim as the holder of ``token``."""
         return self.bucket.close(
             'key', state.Claim(token, 'body', ended, _SINCE_MS)
         )
 
-    def test_only_a_holder_that_gave_up_is_replaced(self) -> None:
-        """The claim is met by others until its own token is named."""
+    def test_an_open_claim_is_replaced_only_by_its_token(self) -> None:
+        """Another daemon gets the claim only if its holder never sent it.
+
+        The former holder can then no longer close the claim.
+        """
         self.assertIs(GRANTED, self.opened.status)
         for replaces in (None, 'a/1/2'):
-            met = self.bucket.open('key', _open('b/1/1'), replaces)
-            self.assertIs(state.OpenStatus.CLAIMED, met.status)
-            self.assertEqual('a/1/1', met.claim.token)
+            decision = self.bucket.open('key', _open('b/1/1'), replaces)
+            self.assertIs(state.OpenStatus.CLAIMED, decision.status)
+            self.assertEqual('a/1/1', decision.claim.token)
         taken = self.bucket.open('key', _open('b/1/1'), 'a/1/1')
         self.assertIs(GRANTED, taken.status)
         self.assertFalse(self.close('a/1/1', state.ClaimState.DONE))
         self.assertIs(state.ClaimState.OPEN, self.bucket.claims['key'].state)
 
-    def test_done_stays_done(self) -> None:
-        """Neither a replacement nor a late end changes a recorded run."""
+    def test_a_done_claim_stays_done(self) -> None:
+        """Neither a second close nor a replacement changes its outcome."""
         self.close('a/1/1', state.ClaimState.DONE)
         self.close('a/1/1', state.ClaimState.NOT_RUN)
-        met = self.bucket.open('key', _open('b/1/1'), 'a/1/1')
-        self.assertIs(state.OpenStatus.CLAIMED, met.status)
-        self.assertIs(state.ClaimState.DONE, met.claim.state)
+        decision = self.bucket.open('key', _open('b/1/1'), 'a/1/1')
+        self.assertIs(state.OpenStatus.CLAIMED, decision.status)
+        self.assertIs(state.ClaimState.DONE, decision.claim.state)
 
-    def test_reopening_the_own_claim_needs_no_write(self) -> None:
-        """A put whose answer was lost is recognised by its token."""
+    def test_reopening_with_the_same_token_needs_no_write(self) -> None:
+        """A write whose response was lost is recognised by its token."""
         copy = state.decode_bucket(self.bucket.encode())
         self.assertIs(GRANTED, copy.open('key', _open('a/1/1'), None).status)
         self.assertFalse(copy.changed)
 
-    def test_end_of_a_missing_claim_is_written(self) -> None:
-        """The write moves the version, so that a late put must fail."""
+    def test_closing_a_missing_claim_is_written(self) -> None:
+        """The write changes the version, so that a delayed one fails."""
         empty = state.Bucket()
         ended = state.not_run_claim(_open('a/1/1'))
         self.assertTrue(empty.close('key', ended))
@@ -62,13 +65,13 @@
         self.assertIs(GRANTED, again.status)
 
     def test_other_content_is_refused_even_after_not_run(self) -> None:
-        """A key means one request."""
+        """A key belongs to the first content it was used with."""
         self.close('a/1/1', state.ClaimState.NOT_RUN)
         reused = self.bucket.open('key', _open('b/1/1', 'other'), None)
         self.assertIs(state.OpenStatus.KEY_REUSED, reused.status)
 
-    def test_every_granted_claim_has_room_for_its_outcome(self) -> None:
-        """A bucket is full before its open claims could outgrow it."""
+    def test_every_open_claim_has_space_for_its_outcome(self) -> None:
+        """A bucket counts as full before its outcomes exceed the limit."""
         bucket = state.Bucket()
         tokens = []
         while (
@@ -85,17 +88,16 @@
         self.assertLess(len(bucket.encode()), 1_000_000)
         self.assertEqual(result, bucket.claims['key-0'].result)
 
-    def test_too_large_result_is_dropped_and_said_so(self) -> None:
-        """The outcome is kept, its result is not."""
+    def test_a_dropped_result_is_marked(self) -> None:
+        """The closed claim says that its result was too large to store."""
         large = {'receipt': 'x' * state.OUTCOME_LIMIT_BYTES}
         closed = state.done_claim(_open('a/1/1'), True, large)
         self.assertEqual((True, {}), (closed.result_dropped, closed.result))
 
-    def test_only_claims_past_the_margin_go(self) -> None:
-        """Every key that may be accepted anywhere keeps its claim.
+    def test_claims_outlive_their_keys(self) -> None:
+        """A claim is not dropped while any daemon may accept its key.
 
-        The margin outlasts a clock that is half an hour wrong and the
-        longest deadline; the setting of the retention does not matter.
+        The margin covers clock differences and the longest deadline.
         """
         self.assertGreaterEqual(
             state.CLAIM_RETENTION_MS, state.KEY_RETENTION_LIMIT_MS + 3_600_000
@@ -105,13 +107,13 @@
         self.bucket.expire(_SINCE_MS + state.CLAIM_RETENTION_MS + 1)
         self.assertEqual({}, self.bucket.claims)
 
-    def test_unreadable_bucket_is_not_an_empty_one(self) -> None:
-        """Neither garbage nor a later format passes for no claims."""
+    def test_an_unreadable_bucket_is_not_decoded(self) -> None:
+        """Malformed bytes or another format are not an empty bucket."""
         for value in (b'', b'\xff', b'{"format":2,"claims":{}}'):
             self.assertIsNone(state.decode_bucket(value))
 
-    def test_digests_tell_requests_apart(self) -> None:
-        """Joining the parts in another way gives another digest."""
+    def test_digests_of_different_requests_differ(self) -> None:
+        """Service and key are delimited; the order of fields is ignored."""
         first = state.locate_claim('a', 'b\0c')
         second = state.locate_claim('a\0b', 'c')
         self.assertNotEqual(first.digest, second.digest)
--- a/tests/unit/test_compiler.py
+++ b/tests/unit/test_compiler.py
@@ -101,7 +101,7 @@
         self.assertEqual('overlay yeka-c', found[-1].file)
 
     def test_two_targets_do_not_share_a_url(self) -> None:
-        """A server with two names would be sent twice its slots of work."""
+        """A server with two names would be sent more work than its slots."""
         raw = base_files.example_base()
         raw['targets']['desk-1']['url'] = 'http://127.0.0.1:7406/'
         self.assertEqual(
@@ -109,7 +109,7 @@
         )
 
     def test_overlay_cannot_raise_a_limit(self) -> None:
-        """Higher values than the base's and common fields are refused."""
+        """Nor may it set common fields or values of other sites."""
         cases = (
             ('bole-a', {'share_cap': 0.9}, 'share_cap'),
             ('bole-a', {'share_cap': 0.3}, 'share_cap'),
--- a/tests/unit/test_entry_settings.py
+++ b/tests/unit/test_entry_settings.py
@@ -52,7 +52,7 @@
         )  # fmt: skip
         self.assertIn("did you mean 'retry_ratio'", found['retry_ration'])
 
-    def test_a_broken_or_missing_file_is_a_value(self) -> None:
+    def test_a_malformed_or_missing_file_is_a_failure(self) -> None:
         """A file that cannot be read gives a failure; nothing is raised."""
         for text in ('', '{', '[]', '{"name": 1, "name": 2}'):
             with self.subTest(text):
@@ -62,7 +62,7 @@
         self.assertIsInstance(loaded, result.Failure)
 
     def test_the_template_names_only_known_fields(self) -> None:
-        """The platform fills it in; a typo would otherwise fail on hosts."""
+        """A misspelt field would prevent the start on every host."""
         text = TEMPLATE.read_text(encoding='utf-8')
         filled = re.sub(r'\{\{Ip\}\}:\{\{[^}]*\}\}', '127.0.0.1:1', text)
         filled = filled.replace('{{Ip}}', '127.0.0.1')
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings and keys files: problems come all at once and without secrets."""
+"""Settings and keys files: all problems are reported, without secrets."""
 
 import json
 import pathlib
@@ -91,7 +91,7 @@
         self.assertIn("did you mean 'site'", str(found['sight']))
         self.assertTrue(found['$'].file.endswith('absent.json'))
 
-    def test_unreadable_text_missing_fields_and_shared_address(self) -> None:
+    def test_malformed_files_and_a_shared_address_are_refused(self) -> None:
         """Malformed JSON, a duplicate field, two servers on one address."""
         for text in ('{', '[]', '{"name": "a", "name": "b"}', '"\\ud800"'):
             path = self._write('settings.json', text)
--- a/tests/unit/test_wire_names.py
+++ b/tests/unit/test_wire_names.py
@@ -1,4 +1,4 @@
-"""Names on the wire, in the store, in files, metrics and logs.
+"""Names and encodings of messages, stored objects, files, metrics and logs.
 
 Guards against a rename in the code that changes one of them: daemons of two
 versions exchange messages and read the same objects and files.
@@ -289,7 +289,7 @@
     'ProbeAsk StateAsk StateAnswer StatePush ObjectVersion ObjectAsk '
     'ObjectChanged RevisionHeld Envelope'
 )
-"""The type names in the first frame of a message between daemons."""
+"""Type names of the messages between daemons, sent in the first frame."""
 
 _TALLY = (
     'sub_queries_sent sub_queries_needed retries retries_denied hedges_sent '
@@ -310,7 +310,7 @@
     'retries': 'retries',
     'retries_denied': 'retries_denied',
 }
-"""The log fields of those that are read from a field of a tally."""
+"""The log fields that are read from a tally, and the tally's fields."""
 
 _NOT_SENT = (protocol.ClaimToken, state.ClaimLocation, state.OpenDecision)
 _NOT_OUTSIDE = (state.OpenStatus,)
@@ -364,7 +364,7 @@
     """What daemons, callers, targets and the store read and write."""
 
     def test_every_struct_is_pinned(self) -> None:
-        """Its name, how it is encoded, and its fields in their order."""
+        """No struct changes its name, its encoding or its fields' order."""
         found = _structs()
         arrays = {
             name: _fields(kind)
@@ -380,7 +380,7 @@
         self.assertEqual(_MAPS, maps)
 
     def test_every_tag_is_pinned(self) -> None:
-        """A union's members are told apart by them."""
+        """The receiver tells the members of a union apart by their tags."""
         tags = {
             name: kind.__struct_config__.tag
             for name, kind in _structs().items()
@@ -392,7 +392,7 @@
             self.assertEqual('type', config.tag_field)
 
     def test_every_enum_is_pinned(self) -> None:
-        """Their values are sent, stored, logged and used as labels."""
+        """Enum values are sent, stored, logged and used as labels."""
         found = {
             name: {member.name: member.value for member in kind}
             for package in (protocol, state)
@@ -410,7 +410,7 @@
             self.assertIn(kind.__name__, {**_ARRAYS, **_MAPS})
 
     def test_peer_messages_keep_their_bytes(self) -> None:
-        """Both frames, whole."""
+        """Both frames of a message are unchanged, byte for byte."""
         codec = protocol.Codec(_parts.PEER_MESSAGES)
         versions = protocol.HeldVersions(3, 4)
         row = protocol.MemberRow(
@@ -466,7 +466,7 @@
             self.assertEqual(frames, codec.encode(message))
 
     def test_merge_orders_keep_their_bytes(self) -> None:
-        """An order and a report."""
+        """A merge order and a report are unchanged, byte for byte."""
         item = protocol.OrderedItem(1, 's', 't')
         order = protocol.MergeOrder(
             'id', 'GET', 'h', '/p', (('A', 'b'),), b'body', 100.0, 10.0, 5,
@@ -491,7 +491,7 @@
         )
 
     def test_bodies_of_http_keep_their_bytes(self) -> None:
-        """What callers and operators are told, as JSON."""
+        """JSON responses to callers and operators are unchanged."""
         partial = protocol.Partial(
             [protocol.Record('k', 0.5, {'f': 'v'})],
             3,
@@ -521,7 +521,7 @@
             self.assertEqual(body, msgspec.json.encode(message))
 
     def test_outcomes_keep_their_names(self) -> None:
-        """They are values of the label ``request_class``."""
+        """Outcome classes are values of the metric label ``request_class``."""
         self.assertEqual(
             'Passed Gathered TimedOut NotRun Unknown',
             ' '.join(
@@ -535,10 +535,10 @@
 
 
 class StoredObjectsTest(unittest.TestCase):
-    """What another version finds in the store."""
+    """Stored objects can be read by daemons of another version."""
 
     def test_objects_keep_their_bytes(self) -> None:
-        """Whole values, as JSON."""
+        """The JSON values of stored objects are unchanged."""
         bucket = state.Bucket()
         claim = state.Claim('h/1/2', 'c', state.ClaimState.OPEN, 9)
         bucket.open('d', claim, None)
@@ -601,7 +601,7 @@
         self.assertEqual('h/1/2', str(protocol.ClaimToken('h', 1, 2)))
 
     def test_structs_of_other_packages_keep_their_fields(self) -> None:
-        """Objects and bodies whose type is private to one package."""
+        """These structs are private to one package, but stored or sent."""
         cases = (
             ('site address cores near', _presence._Entry),
             ('version hears', _freshness_check.StoreStatus),
@@ -615,10 +615,10 @@
 
 
 class FilesTest(unittest.TestCase):
-    """What operators have written."""
+    """Files that operators have written stay valid."""
 
     def test_every_key_of_a_file_is_pinned(self) -> None:
-        """The fields of the settings and the configuration."""
+        """The fields of settings and configuration are keys of files."""
         found = {
             name: _keys_of(kind)
             for name, kind in _defined(state, object).items()
@@ -627,7 +627,7 @@
         self.assertEqual(_FILE_KEYS, found)
 
     def test_parts_of_the_configuration_are_pinned(self) -> None:
-        """The base, the overlays and the keys file, and their parts."""
+        """The sections of the base, the overlays and the keys file."""
         cases = (
             ('services sites indexes targets limits', _compiler._BASE_RULES),
             ('share_cap services targets', _overlay._OVERLAY_RULES),
@@ -643,7 +643,7 @@
 
 
 class MetricsAndLogsTest(unittest.TestCase):
-    """What dashboards and operators look for."""
+    """Metrics and log fields that dashboards and operators read."""
 
     def test_metrics_of_a_search_are_pinned(self) -> None:
         """Each field of a tally is the name of a counter."""
@@ -651,7 +651,7 @@
         self.assertEqual(tuple(_TALLY.split()), _scatter_types.COUNTER_NAMES)
 
     def test_log_fields_of_an_end_are_pinned(self) -> None:
-        """Those that are read off a search's tally, and the others."""
+        """Log fields keep their names, also those read from a tally."""
         tree = ast.parse(inspect.getsource(_outcome_log))
         ends = [
             node
