--- a/tests/history_configuration.py
+++ b/tests/history_configuration.py
@@ -1,7 +1,6 @@
-"""Checks of a recorded history of configuration changes.
+"""The history of configuration changes, and its checkers.
 
-Each function takes the events of one run and returns the offending ones,
-so that an empty list is a pass.
+Each checker takes the events of one run and returns the offending ones.
 """
 
 import dataclasses
@@ -9,8 +8,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class InForce:
-    """A daemon (one start of it) applied a revision."""
+class Applied:
+    """A daemon applied a revision; ``start`` numbers its process."""
 
     at_ms: float
     daemon: str
@@ -20,11 +19,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Presented:
-    """A fresh daemon became ready.
+class BecameReady:
+    """A new daemon became ready.
 
-    ``floor`` is the highest revision that a daemon which it could reach
-    had in force when it started.
+    ``floor`` is the highest revision that any daemon it could reach had in
+    force when it started.
     """
 
     at_ms: float
@@ -36,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answered:
-    """An operator was told the outcome of a change."""
+    """An operator got the outcome of a change."""
 
     at_ms: float
     change_id: str
@@ -45,8 +44,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Held:
-    """What a daemon, reachable since ``reachable_ms``, has in force."""
+class Observed:
+    """The revision in force at a daemon, reachable since ``reachable_ms``."""
 
     at_ms: float
     daemon: str
@@ -54,16 +53,16 @@
     revision: int
 
 
-Event = InForce | Presented | Answered | Held
+Event = Applied | BecameReady | Answered | Observed
 _NEVER_IN_FORCE = ('ChangeConflict', 'ChangeInvalid', 'ChangeUnavailable')
 
 
-def reverted(events: typing.Sequence[Event]) -> list[InForce]:
-    """Return revisions applied that were not above the one in force."""
+def reverted(events: typing.Sequence[Event]) -> list[Applied]:
+    """Return applied revisions that were not above the one in force."""
     held: dict[tuple[str, int], int] = {}
     bad = []
     for event in events:
-        if not isinstance(event, InForce):
+        if not isinstance(event, Applied):
             continue
         key = event.daemon, event.start
         if event.revision <= held.get(key, 0):
@@ -72,30 +71,30 @@
     return bad
 
 
-def presented_too_old(events: typing.Sequence[Event]) -> list[Presented]:
-    """Return fresh daemons that became ready below what was reachable."""
+def ready_too_old(events: typing.Sequence[Event]) -> list[BecameReady]:
+    """Return new daemons that became ready below a reachable revision."""
     return [
         event
         for event in events
-        if isinstance(event, Presented) and event.revision < event.floor
+        if isinstance(event, BecameReady) and event.revision < event.floor
     ]
 
 
-def two_of_one_revision(events: typing.Sequence[Event]) -> list[InForce]:
+def conflicting_revisions(events: typing.Sequence[Event]) -> list[Applied]:
     """Return revisions that were in force with two contents."""
     first: dict[int, str] = {}
     return [
         event
         for event in events
-        if isinstance(event, InForce)
+        if isinstance(event, Applied)
         and first.setdefault(event.revision, event.change_id)
         != event.change_id
     ]
 
 
-def refused_but_in_force(events: typing.Sequence[Event]) -> list[Answered]:
-    """Return changes told as refused, and never accepted, yet in force."""
-    applied = {e.change_id for e in events if isinstance(e, InForce)}
+def refused_but_applied(events: typing.Sequence[Event]) -> list[Answered]:
+    """Return changes that were refused and are in force nevertheless."""
+    applied = {e.change_id for e in events if isinstance(e, Applied)}
     return [
         event
         for event in events
@@ -108,7 +107,7 @@
 def accepted_but_lost(
     events: typing.Sequence[Event], stored: typing.Mapping[int, str]
 ) -> list[Answered]:
-    """Return accepted changes that the store's list shows otherwise."""
+    """Return accepted changes that the store's list does not have."""
     return [
         event
         for event in events
@@ -118,13 +117,13 @@
     ]
 
 
-def late(
+def overdue(
     events: typing.Sequence[Event], limit_ms: float
-) -> list[tuple[Answered, Held]]:
-    """Return reachable daemons behind an accepted change past the limit.
+) -> list[tuple[Answered, Observed]]:
+    """Return reachable daemons that lack an accepted change after the limit.
 
-    A daemon that holds a later revision is not behind: the change has
-    been overwritten.
+    A daemon with a later revision does not lack it: the change was
+    overwritten.
     """
     accepted = [
         event
@@ -134,7 +133,7 @@
     return [
         (change, event)
         for event in events
-        if isinstance(event, Held)
+        if isinstance(event, Observed)
         for change in accepted
         if event.revision < change.revision
         and event.at_ms - max(change.at_ms, event.reachable_ms) > limit_ms
--- a/tests/unit/test_claim_buckets.py
+++ b/tests/unit/test_claim_buckets.py
@@ -1,4 +1,4 @@
-"""Opening, closing and expiring claims in one bucket object."""
+"""Claims within one bucket object."""
 
 import unittest
 
@@ -13,10 +13,10 @@
 
 
 class BucketTest(unittest.TestCase):
-    """Each request runs at most once, whichever daemon opens its claim."""
+    """Opens and closes claims in a decoded bucket."""
 
     def setUp(self) -> None:
-        """Create a bucket with one open claim."""
+        """Make a bucket with one open claim."""
         self.bucket = state.Bucket()
         self.opened = self.bucket.open('key', _open('a/1/1'), None)
 
@@ -27,10 +27,7 @@
         )
 
     def test_an_open_claim_is_replaced_only_by_its_token(self) -> None:
-        """Another daemon gets the claim only if its holder never sent it.
-
-        The former holder can then no longer close the claim.
-        """
+        """Another daemon gets an open claim only by naming its token."""
         self.assertIs(GRANTED, self.opened.status)
         for replaces in (None, 'a/1/2'):
             decision = self.bucket.open('key', _open('b/1/1'), replaces)
@@ -42,7 +39,7 @@
         self.assertIs(state.ClaimState.OPEN, self.bucket.claims['key'].state)
 
     def test_a_done_claim_stays_done(self) -> None:
-        """Neither a second close nor a replacement changes its outcome."""
+        """No replacement or later close changes a completed claim."""
         self.close('a/1/1', state.ClaimState.DONE)
         self.close('a/1/1', state.ClaimState.NOT_RUN)
         decision = self.bucket.open('key', _open('b/1/1'), 'a/1/1')
@@ -65,13 +62,13 @@
         self.assertIs(GRANTED, again.status)
 
     def test_other_content_is_refused_even_after_not_run(self) -> None:
-        """A key belongs to the first content it was used with."""
+        """A key stays bound to one content, even if that was not run."""
         self.close('a/1/1', state.ClaimState.NOT_RUN)
         reused = self.bucket.open('key', _open('b/1/1', 'other'), None)
         self.assertIs(state.OpenStatus.KEY_REUSED, reused.status)
 
     def test_every_open_claim_has_space_for_its_outcome(self) -> None:
-        """A bucket counts as full before its outcomes exceed the limit."""
+        """A bucket is full before its claims' outcomes could exceed it."""
         bucket = state.Bucket()
         tokens = []
         while (
@@ -95,9 +92,10 @@
         self.assertEqual((True, {}), (closed.result_dropped, closed.result))
 
     def test_claims_outlive_their_keys(self) -> None:
-        """A claim is not dropped while any daemon may accept its key.
+        """A claim is kept as long as any daemon may accept its key.
 
-        The margin covers clock differences and the longest deadline.
+        The margin covers clocks that are half an hour off and the longest
+        deadline, whatever retention is configured.
         """
         self.assertGreaterEqual(
             state.CLAIM_RETENTION_MS, state.KEY_RETENTION_LIMIT_MS + 3_600_000
@@ -108,7 +106,7 @@
         self.assertEqual({}, self.bucket.claims)
 
     def test_an_unreadable_bucket_is_not_decoded(self) -> None:
-        """Malformed bytes or another format are not an empty bucket."""
+        """Neither garbage nor a later format decodes to an empty bucket."""
         for value in (b'', b'\xff', b'{"format":2,"claims":{}}'):
             self.assertIsNone(state.decode_bucket(value))
 
