--- a/tests/unit/test_claim_buckets.py
+++ b/tests/unit/test_claim_buckets.py
@@ -21,39 +21,39 @@
         self.opened = self.bucket.open('key', _open('a/1/1'), None)
 
     def close(self, token: str, ended: state.ClaimState) -> bool:
-        """Close the claim with a token; return whether it was its own."""
+        """Close the claim as the holder of ``token``."""
         return self.bucket.close(
             'key', state.Claim(token, 'body', ended, _SINCE_MS)
         )
 
-    def test_only_a_holder_that_gave_up_is_replaced(self) -> None:
-        """An open claim is replaced only by naming its token."""
+    def test_an_open_claim_is_replaced_only_by_its_token(self) -> None:
+        """Another daemon gets an open claim only by naming its token."""
         self.assertIs(GRANTED, self.opened.status)
         for replaces in (None, 'a/1/2'):
-            met = self.bucket.open('key', _open('b/1/1'), replaces)
-            self.assertIs(state.OpenStatus.MET, met.status)
-            self.assertEqual('a/1/1', met.claim.token)
+            decision = self.bucket.open('key', _open('b/1/1'), replaces)
+            self.assertIs(state.OpenStatus.CLAIMED, decision.status)
+            self.assertEqual('a/1/1', decision.claim.token)
         taken = self.bucket.open('key', _open('b/1/1'), 'a/1/1')
         self.assertIs(GRANTED, taken.status)
         self.assertFalse(self.close('a/1/1', state.ClaimState.DONE))
         self.assertIs(state.ClaimState.OPEN, self.bucket.claims['key'].state)
 
-    def test_done_stays_done(self) -> None:
+    def test_a_done_claim_stays_done(self) -> None:
         """No replacement or later close changes a completed claim."""
         self.close('a/1/1', state.ClaimState.DONE)
         self.close('a/1/1', state.ClaimState.NOT_RUN)
-        met = self.bucket.open('key', _open('b/1/1'), 'a/1/1')
-        self.assertIs(state.OpenStatus.MET, met.status)
-        self.assertIs(state.ClaimState.DONE, met.claim.state)
+        decision = self.bucket.open('key', _open('b/1/1'), 'a/1/1')
+        self.assertIs(state.OpenStatus.CLAIMED, decision.status)
+        self.assertIs(state.ClaimState.DONE, decision.claim.state)
 
-    def test_reopening_the_own_claim_needs_no_write(self) -> None:
-        """A put whose answer was lost is recognised by its token."""
+    def test_reopening_with_the_same_token_needs_no_write(self) -> None:
+        """A write whose response was lost is recognised by its token."""
         copy = state.decode_bucket(self.bucket.encode())
         self.assertIs(GRANTED, copy.open('key', _open('a/1/1'), None).status)
         self.assertFalse(copy.changed)
 
-    def test_end_of_a_missing_claim_is_written(self) -> None:
-        """A missing claim is closed by a put, so that a late put conflicts."""
+    def test_closing_a_missing_claim_is_written(self) -> None:
+        """The write changes the version, so that a delayed one fails."""
         empty = state.Bucket()
         ended = state.not_run_claim(_open('a/1/1'))
         self.assertTrue(empty.close('key', ended))
@@ -67,7 +67,7 @@
         reused = self.bucket.open('key', _open('b/1/1', 'other'), None)
         self.assertIs(state.OpenStatus.KEY_REUSED, reused.status)
 
-    def test_every_granted_claim_has_room_for_its_outcome(self) -> None:
+    def test_every_open_claim_has_space_for_its_outcome(self) -> None:
         """A bucket is full before its claims' outcomes could exceed it."""
         bucket = state.Bucket()
         tokens = []
@@ -85,13 +85,13 @@
         self.assertLess(len(bucket.encode()), 1_000_000)
         self.assertEqual(result, bucket.claims['key-0'].result)
 
-    def test_too_large_result_is_dropped_and_said_so(self) -> None:
-        """A result that is too large is dropped and marked so."""
+    def test_a_dropped_result_is_marked(self) -> None:
+        """The closed claim says that its result was too large to store."""
         large = {'receipt': 'x' * state.OUTCOME_LIMIT_BYTES}
         closed = state.done_claim(_open('a/1/1'), True, large)
         self.assertEqual((True, {}), (closed.result_dropped, closed.result))
 
-    def test_only_claims_past_the_margin_go(self) -> None:
+    def test_claims_outlive_their_keys(self) -> None:
         """A claim is kept as long as any daemon may accept its key.
 
         The margin covers clocks that are half an hour off and the longest
@@ -105,13 +105,13 @@
         self.bucket.expire(_SINCE_MS + state.CLAIM_RETENTION_MS + 1)
         self.assertEqual({}, self.bucket.claims)
 
-    def test_unreadable_bucket_is_not_an_empty_one(self) -> None:
+    def test_an_unreadable_bucket_is_not_decoded(self) -> None:
         """Neither garbage nor a later format decodes to an empty bucket."""
         for value in (b'', b'\xff', b'{"format":2,"claims":{}}'):
             self.assertIsNone(state.decode_bucket(value))
 
-    def test_digests_tell_requests_apart(self) -> None:
-        """Digests do not depend on how parts are joined or ordered."""
+    def test_digests_of_different_requests_differ(self) -> None:
+        """Service and key are delimited; the order of fields is ignored."""
         first = state.locate_claim('a', 'b\0c')
         second = state.locate_claim('a\0b', 'c')
         self.assertNotEqual(first.digest, second.digest)
