--- a/samphiredock/coordination/search/_merge.py
+++ b/samphiredock/coordination/search/_merge.py
@@ -27,26 +27,28 @@
 
 
 def is_within(
-    ranges: typing.Iterable[protocol.KeyRange], asked: protocol.KeyRange
+    ranges: typing.Iterable[protocol.KeyRange], requested: protocol.KeyRange
 ) -> bool:
-    """Return whether every range is valid and within the range asked for.
+    """Return whether every range is valid and within the requested range.
 
-    A target that states more than it was asked for has answered another
+    A target that states more than was requested has answered another
     sub-query, so its whole answer is rejected.
     """
-    return all(asked.low <= row.low < row.high <= asked.high for row in ranges)
+    return all(
+        requested.low <= row.low < row.high <= requested.high for row in ranges
+    )
 
 
 def covers(
-    ranges: typing.Sequence[protocol.KeyRange], asked: protocol.KeyRange
+    ranges: typing.Sequence[protocol.KeyRange], requested: protocol.KeyRange
 ) -> bool:
-    """Return whether the union of ``ranges`` covers all of ``asked``."""
+    """Return whether the union of ``ranges`` covers all of ``requested``."""
     if len(ranges) == 1:
         only = ranges[0]
-        return only.low <= asked.low and only.high >= asked.high
+        return only.low <= requested.low and only.high >= requested.high
     union = union_of(ranges)
     return len(union) == 1 and (
-        union[0].low <= asked.low and union[0].high >= asked.high
+        union[0].low <= requested.low and union[0].high >= requested.high
     )
 
 
--- a/samphiredock/coordination/search/_scatter_results.py
+++ b/samphiredock/coordination/search/_scatter_results.py
@@ -132,8 +132,8 @@
     if answer.snapshot_id != snapshot_id:
         # Merging it would mix two versions of the index in one outcome.
         return AttemptResult.WRONG_SNAPSHOT
-    asked = shard.shard.key_range
-    if not _merge.is_within(answer.ranges, asked):
+    requested = shard.shard.key_range
+    if not _merge.is_within(answer.ranges, requested):
         return AttemptResult.BAD
     if not answer.ranges:
         # A target that has not loaded its shard searches no range.
@@ -141,7 +141,7 @@
     shard.answers.append(answer)
     if not answer.truncated:
         shard.ranges.extend(answer.ranges)
-    whole = _merge.covers(shard.ranges, asked)
+    whole = _merge.covers(shard.ranges, requested)
     return AttemptResult.WHOLE if whole else AttemptResult.PART
 
 
