--- a/samphiredock/coordination/targets/_budget.py
+++ b/samphiredock/coordination/targets/_budget.py
@@ -5,7 +5,7 @@
 from samphiredock import protocol
 
 _BURST_TOKENS = 20.0
-_DEBT_TOKENS = 100.0
+_MAX_DEBT_TOKENS = 100.0
 
 
 class RetryBudget:
@@ -14,7 +14,8 @@
     Hedges and retries share the bucket, so that a fault which causes both
     cannot multiply the load.  A quarter of the bucket is reserved for
     retries: without a retry a key range is missing from the answer, without
-    a hedge the answer is only late.
+    a hedge the answer is only late.  One bucket serves all shards: the
+    methods ignore their ``shard``, which other budgets need.
 
     Parameters
     ----------
@@ -28,6 +29,7 @@
         self._tokens = burst
 
     charged_refusals: frozenset[protocol.SubStatus] = frozenset()
+    """None: a refusal is charged only if the retry rules say so."""
 
     @property
     def tokens(self) -> float:
@@ -40,9 +42,9 @@
         """Add ``share`` of a token for the first attempt at each shard."""
         self.deposit(len(shards), share)
 
-    def deposit(self, needed: int, share: float) -> None:
-        """Add ``share`` of a token for each of ``needed`` first attempts."""
-        self._tokens = min(self._burst, self._tokens + needed * share)
+    def deposit(self, first_attempts: int, share: float) -> None:
+        """Add ``share`` of a token for each first attempt."""
+        self._tokens = min(self._burst, self._tokens + first_attempts * share)
 
     def spend_hedge(self, shard: str = '') -> bool:
         """Take a token for a hedge, if more than the reserve is left."""
@@ -64,8 +66,8 @@
         For retries after the loss of a dispatcher or target: there is at
         most one for each attempt, and refusing it would lose coverage.
         """
-        self._tokens = max(-_DEBT_TOKENS, self._tokens - 1.0)
+        self._tokens = max(-_MAX_DEBT_TOKENS, self._tokens - 1.0)
 
     def refund(self, shard: str = '') -> None:
-        """Return the token of a hedge that no target started."""
+        """Put back the token of a hedge that no target started."""
         self._tokens = min(self._burst, self._tokens + 1.0)
--- a/samphiredock/coordination/targets/_target_signs.py
+++ b/samphiredock/coordination/targets/_target_signs.py
@@ -32,9 +32,9 @@
 
 
 class TargetObject(msgspec.Struct, frozen=True):
-    """The stored object ``targets/NAME``, an operator's sign on a target.
+    """A sign on a target, of any source; ``at_ms`` is wall-clock time.
 
-    ``at_ms`` is wall-clock time.
+    An operator's sign is stored in this form as ``targets/NAME``.
     """
 
     leaving: bool
@@ -57,8 +57,9 @@
 class TargetSigns:
     """The newest sign of each source on each target.
 
-    A target is leaving while the newest sign of any source says so.  A newer
-    operator's sign of return also replaces the target's own sign.  A host
+    A target is leaving while the newest sign of any source says so.  An
+    operator's sign of return replaces an older sign of the target itself,
+    too: the operator need not wait for a probe.  A host
     list that no longer shows a target as leaving may be outdated, so its
     return becomes a leaving sign of the target itself, which the owner's
     next probe of the target confirms or ends.
@@ -107,7 +108,7 @@
         peers.subscribe(protocol.TargetSignsWanted, self._on_wanted)
 
     def subscribe(self, listener: _Listener) -> None:
-        """Call ``listener(target, leaving)`` when a target's state changes."""
+        """Call ``listener(target, leaving)`` when ``is_usable`` changes."""
         self._listeners.append(listener)
 
     def is_usable(self, target: str) -> bool:
@@ -130,15 +131,15 @@
         """Apply a stored object below ``targets/``; count unreadable ones."""
         name = stored.key.removeprefix(TARGETS_PREFIX)
         try:
-            status = _DECODER.decode(stored.value)
+            sign = _DECODER.decode(stored.value)
         except (msgspec.DecodeError, UnicodeDecodeError):
             self._metrics.add('target_objects_unreadable')
             return
-        self._learn(name, SignSource.OPERATOR, status)
+        self._learn(name, SignSource.OPERATOR, sign)
         own = self._signs[name].get(SignSource.TARGET)
-        if own is not None and not status.leaving:
-            if own.at_ms < status.at_ms:
-                self._learn(name, SignSource.TARGET, status)
+        if own is not None and not sign.leaving:
+            if own.at_ms < sign.at_ms:
+                self._learn(name, SignSource.TARGET, sign)
 
     def on_hosts(self, hosts: typing.Iterable[transport.Host]) -> None:
         """Apply the platform's host list and broadcast what changed."""
@@ -148,27 +149,28 @@
             was_leaving = known is not None and known.leaving
             if host.leaving == was_leaving:
                 continue
-            status = TargetObject(host.leaving, now_ms)
-            self._learn_from_host_list(host.name, status)
+            sign = TargetObject(host.leaving, now_ms)
+            self._learn_from_host_list(host.name, sign)
             self._broadcaster.broadcast(
                 protocol.TargetSign(host.name, host.leaving, now_ms, True)
             )
 
-    def _learn_from_host_list(self, name: str, status: TargetObject) -> None:
+    def _learn_from_host_list(self, name: str, sign: TargetObject) -> None:
         known = self._signs.get(name, {}).get(SignSource.HOST_LIST)
-        if known is not None and known.leaving and not status.leaving:
+        if known is not None and known.leaving and not sign.leaving:
             # Keeps the date of the leaving sign, so that a return which
             # another daemon has already seen is newer.
             self._learn(name, SignSource.TARGET, known)
-        self._learn(name, SignSource.HOST_LIST, status)
+        self._learn(name, SignSource.HOST_LIST, sign)
 
     def on_target_report(
         self, target: str, leaving: bool, asked_at_ms: int | None = None
     ) -> None:
         """Apply a target's own report and broadcast it if it is news.
 
-        ``asked_at_ms`` is the wall-clock time at which the target was asked:
-        an answer to a question from before the newest sign is no return.
+        ``asked_at_ms`` is the wall-clock time at which the target was asked.
+        If that was before the newest sign, the answer is outdated and does
+        not count as a return.
         """
         known = self._signs.get(target, {}).get(SignSource.TARGET)
         if known is None and not leaving:
@@ -226,13 +228,13 @@
         return [source for source, sign in signs.items() if sign.leaving]
 
     def _learn(
-        self, target: str, source: SignSource, status: TargetObject
+        self, target: str, source: SignSource, sign: TargetObject
     ) -> None:
         signs = self._signs.setdefault(target, {})
         known = signs.get(source)
-        if known is not None and _sort_key(status) <= _sort_key(known):
+        if known is not None and _sort_key(sign) <= _sort_key(known):
             return
-        signs[source] = status
+        signs[source] = sign
         self._digest = 0
         is_leaving = bool(self._leaving_sources(target))
         if is_leaving == (target in self._leaving):
@@ -252,11 +254,11 @@
             listener(target, is_leaving)
 
     def _on_peer_sign(self, sender: str, sign: protocol.TargetSign) -> None:
-        status = TargetObject(sign.leaving, sign.at_ms)
+        learned = TargetObject(sign.leaving, sign.at_ms)
         if sign.from_host_list:
-            self._learn_from_host_list(sign.target, status)
+            self._learn_from_host_list(sign.target, learned)
         else:
-            self._learn(sign.target, SignSource.TARGET, status)
+            self._learn(sign.target, SignSource.TARGET, learned)
 
     def _on_wanted(
         self, sender: str, wanted: protocol.TargetSignsWanted
@@ -274,17 +276,18 @@
         rows = [
             protocol.TargetSign(
                 target,
-                status.leaving,
-                status.at_ms,
+                sign.leaving,
+                sign.at_ms,
                 source is SignSource.HOST_LIST,
             )
             for target, signs in self._signs.items()
-            for source, status in signs.items()
+            for source, sign in signs.items()
             if source is not SignSource.OPERATOR
         ]
         return sorted(rows, key=lambda row: (row.at_ms, row.target))
 
     def _own_digest(self) -> int:
+        """Return the digest of the shared signs; 0 stands for no digest."""
         if not self._digest:
             rows = sorted(
                 self._shared_signs(),
@@ -320,8 +323,8 @@
             await _pause.pause(self._clock, pause_ms)
 
 
-def _sort_key(status: TargetObject) -> tuple[int, bool]:
-    return status.at_ms, status.leaving
+def _sort_key(sign: TargetObject) -> tuple[int, bool]:
+    return sign.at_ms, sign.leaving
 
 
 def _stored_at_ms(stored: transport.StoredObject) -> int:
