--- a/samphiredock/coordination/forwarding/_forward_types.py
+++ b/samphiredock/coordination/forwarding/_forward_types.py
@@ -64,7 +64,7 @@
         request: protocol.HttpRequest,
         timeout_ms: float,
         is_reply: typing.Callable[[protocol.HttpReply], bool],
-        kept_ms: float = math.inf,
+        max_idle_ms: float = math.inf,
         is_wanted: typing.Callable[[], bool] = lambda: True,
         on_chunk: typing.Callable[[bytes], None] | None = None,
         on_send: typing.Callable[[], None] = lambda: None,
@@ -73,10 +73,10 @@
 
         Replies for which ``is_reply`` is false belong to other requests
         and are skipped.  A connection that has been idle for more than
-        ``kept_ms`` is not used.  Nothing is sent once ``is_wanted`` returns
-        false.  With ``on_chunk``, the chunks of the body are passed to it
-        instead of being collected in the reply.  ``on_send`` is called when
-        the request is written.
+        ``max_idle_ms`` is not used.  Nothing is sent once ``is_wanted``
+        returns false.  With ``on_chunk``, the chunks of the body are passed
+        to it instead of being collected in the reply.  ``on_send`` is called
+        when the request is written.
         """
 
     def has_room(self, target: state.LiveTarget) -> bool:
--- a/samphiredock/daemon/_doors.py
+++ b/samphiredock/daemon/_doors.py
@@ -53,7 +53,7 @@
             return 0
     give_up()
     await _are_closed(closing, _LAST_ANSWERS_MS)
-    cut = sum(server.cut() for server in servers)
+    cut = sum(server.abort() for server in servers)
     await asyncio.wait(closing)
     return cut
 
--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -80,7 +80,7 @@
         self._log_stream = log_stream
         self._clock = timers.LoopTimers()
         self._metrics = metrics.Metrics(settings.name)
-        self._store_calls = transport.ChannelCalls(
+        self._store_calls = transport.PooledStoreCalls(
             self._clock, settings.platform_address
         )
         self._knowledge = _entry_knowledge.EntryKnowledge(
@@ -164,11 +164,13 @@
 
     async def _listen(
         self,
-        handle: transport.Handle,
+        handle: transport.EntryHandler,
         address: str,
         listening: socket.socket | None = None,
     ) -> transport.EntryServer:
-        door = transport.Door(handle, self.is_closing, self._knowledge.limits)
+        door = transport.EntryCallbacks(
+            handle, self.is_closing, self._knowledge.limits
+        )
         server = transport.EntryServer(door, self._metrics, self._clock)
         await server.start(address, early.BACKLOG, listening)
         return server
--- a/samphiredock/daemon/_entry_peers.py
+++ b/samphiredock/daemon/_entry_peers.py
@@ -44,7 +44,7 @@
         self,
         name: str,
         knowledge: _entry_knowledge.EntryKnowledge,
-        links: transport.ChannelPool,
+        links: transport.ConnectionPool,
         crashes: forwarding.CrashGuard,
         clock: timers.Timers,
     ) -> None:
--- a/samphiredock/daemon/_entry_service.py
+++ b/samphiredock/daemon/_entry_service.py
@@ -69,8 +69,8 @@
         self._clock = clock
         self._metrics = counters
         self._rng = random.Random(settings.name)
-        self._links = transport.ChannelPool(clock, knowledge.connections_to)
-        self._peer_links = transport.ChannelPool(
+        self._links = transport.ConnectionPool(clock, knowledge.connections_to)
+        self._peer_links = transport.ConnectionPool(
             clock, lambda target: _PEER_CONNECTIONS
         )
         self._crashes = forwarding.CrashGuard(
--- a/samphiredock/transport/__init__.py
+++ b/samphiredock/transport/__init__.py
@@ -7,17 +7,17 @@
     {
         '_caller_http': (
             'IDEMPOTENCY_KEY_HEADER',
-            'Service',
+            'RequestExecutor',
             'caller_application',
         ),
-        '_channel_pool': ('ChannelPool',),
-        '_channel_calls': ('ChannelCalls',),
+        '_connection_pool': ('ConnectionPool',),
+        '_pooled_store_calls': ('PooledStoreCalls',),
         '_entry_connection': (
-            'Door',
-            'Handle',
+            'EntryCallbacks',
+            'EntryHandler',
         ),
         '_entry_http': (
-            'CLOSE_MS',
+            'CLOSE_TIMEOUT_MS',
             'EntryServer',
         ),
         '_http_guard': ('is_busy',),
@@ -32,7 +32,7 @@
         '_peers': (
             'Broadcaster',
             'CurveKeys',
-            'Handler',
+            'MessageHandler',
             'PeerHub',
             'Peers',
         ),
--- a/samphiredock/transport/_caller_http.py
+++ b/samphiredock/transport/_caller_http.py
@@ -47,7 +47,7 @@
 }
 
 
-class Service(typing.Protocol):
+class RequestExecutor(typing.Protocol):
     """What the interface asks of the daemon."""
 
     async def search(
@@ -80,7 +80,7 @@
 
 
 def caller_application(
-    service: Service,
+    service: RequestExecutor,
     body_limit_bytes: int,
     counters: metrics.Metrics | None = None,
     limit_in_force: typing.Callable[[], int] | None = None,
@@ -110,7 +110,7 @@
     return app
 
 
-def _closing(service: Service) -> typing.Callable:
+def _closing(service: RequestExecutor) -> typing.Callable:
     """Return a middleware that ends connections of a daemon that stops.
 
     Only the answer to the last request that was read ends one: those that
@@ -135,7 +135,9 @@
     """One method a route."""
 
     def __init__(
-        self, service: Service, body_limit_bytes: typing.Callable[[], int]
+        self,
+        service: RequestExecutor,
+        body_limit_bytes: typing.Callable[[], int],
     ) -> None:
         self._service = service
         self._body_limit_bytes = body_limit_bytes
--- a/samphiredock/transport/_channel_pool.py
+++ b/samphiredock/transport/_connection_pool.py
@@ -11,7 +11,7 @@
 from samphiredock import protocol
 from samphiredock import state
 from samphiredock import timers
-from samphiredock.transport import _http_channel
+from samphiredock.transport import _http_connection
 from samphiredock.transport import _link_errors
 
 CONNECT_LIMIT_MS = 300.0
@@ -62,7 +62,7 @@
     exchanges.
     """
 
-    channel: _http_channel.HttpChannel
+    channel: _http_connection.HttpConnection
     since_ms: float
     until_ms: float
     was_kept: bool = False
@@ -101,7 +101,7 @@
         return self.forgets_ms if now_ms < self.lesson_ms else math.inf
 
 
-class ChannelPool:
+class ConnectionPool:
     """Kept connections, at most ``limit`` to each target.
 
     Parameters
@@ -127,9 +127,9 @@
         request: protocol.HttpRequest,
         timeout_ms: float,
         is_reply: typing.Callable[[protocol.HttpReply], bool],
-        kept_ms: float = math.inf,
+        max_idle_ms: float = math.inf,
         is_wanted: typing.Callable[[], bool] = lambda: True,
-        on_chunk: _http_channel.OnChunk | None = None,
+        on_chunk: _http_connection.OnChunk | None = None,
         on_send: typing.Callable[[], None] = lambda: None,
     ) -> result.Result[protocol.HttpReply, _link_errors.LinkError]:
         """Send a request once and return its answer.
@@ -142,7 +142,7 @@
             For connection and answer together.
         is_reply
             Whether an answer belongs to this request.
-        kept_ms
+        max_idle_ms
             How long a kept connection may have been idle; one that was
             idle longer may be forgotten at the target, and the request
             would be lost on it.
@@ -161,7 +161,9 @@
         """
         ends_ms = self._clock.now_ms() + timeout_ms
         pool = self._pools[target.target_id]
-        taken = await self._acquire(pool, target, ends_ms, kept_ms, is_wanted)
+        taken = await self._acquire(
+            pool, target, ends_ms, max_idle_ms, is_wanted
+        )
         if isinstance(taken, _link_errors.LinkError):
             return result.Failure(taken)
         if not is_wanted():
@@ -226,14 +228,14 @@
         pool: _Pool,
         target: state.LiveTarget,
         ends_ms: float,
-        kept_ms: float,
+        max_idle_ms: float,
         is_wanted: typing.Callable[[], bool],
     ) -> _Idle | _link_errors.LinkError:
         """Return a kept connection or a new one."""
         has_waited = False
         while True:
             self._drop_stale(pool)
-            if pool.idle and self._idle_ms(pool.idle[-1]) <= kept_ms:
+            if pool.idle and self._idle_ms(pool.idle[-1]) <= max_idle_ms:
                 return pool.idle.pop()
             limit = max(1, self._limit(target))
             while pool.idle and pool.open >= limit:
@@ -285,7 +287,7 @@
         return bool(pool.idle) or pool.open < max(1, self._limit(target))
 
     def _idle_from_now(
-        self, channel: _http_channel.HttpChannel, keep_ms: float | None
+        self, channel: _http_connection.HttpConnection, keep_ms: float | None
     ) -> _Idle:
         now_ms = self._clock.now_ms()
         limit_ms = _IDLE_LIMIT_MS if keep_ms is None else keep_ms
@@ -323,13 +325,15 @@
 
     async def _connect(
         self, pool: _Pool, target: state.LiveTarget, ends_ms: float
-    ) -> _http_channel.HttpChannel | _link_errors.LinkError:
+    ) -> _http_connection.HttpConnection | _link_errors.LinkError:
         pool.open += 1
         connected = False
         limit_s = min(CONNECT_LIMIT_MS / 1000.0, self._left_s(ends_ms))
         try:
             async with asyncio.timeout(limit_s):
-                channel = await _http_channel.open_channel(target.address)
+                channel = await _http_connection.open_connection(
+                    target.address
+                )
             connected = True
             return channel
         except TimeoutError:
@@ -347,7 +351,7 @@
         self,
         pool: _Pool,
         target: state.LiveTarget,
-        channel: _http_channel.HttpChannel,
+        channel: _http_connection.HttpConnection,
         keep_ms: float | None,
     ) -> None:
         if self._pools.get(target.target_id) is not pool:
--- a/samphiredock/transport/_entry_connection.py
+++ b/samphiredock/transport/_entry_connection.py
@@ -48,7 +48,7 @@
 
 _log = logs.logger('entry')
 
-Handle = typing.Callable[
+EntryHandler = typing.Callable[
     [str, str, protocol.Headers, bytes],
     typing.Awaitable[protocol.HttpReply | protocol.StreamedReply],
 ]
@@ -59,14 +59,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Door:
+class EntryCallbacks:
     """What is behind one server.
 
     ``is_closing`` says that connections should end after the current
     answer, ``limits`` what callers may send now.
     """
 
-    handle: Handle
+    handle: EntryHandler
     is_closing: typing.Callable[[], bool]
     limits: typing.Callable[[], state.CallerLimits]
 
@@ -109,7 +109,7 @@
 
     def __init__(
         self,
-        door: Door,
+        door: EntryCallbacks,
         counters: metrics.Metrics,
         clock: timers.Timers,
         open_connections: set['EntryConnection'],
@@ -325,7 +325,7 @@
         if self._is_idle():
             transport.close()
 
-    def cut(self) -> bool:
+    def abort(self) -> bool:
         """Close the connection, and with it what runs on it.
 
         Returns whether anything is lost: a request without an answer, or an
--- a/samphiredock/transport/_entry_http.py
+++ b/samphiredock/transport/_entry_http.py
@@ -10,7 +10,7 @@
 _CHECK_MS = 500.0
 """How often connections are looked at; the limits are seconds."""
 
-CLOSE_MS = 100.0
+CLOSE_TIMEOUT_MS = 100.0
 """How long requests that are under way may still take when it closes, unless
 the closer knows better."""
 
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        door: _entry_connection.Door,
+        door: _entry_connection.EntryCallbacks,
         counters: metrics.Metrics,
         clock: timers.Timers,
     ) -> None:
@@ -71,11 +71,11 @@
         host, port = self._server.sockets[0].getsockname()[:2]
         return f'{host}:{port}'
 
-    async def close(self, limit_ms: float = CLOSE_MS) -> None:
+    async def close(self, limit_ms: float = CLOSE_TIMEOUT_MS) -> None:
         """Listen no more; end the connections, idle ones first.
 
         ``limit_ms`` is how long requests that are under way may still take;
-        :meth:`cut` ends the wait before.
+        :meth:`abort` ends the wait before.
         """
         if self._server is not None:
             self._server.close()
@@ -90,18 +90,18 @@
             for connection in list(self._connections):
                 connection.close_if_idle()
             await asyncio.sleep(_LOOK_MS / 1000.0)
-        self.cut()
+        self.abort()
         # Only now: a head that does not come would hold the close.
         if self._checking is not None:
             self._checking.cancel()
 
-    def cut(self) -> int:
+    def abort(self) -> int:
         """Close the connections that are left.
 
         Returns how many had a request without an answer, or an answer that
         was not out yet.
         """
-        return sum(connection.cut() for connection in self._connections)
+        return sum(connection.abort() for connection in self._connections)
 
     def _connect(self) -> _entry_connection.EntryConnection:
         return _entry_connection.EntryConnection(
--- a/samphiredock/transport/_http_channel.py
+++ b/samphiredock/transport/_http_connection.py
@@ -147,8 +147,8 @@
             self.reusable = False
 
 
-class HttpChannel(asyncio.Protocol):
-    """One connection; made by :func:`open_channel`."""
+class HttpConnection(asyncio.Protocol):
+    """One connection; made by :func:`open_connection`."""
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
@@ -263,11 +263,11 @@
             self._waiter.set_result(_link_errors.LinkError(kind, detail))
 
 
-async def open_channel(address: str) -> HttpChannel:
+async def open_connection(address: str) -> HttpConnection:
     """Connect to ``IP:port``; raises ``OSError``."""
     host, _, port = address.rpartition(':')
     loop = asyncio.get_running_loop()
-    _, channel = await loop.create_connection(HttpChannel, host, int(port))
+    _, channel = await loop.create_connection(HttpConnection, host, int(port))
     return channel
 
 
--- a/samphiredock/transport/_peers.py
+++ b/samphiredock/transport/_peers.py
@@ -30,7 +30,7 @@
 
 _HELD_MEMBERS = 64
 
-Handler = typing.Callable[[str, typing.Any], None]
+MessageHandler = typing.Callable[[str, typing.Any], None]
 
 
 class Peers(typing.Protocol):
@@ -42,7 +42,7 @@
     def answer(self, member: str, message: msgspec.Struct) -> None:
         """Queue an answer, also to a member whose address comes later."""
 
-    def subscribe(self, kind: type, handler: Handler) -> None:
+    def subscribe(self, kind: type, handler: MessageHandler) -> None:
         """Call ``handler(sender, message)`` for each message of a type."""
 
 
@@ -145,7 +145,7 @@
         self._metrics = counters
         self._keys = keys
         self._context = zmq.Context()
-        self._handlers: dict[type, list[Handler]] = {}
+        self._handlers: dict[type, list[MessageHandler]] = {}
         self._addresses: dict[str, str] = {}
         self._outgoing: dict[str, zmq.Socket] = {}
         self._used: set[str] = set()
@@ -198,7 +198,7 @@
             self._outgoing.pop(member).close(linger=_LINGER_MS)
         self._used.clear()
 
-    def subscribe(self, kind: type, handler: Handler) -> None:
+    def subscribe(self, kind: type, handler: MessageHandler) -> None:
         """Call ``handler(sender, message)`` for each message of a type."""
         self._handlers.setdefault(kind, []).append(handler)
 
--- a/samphiredock/transport/_channel_calls.py
+++ b/samphiredock/transport/_pooled_store_calls.py
@@ -13,7 +13,7 @@
 from samphiredock import protocol
 from samphiredock import state
 from samphiredock import timers
-from samphiredock.transport import _channel_pool
+from samphiredock.transport import _connection_pool
 from samphiredock.transport import _link_errors
 from samphiredock.transport import _platform
 from samphiredock.transport import _store_replies
@@ -27,7 +27,7 @@
 """Ends that prove that the service saw nothing of the call."""
 
 
-class ChannelCalls:
+class PooledStoreCalls:
     """The calls of one client; implements :class:`StoreCaller`.
 
     Parameters
@@ -41,7 +41,7 @@
     def __init__(self, clock: timers.Timers, address: str) -> None:
         self._address = address
         self._service = state.LiveTarget(address, '', address, '', slots=1)
-        self._pool = _channel_pool.ChannelPool(
+        self._pool = _connection_pool.ConnectionPool(
             clock, lambda service: _CONNECTIONS
         )
 
@@ -86,10 +86,13 @@
         return protocol.HttpRequest(method, path, stated, body or b'')
 
     async def _send(
-        self, request: protocol.HttpRequest, limit_ms: float, kept_ms: float
+        self,
+        request: protocol.HttpRequest,
+        limit_ms: float,
+        max_idle_ms: float,
     ) -> result.Result[protocol.HttpReply, _link_errors.LinkError]:
         reply = await self._pool.exchange(
-            self._service, request, limit_ms, lambda got: True, kept_ms
+            self._service, request, limit_ms, lambda got: True, max_idle_ms
         )
         if _kind_of(reply) is _Kind.SILENT:
             # Its siblings may have gone silent with it, and each would cost
--- a/standins/cold_links.py
+++ b/standins/cold_links.py
@@ -125,7 +125,7 @@
         request: protocol.HttpRequest,
         timeout_ms: float,
         is_reply: typing.Callable[[protocol.HttpReply], bool],
-        kept_ms: float = math.inf,
+        max_idle_ms: float = math.inf,
         is_wanted: typing.Callable[[], bool] = lambda: True,
         on_chunk: typing.Callable[[bytes], None] | None = None,
         on_send: typing.Callable[[], None] = lambda: None,
--- a/standins/memory_peers.py
+++ b/standins/memory_peers.py
@@ -35,7 +35,7 @@
         self.host = host
         self.place = place
         self._needs_address = needs_address
-        self._handlers: dict[type, list[transport.Handler]] = (
+        self._handlers: dict[type, list[transport.MessageHandler]] = (
             collections.defaultdict(list)
         )
         self.known: dict[str, str] = {}
@@ -44,7 +44,7 @@
         self.open: set[str] = set()
         self._used: set[str] = set()
 
-    def subscribe(self, kind: type, handler: transport.Handler) -> None:
+    def subscribe(self, kind: type, handler: transport.MessageHandler) -> None:
         """Call the handler for each message of a type."""
         self._handlers[kind].append(handler)
 
@@ -177,7 +177,7 @@
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, msgspec.Struct]] = []
-        self._handlers: dict[type, list[transport.Handler]] = (
+        self._handlers: dict[type, list[transport.MessageHandler]] = (
             collections.defaultdict(list)
         )
 
@@ -190,7 +190,7 @@
         """Keep an answer."""
         self.send(member, message)
 
-    def subscribe(self, kind: type, handler: transport.Handler) -> None:
+    def subscribe(self, kind: type, handler: transport.MessageHandler) -> None:
         """Register a handler."""
         self._handlers[kind].append(handler)
 
--- a/standins/memory_services.py
+++ b/standins/memory_services.py
@@ -9,7 +9,7 @@
 
 
 class MemoryService:
-    """A ``transport.Service`` that answers as told and notes what was asked.
+    """A ``transport.RequestExecutor`` that records calls and gives set outcomes.
 
     ``error``, if set, is raised instead of answering.
     """
--- a/tests/unit/test_http_channel.py
+++ b/tests/unit/test_connection_pool.py
@@ -23,7 +23,7 @@
     async def asyncSetUp(self) -> None:
         """Listen and make a pool."""
         self.clock = timers.LoopTimers()
-        self.pool = transport.ChannelPool(self.clock, lambda target: 4)
+        self.pool = transport.ConnectionPool(self.clock, lambda target: 4)
         self.target = scripted_target.ScriptedTarget(self._plain)
         address = await self.target.start()
         self.entry = state.LiveTarget('t', 's', address, 'here', 2)
@@ -49,21 +49,21 @@
     def _take_time_in_hand(self, limit: int = 4) -> timers.ManualTimers:
         """Use a pool whose idle times the test moves."""
         clock = timers.ManualTimers()
-        self.pool = transport.ChannelPool(clock, lambda target: limit)
+        self.pool = transport.ConnectionPool(clock, lambda target: limit)
         return clock
 
     async def _ask(
         self,
         request_id: str,
         timeout_ms: float = 2_000.0,
-        kept_ms: float = math.inf,
+        max_idle_ms: float = math.inf,
     ) -> result.Result[protocol.HttpReply, transport.LinkError]:
         return await self.pool.exchange(
             self.entry,
             protocol.HttpRequest('GET', '/', (('Request-Id', request_id),)),
             timeout_ms,
             lambda reply: reply.header('request-id') == request_id,
-            kept_ms,
+            max_idle_ms,
         )
 
     async def test_a_connection_is_used_again(self) -> None:
@@ -79,7 +79,7 @@
         Its search ends while it waits for a connection; the connection goes
         to the next one that waits.
         """
-        self.pool = transport.ChannelPool(self.clock, lambda target: 1)
+        self.pool = transport.ConnectionPool(self.clock, lambda target: 1)
         go_on = asyncio.Event()
 
         async def slowly(
@@ -116,7 +116,7 @@
 
     async def test_a_turn_that_is_cancelled_goes_to_the_next(self) -> None:
         """Else a free connection would lie idle while requests wait."""
-        self.pool = transport.ChannelPool(self.clock, lambda target: 1)
+        self.pool = transport.ConnectionPool(self.clock, lambda target: 1)
         first = asyncio.create_task(self._ask('a'))
         await asyncio.sleep(0)
         second = asyncio.create_task(self._ask('b'))
@@ -202,9 +202,9 @@
         clock = self._take_time_in_hand()
         await self._ask('a')
         clock.advance(300.0)
-        await self._ask('b', kept_ms=100.0)
+        await self._ask('b', max_idle_ms=100.0)
         self.assertEqual(2, self.target.connections)
-        await self._ask('c', kept_ms=100.0)
+        await self._ask('c', max_idle_ms=100.0)
         clock.advance(300.0)
         await self._ask('d')
         self.assertEqual(2, self.target.connections)
@@ -217,7 +217,7 @@
         await self._ask('a')
         clock.advance(300.0)
         self.assertEqual(
-            b'b', (await self._ask('b', kept_ms=100.0)).unwrap().body
+            b'b', (await self._ask('b', max_idle_ms=100.0)).unwrap().body
         )
         self.assertEqual(1, self.pool._pools['t'].open)
 
@@ -241,11 +241,11 @@
         """
         clock = timers.ManualTimers()
         limit = 5
-        self.pool = transport.ChannelPool(clock, lambda target: limit)
+        self.pool = transport.ConnectionPool(clock, lambda target: limit)
         await self._open(5)
         limit = 4
         clock.advance(300.0)
-        reply = await self._ask('x', kept_ms=100.0)
+        reply = await self._ask('x', max_idle_ms=100.0)
         self.assertEqual(b'x', reply.unwrap().body)
         self.assertEqual(4, self.pool._pools['t'].open)
 
@@ -267,7 +267,7 @@
 
         self.target.script = first_is_silent
         limit = 1
-        self.pool = transport.ChannelPool(self.clock, lambda target: limit)
+        self.pool = transport.ConnectionPool(self.clock, lambda target: limit)
         first = asyncio.create_task(self._ask('a', 20_000.0))
         second = asyncio.create_task(self._ask('b', 10_000.0))
         await asyncio.sleep(0.05)
@@ -288,7 +288,7 @@
             await asyncio.sleep(30.0)
 
         self.target.script = silent
-        self.pool = transport.ChannelPool(self.clock, lambda target: 1)
+        self.pool = transport.ConnectionPool(self.clock, lambda target: 1)
         first = asyncio.create_task(self._ask('a'))
         await asyncio.sleep(0.05)
         second = await self._ask('b', 50.0)
--- a/tests/unit/test_doors.py
+++ b/tests/unit/test_doors.py
@@ -35,7 +35,9 @@
             await asyncio.sleep(0.001)
 
     async def _listen(self) -> transport.EntryServer:
-        door = transport.Door(self._handle, lambda: True, state.CallerLimits)
+        door = transport.EntryCallbacks(
+            self._handle, lambda: True, state.CallerLimits
+        )
         server = transport.EntryServer(door, self.counters, self.clock)
         await server.start('127.0.0.1:0', 16)
         return server
@@ -73,7 +75,7 @@
         the moment in which connections are closed.  The stop has time left.
         """
         closing = self._close()
-        await asyncio.sleep(2.0 * transport.CLOSE_MS / 1000.0)
+        await asyncio.sleep(2.0 * transport.CLOSE_TIMEOUT_MS / 1000.0)
         self.replies.put_nowait(protocol.HttpReply(207))
         self.assertIn(b' 207 ', await self._answer())
         await closing
--- a/tests/unit/test_entry_http.py
+++ b/tests/unit/test_entry_http.py
@@ -37,7 +37,7 @@
         self.limits = state.CallerLimits(header_bytes=16_384, body_bytes=100)
         self.closing = False
         self.cancelled = asyncio.Event()
-        door = transport.Door(
+        door = transport.EntryCallbacks(
             self._handle, lambda: self.closing, lambda: self.limits
         )
         clock = timers.LoopTimers()
@@ -100,7 +100,7 @@
     async def test_pieces_come_one_by_one_over_a_channel(self) -> None:
         """Each is taken when it comes, not with the last one."""
         clock = timers.LoopTimers()
-        pool = transport.ChannelPool(clock, lambda target: 4)
+        pool = transport.ConnectionPool(clock, lambda target: 4)
         entry = state.LiveTarget('t', 's', self.server.address(), 'here', 2)
         taken: list[bytes] = []
         first = asyncio.Event()
@@ -304,7 +304,9 @@
         clock = timers.LoopTimers()
         self.addCleanup(clock.close)
         limits = state.CallerLimits()
-        door = transport.Door(self._handle, lambda: True, lambda: limits)
+        door = transport.EntryCallbacks(
+            self._handle, lambda: True, lambda: limits
+        )
         for turns in range(20):
             server = transport.EntryServer(door, counters, clock)
             await server.start('127.0.0.1:0', 16)
@@ -334,7 +336,9 @@
         self.addCleanup(counters.close)
         clock = timers.LoopTimers()
         self.addCleanup(clock.close)
-        door = transport.Door(self._handle, lambda: True, state.CallerLimits)
+        door = transport.EntryCallbacks(
+            self._handle, lambda: True, state.CallerLimits
+        )
         for turns in range(8):
             self.begun.clear()
             server = transport.EntryServer(door, counters, clock)
@@ -362,7 +366,9 @@
         self.addCleanup(counters.close)
         clock = timers.LoopTimers()
         self.addCleanup(clock.close)
-        door = transport.Door(self._handle, lambda: False, state.CallerLimits)
+        door = transport.EntryCallbacks(
+            self._handle, lambda: False, state.CallerLimits
+        )
         server = transport.EntryServer(door, counters, clock)
         await server.start('127.0.0.1:0', 16)
         host, _, port = server.address().partition(':')
@@ -392,7 +398,9 @@
         clock = timers.LoopTimers()
         self.addCleanup(clock.close)
         limits = state.CallerLimits()
-        door = transport.Door(self._handle, lambda: True, lambda: limits)
+        door = transport.EntryCallbacks(
+            self._handle, lambda: True, lambda: limits
+        )
         server = transport.EntryServer(door, counters, clock)
         await server.start('127.0.0.1:0', 16)
         host, _, port = server.address().partition(':')
@@ -425,7 +433,9 @@
         self.addCleanup(self.counters.close)
         self.limits = state.CallerLimits(header_ms=2_000.0, idle_ms=10_000.0)
         self.clock = timers.ManualTimers()
-        door = transport.Door(self._handle, lambda: False, lambda: self.limits)
+        door = transport.EntryCallbacks(
+            self._handle, lambda: False, lambda: self.limits
+        )
         server = transport.EntryServer(door, self.counters, self.clock)
         await server.start('127.0.0.1:0', 16)
         self.addAsyncCleanup(self._close, server)
@@ -499,7 +509,7 @@
         self.begun = asyncio.Event()
         self.gate = asyncio.Event()
         limits = state.CallerLimits(header_ms=2_000.0, body_bytes=100)
-        door = transport.Door(
+        door = transport.EntryCallbacks(
             self._handle, lambda: self.closing, lambda: limits
         )
         self.server = transport.EntryServer(door, counters, self.clock)
--- a/tests/unit/test_entry_node.py
+++ b/tests/unit/test_entry_node.py
@@ -94,7 +94,7 @@
             self.node.on_signal()
             stopping = asyncio.create_task(self.node.wait_stopped())
             await self._until_refused(host, int(port))
-            await asyncio.sleep(2.0 * transport.CLOSE_MS / 1000.0)
+            await asyncio.sleep(2.0 * transport.CLOSE_TIMEOUT_MS / 1000.0)
             self.service.replies.put_nowait(protocol.HttpReply(207))
             answer = await reader.read()
             await stopping
