--- a/samphiredock/state/_claims.py
+++ b/samphiredock/state/_claims.py
@@ -32,9 +32,9 @@
 OUTCOME_LIMIT_BYTES = 4_096
 """Space that an open claim reserves, so that its outcome always fits."""
 
-_FORMAT = 1
+_FORMAT = 1  # of stored buckets; one of another format is not decoded
 _DIGEST_BYTES = 16
-_OVERHEAD_BYTES = 64
+_OVERHEAD_BYTES = 64  # allowance for the JSON syntax around one claim
 
 
 class ClaimState(enum.Enum):
@@ -84,19 +84,19 @@
 class OpenStatus(enum.Enum):
     """Result of an attempt to open a claim.
 
-    ``MET``: another claim for the same request exists.  ``KEY_REUSED``: the
-    key has been claimed for a request with other content.  ``FULL``: the
-    bucket has no space left.
+    ``CLAIMED``: another claim for the same request exists.
+    ``KEY_REUSED``: the key has been claimed for a request with other content.
+    ``FULL``: the bucket has no space left.
     """
 
     GRANTED = 'granted'
-    MET = 'met'
+    CLAIMED = 'claimed'
     KEY_REUSED = 'key-reused'
     FULL = 'full'
 
 
 class OpenDecision(msgspec.Struct, frozen=True):
-    """The status; for ``MET`` and ``KEY_REUSED`` also the existing claim."""
+    """The status, with the existing claim if it is the obstacle."""
 
     status: OpenStatus
     claim: Claim | None = None
@@ -170,15 +170,15 @@
         if existing.state is ClaimState.NOT_RUN or is_replaceable:
             self._set(digest, wanted)
             return OpenDecision(OpenStatus.GRANTED)
-        return OpenDecision(OpenStatus.MET, existing)
+        return OpenDecision(OpenStatus.CLAIMED, existing)
 
     def close(self, digest: str, final: Claim) -> bool:
         """Write the final state of a claim.
 
         Returns False if the key is claimed with another token by now.  The
-        final state is also written if the claim is missing: the put that
-        opens it may still arrive, and it fails then because this write has
-        changed the object's version.
+        final state is also written if the claim is missing: the write that
+        opens it may still reach the store, and it fails then because this
+        one has changed the object's version.
         """
         existing = self.claims.get(digest)
         if existing is not None and existing.token != final.token:
