--- a/standins/memory_services.py
+++ b/standins/memory_services.py
@@ -9,7 +9,7 @@
 
 
 class MemoryService:
-    """A ``transport.RequestExecutor`` that records calls and gives set outcomes.
+    """A ``RequestExecutor`` that records requests and returns set outcomes.
 
     ``error``, if set, is raised instead of answering.
     """
