--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -260,7 +260,9 @@
     def _oldest(self) -> list[dict[str, object]]:
         """Return the requests that a stop has waited for longest."""
         rows = sorted(
-            self._service.under_way(), key=lambda row: row.for_ms, reverse=True
+            self._service.pending_requests(),
+            key=lambda row: row.for_ms,
+            reverse=True,
         )
         return [dataclasses.asdict(row) for row in rows[:_NAMED]]
 
--- a/samphiredock/daemon/_entry_service.py
+++ b/samphiredock/daemon/_entry_service.py
@@ -114,12 +114,12 @@
         """Return how many requests have no answer yet."""
         return self._open_requests
 
-    def under_way(self) -> list[forwarding.PendingSummary]:
+    def pending_requests(self) -> list[forwarding.PendingSummary]:
         """Return the requests that wait for targets or other daemons."""
         return [
             row
             for forwarder in self._forwarders
-            for row in forwarder.under_way()
+            for row in forwarder.pending_requests()
         ]
 
     def give_up(self) -> None:
