--- a/samphiredock/coordination/forwarding/_attempt_sender.py
+++ b/samphiredock/coordination/forwarding/_attempt_sender.py
@@ -136,11 +136,11 @@
         ordered = []
         for item, is_first in zip(effect.items, are_first):
             if merger is None or merger == item.target:
-                self._send_alone(pending, item)
+                self._send_directly(pending, item)
             elif is_first or not _was_ordered(pending, item.shard_id, merger):
                 ordered.append(item)
             else:
-                self._send_alone(pending, item)
+                self._send_directly(pending, item)
         if ordered and merger is not None:
             is_gathering = all(are_first)
             self._order_tracker.send(pending, merger, ordered, is_gathering)
@@ -168,7 +168,7 @@
         )
         return is_first
 
-    def _send_alone(
+    def _send_directly(
         self,
         pending: _pending_requests.PendingRequest,
         item: protocol.SubQuery,
@@ -203,9 +203,12 @@
             # The log tells an attempt that only waited for a connection from
             # one that a target was slow to answer.
             waited = exchange is not None and not exchange.is_sent
-            facts = {'no_connection': True} if waited else {}
+            fields = {'no_connection': True} if waited else {}
             pending.trace.add(
-                self._clock.now_ms(), 'not needed', attempt=attempt_id, **facts
+                self._clock.now_ms(),
+                'not needed',
+                attempt=attempt_id,
+                **fields,
             )
         if attempt_id in pending.sent_orders:
             self._order_tracker.drop(pending, attempt_id)
--- a/samphiredock/coordination/forwarding/_crash_guard.py
+++ b/samphiredock/coordination/forwarding/_crash_guard.py
@@ -34,7 +34,7 @@
 """How long a content is remembered after its last loss."""
 
 RETRY_AFTER_MS = 30_000
-_MAX_CASES = 1_000
+_MAX_CONTENTS = 1_000
 
 _log = logs.logger('crashes')
 
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Case:
+class _ContentLosses:
     """The losses under one content; ``requests`` are those that count."""
 
     targets: set[str] = dataclasses.field(default_factory=set)
@@ -76,7 +76,7 @@
     ----------
     clock, counters
         The timers and metrics of this daemon.
-    tell
+    broadcast
         Called with each loss found by this daemon, to inform the others.
     """
 
@@ -84,12 +84,12 @@
         self,
         clock: timers.Timers,
         counters: metrics.Metrics,
-        tell: typing.Callable[[Loss], None],
+        broadcast: typing.Callable[[Loss], None],
     ) -> None:
         self._clock = clock
         self._metrics = counters
-        self._broadcast = tell
-        self._cases: collections.OrderedDict[str, _Case] = (
+        self._broadcast = broadcast
+        self._losses: collections.OrderedDict[str, _ContentLosses] = (
             collections.OrderedDict()
         )
 
@@ -101,20 +101,20 @@
     def record_loss(self, loss: Loss) -> None:
         """Record a loss found by this daemon or reported by another one."""
         now_ms = self._clock.now_ms()
-        case = self._case(loss.fingerprint, now_ms)
-        was_quarantined = case.is_quarantined()
-        if not case.requests or now_ms - case.last_ms >= MIN_GAP_MS:
-            case.requests.add(loss.request_id)
-        case.targets.add(loss.target)
-        case.last_ms = now_ms
-        if case.is_quarantined() and not was_quarantined:
+        losses = self._losses_of(loss.fingerprint, now_ms)
+        was_quarantined = losses.is_quarantined()
+        if not losses.requests or now_ms - losses.last_ms >= MIN_GAP_MS:
+            losses.requests.add(loss.request_id)
+        losses.targets.add(loss.target)
+        losses.last_ms = now_ms
+        if losses.is_quarantined() and not was_quarantined:
             self._metrics.add('contents_convicted')
             _log.warning(
                 'content crashes targets and is refused',
                 fingerprint=loss.fingerprint,
                 request=loss.request_id,
-                targets=sorted(case.targets)[:8],
-                requests=sorted(case.requests)[:8],
+                targets=sorted(losses.targets)[:8],
+                requests=sorted(losses.requests)[:8],
                 for_ms=EXPIRY_MS,
             )
 
@@ -122,25 +122,25 @@
         self, request: protocol.ForwardRequest
     ) -> protocol.NotRun | None:
         """Return the refusal of a quarantined request, None if it may run."""
-        if not self._cases:
+        if not self._losses:
             return None
-        case = self._cases.get(fingerprint_of(request))
-        if case is None or not case.is_quarantined():
+        losses = self._losses.get(fingerprint_of(request))
+        if losses is None or not losses.is_quarantined():
             return None
-        if self._clock.now_ms() - case.last_ms > EXPIRY_MS:
+        if self._clock.now_ms() - losses.last_ms > EXPIRY_MS:
             return None
         return protocol.NotRun(
             protocol.NotRunReason.QUARANTINED,
-            f'{len(case.targets)} targets were lost while they ran this '
-            f'content, in {len(case.requests)} requests',
+            f'{len(losses.targets)} targets were lost while they ran this '
+            f'content, in {len(losses.requests)} requests',
             RETRY_AFTER_MS,
         )
 
-    def _case(self, fingerprint: str, now_ms: float) -> _Case:
-        case = self._cases.get(fingerprint)
-        if case is None or now_ms - case.last_ms > EXPIRY_MS:
-            case = self._cases[fingerprint] = _Case()
-        self._cases.move_to_end(fingerprint)
-        while len(self._cases) > _MAX_CASES:
-            self._cases.popitem(last=False)
-        return case
+    def _losses_of(self, fingerprint: str, now_ms: float) -> _ContentLosses:
+        losses = self._losses.get(fingerprint)
+        if losses is None or now_ms - losses.last_ms > EXPIRY_MS:
+            losses = self._losses[fingerprint] = _ContentLosses()
+        self._losses.move_to_end(fingerprint)
+        while len(self._losses) > _MAX_CONTENTS:
+            self._losses.popitem(last=False)
+        return losses
--- a/samphiredock/coordination/forwarding/_live_targets.py
+++ b/samphiredock/coordination/forwarding/_live_targets.py
@@ -107,7 +107,7 @@
         self._drop_restarted(changed)
         new = [row for row in changed if row.target_id not in self._targets]
         changed_leaving = [
-            row for row in changed if self._is_leaving_changed(row)
+            row for row in changed if self._has_leaving_changed(row)
         ]
         for target in changed:
             if target.target_id not in self._records:
@@ -136,7 +136,7 @@
             ):
                 self._drop(target.target_id, 'started again')
 
-    def _is_leaving_changed(self, target: state.LiveTarget) -> bool:
+    def _has_leaving_changed(self, target: state.LiveTarget) -> bool:
         """Whether a known target begins to leave, or no longer does."""
         before = self._targets.get(target.target_id)
         return before is not None and before.leaving != target.leaving
@@ -207,14 +207,14 @@
     new: list[state.LiveTarget], changed_leaving: list[state.LiveTarget]
 ) -> None:
     """Log which targets were added, began to leave or returned."""
-    came = [*new, *changed_leaving]
-    if not came:
+    changed = [*new, *changed_leaving]
+    if not changed:
         return
-    by_service = collections.Counter(row.service for row in came)
+    by_service = collections.Counter(row.service for row in changed)
     _log.info(
         'targets changed',
         new=[row.target_id for row in new],
-        leaving=[row.target_id for row in came if row.leaving],
+        leaving=[row.target_id for row in changed if row.leaving],
         back=[row.target_id for row in changed_leaving if not row.leaving],
         services=dict(by_service.most_common(_MAX_SERVICES_LOGGED)),
         services_more=max(0, len(by_service) - _MAX_SERVICES_LOGGED),
--- a/samphiredock/coordination/forwarding/_order_client.py
+++ b/samphiredock/coordination/forwarding/_order_client.py
@@ -88,15 +88,15 @@
             return _Status.NOT_ORDERED
         self._metrics.add('orders_sent')
         began_ms = self._clock.now_ms()
-        first_ms = math.inf
+        first_report_ms = math.inf
         broken = False
 
-        def take(chunk: bytes) -> None:
-            nonlocal first_ms, broken
+        def handle_chunk(chunk: bytes) -> None:
+            nonlocal first_report_ms, broken
             if broken:
                 # Later parts are cut against the report that was unreadable.
                 return
-            first_ms = min(first_ms, self._clock.now_ms())
+            first_report_ms = min(first_report_ms, self._clock.now_ms())
             read = protocol.decode_report(chunk)
             if isinstance(read, result.Failure):
                 broken = True
@@ -116,10 +116,10 @@
                 _request_of(order),
                 order.left_ms,
                 lambda got: True,
-                on_chunk=take,
+                on_chunk=handle_chunk,
             )
-            if first_ms < math.inf:
-                took_ms = first_ms - began_ms
+            if first_report_ms < math.inf:
+                took_ms = first_report_ms - began_ms
         finally:
             self._loads.record_ended(merger, took_ms)
         return self._status_of(merger, reply, broken)
--- a/samphiredock/coordination/forwarding/_order_tracker.py
+++ b/samphiredock/coordination/forwarding/_order_tracker.py
@@ -234,7 +234,7 @@
         ]
         self._on_results(pending, answers)
         if report.is_late:
-            self._hedge_late(pending, sent_order)
+            self._end_gathering(pending, sent_order)
 
     def _add_merged(
         self,
@@ -280,7 +280,7 @@
             for item, row in zip(items, report.ended)
         ]
 
-    def _hedge_late(
+    def _end_gathering(
         self,
         pending: _pending_requests.PendingRequest,
         sent_order: _pending_requests.SentOrder,
@@ -307,11 +307,13 @@
         self, pending: _pending_requests.PendingRequest, attempt_id: str
     ) -> None:
         """Cancel an order once none of its open attempts is needed."""
-        order = pending.sent_orders[attempt_id]
-        order.unwanted.add(_number_of(attempt_id))
-        if order.task is not None and order.unwanted >= set(order.waiting):
+        sent_order = pending.sent_orders[attempt_id]
+        sent_order.unwanted.add(_number_of(attempt_id))
+        if sent_order.task is not None and sent_order.unwanted >= set(
+            sent_order.waiting
+        ):
             self._clock.after(
-                _pending_requests.LOSER_GRACE_MS, order.task.cancel
+                _pending_requests.LOSER_GRACE_MS, sent_order.task.cancel
             )
 
 
--- a/samphiredock/coordination/forwarding/_roles.py
+++ b/samphiredock/coordination/forwarding/_roles.py
@@ -86,17 +86,17 @@
     return targets_by_site.get(site, 0) >= NEAR_SHARE * most
 
 
-def connections_per_daemon(most: int, daemons: int) -> int:
+def connections_per_daemon(target_limit: int, daemons: int) -> int:
     """Return how many connections to one target a daemon may have.
 
     Parameters
     ----------
-    most
+    target_limit
         How many the target accepts in total.
     daemons
         How many daemons share them.
     """
-    return max(1, int(most * CONNECTION_SHARE) // daemons)
+    return max(1, int(target_limit * CONNECTION_SHARE) // daemons)
 
 
 def _rank(daemon: Daemon) -> tuple[float, int]:
--- a/samphiredock/coordination/forwarding/_route_plans.py
+++ b/samphiredock/coordination/forwarding/_route_plans.py
@@ -69,7 +69,7 @@
     query_id: str,
     site: str,
     now_ms: float,
-    caller_way_ms: float,
+    outside_ms: float,
     initial_hedge_delay_ms: float,
 ) -> ForwardPlan:
     """Return the plan of a request: deadline, shards and least coverage.
@@ -78,7 +78,7 @@
     ----------
     services, targets
         The services to ask, and the targets of each.
-    caller_way_ms
+    outside_ms
         The part of the route's aim that the caller has already spent and
         that the way back to it will take.
     initial_hedge_delay_ms
@@ -90,7 +90,7 @@
     answer_by_ms = math.inf
     least = 1.0
     if route.shards:
-        answer_by_ms = now_ms + route.aim_ms - caller_way_ms - MERGE_RESERVE_MS
+        answer_by_ms = now_ms + route.aim_ms - outside_ms - MERGE_RESERVE_MS
         # Half a shard less, since the key ranges are rounded.
         least = (least_shards(route) - 0.5) / len(services)
     shards = shards_of(services, targets)
--- a/tests/failure/test_cold_start.py
+++ b/tests/failure/test_cold_start.py
@@ -12,10 +12,10 @@
 
 _DAEMONS = 7
 _SHARDS = 20
-_WAITING = 21
+_INITIAL_SEARCHES = 21
 _SEARCHES = 81
-_EVERY_MS = 16.0
-_IN_AIM_MS = 106.0
+_INTERVAL_MS = 16.0
+_AIM_MS = 106.0
 _WORK_MS = 16.5
 
 
@@ -27,7 +27,7 @@
     target, and a handshake holds a slot for 6 ms.
     """
 
-    async def _play(self) -> tuple[list[float], int, int]:
+    async def _run_searches(self) -> tuple[list[float], int, int]:
         """Return the time of each answer, the requests and the handshakes."""
         clock = timers.ManualTimers()
         rng = random.Random(memory_links.SEED)
@@ -44,15 +44,17 @@
             began_ms = clock.now_ms()
             task = desks[number % _DAEMONS].ask('/all/x', f'r{number}')
 
-            def note(done: asyncio.Task, began_ms: float = began_ms) -> None:
+            def record_time(
+                done: asyncio.Task, began_ms: float = began_ms
+            ) -> None:
                 self.assertIsInstance(done.result(), protocol.Gathered)
                 took_ms.append(clock.now_ms() - began_ms)
 
-            task.add_done_callback(note)
+            task.add_done_callback(record_time)
             tasks.append(task)
-            if number < _WAITING:
+            if number < _INITIAL_SEARCHES:
                 continue
-            for _ in range(int(_EVERY_MS / 2.0)):
+            for _ in range(int(_INTERVAL_MS / 2.0)):
                 await memory_links.settle()
                 clock.advance(2.0)
         for _ in range(300):
@@ -68,8 +70,8 @@
         doubles the work, and cancelling exchanges costs new handshakes, so the
         overload would sustain itself.
         """
-        took_ms, requests, handshakes = await self._play()
-        in_aim = sum(took <= _IN_AIM_MS for took in took_ms)
+        took_ms, requests, handshakes = await self._run_searches()
+        in_aim = sum(took <= _AIM_MS for took in took_ms)
         median_ms = statistics.median(took_ms)
         print(
             f'cold start: {in_aim} of {_SEARCHES} in aim, median '
--- a/tests/failure/test_cross_site_orders.py
+++ b/tests/failure/test_cross_site_orders.py
@@ -69,7 +69,7 @@
             sent.refuse()
         await self.desk.advance(300.0)
 
-    def check_whole(self, outcome: protocol.ForwardOutcome) -> None:
+    def check_consistent(self, outcome: protocol.ForwardOutcome) -> None:
         """Check the records, and that each shard counts once or is missing."""
         self.assertIsInstance(outcome, protocol.Gathered)
         shards = [row.split('-')[1] for row in outcome.receipts]
@@ -77,7 +77,7 @@
         self.assertEqual(36, len(shards) + outcome.missing)
         self.assertEqual(top_of(shards), outcome.body)
 
-    def check_bound(self) -> None:
+    def check_target_limit(self) -> None:
         """Check that no shard ran on more targets than the route allows."""
         for shard, targets in self.desk.runs().items():
             self.assertLessEqual(len(set(targets)), 2, shard)
@@ -102,7 +102,7 @@
         self.assertEqual(12, len(set(self.desk.shards) - here))
         self.answer_all()
         outcome = await self.outcome()
-        self.check_whole(outcome)
+        self.check_consistent(outcome)
         self.assertEqual(0, outcome.missing)
 
     async def test_slow_target_does_not_delay_the_others(self) -> None:
@@ -121,9 +121,9 @@
         self.assertEqual(2, len(hedged))
         self.answer_all()
         outcome = await self.outcome()
-        self.check_whole(outcome)
+        self.check_consistent(outcome)
         self.assertEqual(0, outcome.missing)
-        self.check_bound()
+        self.check_target_limit()
 
     async def test_merged_part_replaces_hedges(self) -> None:
         """A frozen daemon recovers after its shards were hedged.
@@ -156,8 +156,8 @@
             sent.answer(records_of(sent.target))
         await memory_links.settle()
         self.answer_all()
-        self.check_whole(await self.outcome())
-        self.check_bound()
+        self.check_consistent(await self.outcome())
+        self.check_target_limit()
 
     async def test_leaving_caller_cancels_ordered_targets(self) -> None:
         """Targets at other sites must not go on working for nobody."""
@@ -170,27 +170,27 @@
 
         Its records would be in an answer whose receipts do not cover them.
         """
-        sender = self.desk.forwarder._sender._order_tracker
-        taken = []
-        original = sender._on_report
+        tracker = self.desk.forwarder._sender._order_tracker
+        corrupted = []
+        original = tracker._on_report
 
-        def spoil(pending, sent_order, report):
-            if report.merged and not taken:
-                taken.append(report)
+        def corrupt_first_report(pending, sent_order, report):
+            if report.merged and not corrupted:
+                corrupted.append(report)
                 foreign = protocol.MergedItem(999, 'receipt-x', 1)
                 report = protocol.MergeReport(
                     (*report.merged, foreign), (), b'z' * 16
                 )
             original(pending, sent_order, report)
 
-        sender._on_report = spoil
+        tracker._on_report = corrupt_first_report
         self.answer_all()
         for _ in range(12):
             await self.desk.advance(5.0)
             self.answer_all()
         outcome = await self.outcome()
-        self.assertEqual(1, len(taken))
-        self.check_whole(outcome)
+        self.assertEqual(1, len(corrupted))
+        self.check_consistent(outcome)
 
 
 class LostMergerTest(_Case):
@@ -213,9 +213,9 @@
         self.assertEqual(36, len(self.desk.links.open))
         self.answer_all()
         outcome = await self.outcome()
-        self.check_whole(outcome)
+        self.check_consistent(outcome)
         self.assertEqual(0, outcome.missing)
-        self.check_bound()
+        self.check_target_limit()
 
     async def test_merger_without_support_for_orders(self) -> None:
         """An older daemon refuses; its targets are asked directly."""
@@ -223,7 +223,7 @@
         await self._ask()
         self.answer_all()
         outcome = await self.outcome()
-        self.check_whole(outcome)
+        self.check_consistent(outcome)
         self.assertEqual(0, outcome.missing)
 
     async def test_merger_that_does_not_know_targets_yet(self) -> None:
@@ -243,9 +243,9 @@
         self.assertEqual(len(set(ordered)), len(ordered))
         self.answer_all()
         outcome = await self.outcome()
-        self.check_whole(outcome)
+        self.check_consistent(outcome)
         self.assertEqual(0, outcome.missing)
-        self.check_bound()
+        self.check_target_limit()
 
     async def test_frozen_merger_costs_a_hedge(self) -> None:
         """The full answer comes within the aim though an order hangs.
@@ -261,9 +261,9 @@
             self.answer_all()
         self.assertTrue(self.task.done())
         outcome = await self.outcome()
-        self.check_whole(outcome)
+        self.check_consistent(outcome)
         self.assertEqual(0, outcome.missing)
-        self.check_bound()
+        self.check_target_limit()
 
     async def test_hedge_does_not_use_the_frozen_merger(self) -> None:
         """Both targets of each shard are at the site of a frozen daemon.
@@ -287,8 +287,8 @@
             await desk.advance(5.0)
             self.answer_all()
         self.assertTrue(self.task.done())
-        self.check_whole(await self.outcome())
-        self.check_bound()
+        self.check_consistent(await self.outcome())
+        self.check_target_limit()
 
     async def test_frozen_merger_is_hedged_despite_overload(
         self,
@@ -311,9 +311,9 @@
             self.answer_all()
         self.assertTrue(self.task.done())
         outcome = await self.outcome()
-        self.check_whole(outcome)
+        self.check_consistent(outcome)
         self.assertEqual(0, outcome.missing)
-        self.check_bound()
+        self.check_target_limit()
 
     async def test_unreadable_merged_part(self) -> None:
         """Its later parts are cut against a merged part that was not read.
@@ -337,8 +337,8 @@
         # No hedge is answered, so no other part has the records cut away.
         outcome = await self.outcome(200)
         if isinstance(outcome, protocol.Gathered):
-            self.check_whole(outcome)
-        self.check_bound()
+            self.check_consistent(outcome)
+        self.check_target_limit()
 
     async def test_lost_merger_costs_a_retry(self) -> None:
         """Nobody knows which of its targets the lost daemon has asked.
@@ -357,16 +357,16 @@
             sent.answer(records_of(sent.target))
         await memory_links.settle()
         self.links.lose(merger)
-        await self._check_whole_by_hedges()
+        await self._check_complete_without_merger()
 
-    async def _check_whole_by_hedges(self) -> None:
+    async def _check_complete_without_merger(self) -> None:
         """Check that missing parts are asked elsewhere at once, none twice."""
         await memory_links.settle()
         self.answer_all()
         outcome = await self.outcome(4)
-        self.check_whole(outcome)
+        self.check_consistent(outcome)
         self.assertEqual(0, outcome.missing)
-        self.check_bound()
+        self.check_target_limit()
 
     async def test_stopping_merger_costs_a_hedge(self) -> None:
         """A daemon reaches the end of its shutdown time with open orders.
@@ -377,7 +377,7 @@
         await self._ask()
         stopping = self.links.seen[0].merger
         self.desk.mergers[stopping].finish_all()
-        await self._check_whole_by_hedges()
+        await self._check_complete_without_merger()
 
     async def test_a_target_of_another_service_is_not_asked(self) -> None:
         """An order names a target that has changed its service since.
@@ -418,19 +418,19 @@
             (protocol.OrderedItem(1, service, target),),
         )  # fmt: skip
 
-        async def carry_out() -> list[protocol.MergeReport]:
+        async def execute() -> list[protocol.MergeReport]:
             return [report async for report in merger.reports(order)]
 
-        carrying = asyncio.create_task(carry_out())
-        self.addCleanup(carrying.cancel)
+        execution = asyncio.create_task(execute())
+        self.addCleanup(execution.cancel)
         await memory_links.settle()
         self.assertEqual(
             [], [row.target for row in self.desk.links.sent[sent_before:]]
         )
-        self.assertTrue(carrying.done(), 'the order does not end')
+        self.assertTrue(execution.done(), 'the order does not end')
         self.assertEqual(
             [protocol.SubStatus.NOT_ORDERED],
-            [row.status for report in await carrying for row in report.ended],
+            [row.status for report in await execution for row in report.ended],
         )
 
 
@@ -461,7 +461,7 @@
             if task.done():
                 break
             for sent in desk.links.open:
-                _end_some(sent, rng)
+                _end_randomly(sent, rng)
             if rng.random() < 0.05:
                 desk.order_links.lose(rng.choice(names))
             await desk.advance(5.0)
@@ -478,7 +478,7 @@
         self.assertEqual(top_of(shards), outcome.body)
 
 
-def _end_some(sent: memory_links.Sent, rng: random.Random) -> None:
+def _end_randomly(sent: memory_links.Sent, rng: random.Random) -> None:
     """End an exchange in a random way, or leave it open."""
     draw = rng.random()
     if draw < 0.25:
@@ -524,12 +524,12 @@
         desk.links.dead.add('s1-0')
         desk.links.listening_takes_turns = 3
 
-        async def carry_out() -> list[protocol.MergeReport]:
+        async def execute() -> list[protocol.MergeReport]:
             return [report async for report in merger.reports(order)]
 
-        carrying = asyncio.create_task(carry_out())
+        execution = asyncio.create_task(execute())
         await memory_links.settle()
         desk.links.open[0].lose(transport.LinkErrorKind.BROKEN)
-        self.assertEqual(1, len((await carrying)[0].ended))
+        self.assertEqual(1, len((await execution)[0].ended))
         await memory_links.settle()
         self.assertEqual(['s1-0'], [loss.target for loss in found])
--- a/tests/failure/test_forwarder.py
+++ b/tests/failure/test_forwarder.py
@@ -187,7 +187,7 @@
         """
         desk = memory_links.ForwardDesk(daemons=8)
         rng = random.Random(memory_links.SEED)
-        whole = 0
+        complete = 0
         for _ in range(80):
             task = desk.ask('/all/x')
             while not task.done():
@@ -199,10 +199,10 @@
                         sent.answer(RECORD)
                 await memory_links.settle()
             outcome = await task
-            whole += isinstance(outcome, protocol.Gathered) and not (
+            complete += isinstance(outcome, protocol.Gathered) and not (
                 outcome.missing
             )
-        self.assertGreaterEqual(whole, 70)
+        self.assertGreaterEqual(complete, 70)
 
 
 class RefusalTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/unit/test_collected_parts.py
+++ b/tests/unit/test_collected_parts.py
@@ -84,7 +84,7 @@
                     [_body(*held[shard])], 3, floor
                 )
                 parts.add(shard, shard, body)
-        in_it = parts.receipts()
-        self.assertEqual(len(set(in_it)), len(in_it))
-        bodies = [_body(*held[shard]) for shard in in_it]
+        receipts = parts.receipts()
+        self.assertEqual(len(set(receipts)), len(receipts))
+        bodies = [_body(*held[shard]) for shard in receipts]
         self.assertEqual(_route_plans.merge_parts(bodies, 3), parts.body())
--- a/tests/unit/test_logs.py
+++ b/tests/unit/test_logs.py
@@ -73,10 +73,10 @@
     def _left_out(self) -> float:
         return self.counters.total('request_lines_left_out')
 
-    def _end(self, good: bool) -> None:
+    def _end(self, is_ok: bool) -> None:
         trace = _request_log.RequestTrace(self.clock.now_ms())
         trace.add(self.clock.now_ms(), 'sent', target='t')
-        self.log.end('id', trace, good, outcome='x')
+        self.log.end('id', trace, is_ok, outcome='x')
 
     def test_successes_do_not_crowd_out_failures(self) -> None:
         """Thousands succeed within a second, then one fails."""
--- a/tests/unit/test_route_plans.py
+++ b/tests/unit/test_route_plans.py
@@ -42,7 +42,7 @@
             'here', 1_000.0, 9.0, 30.0,
         )  # fmt: skip
 
-    def test_least_shards_rounds_up_despite_float_error(self) -> None:
+    def test_least_shards_are_rounded_up(self) -> None:
         """0.85 of 20 is 17, though ``0.85 * 20`` is slightly more."""
         for share, count, expected in (
             (0.89, 20, 18),
