--- a/samphiredock/coordination/background.py
+++ b/samphiredock/coordination/background.py
@@ -17,11 +17,11 @@
     the daemon would run on without that task.
     """
     task = asyncio.create_task(work, name=name)
-    task.add_done_callback(_note_failure)
+    task.add_done_callback(_log_failure)
     return task
 
 
-def _note_failure(task: asyncio.Task[None]) -> None:
+def _log_failure(task: asyncio.Task[None]) -> None:
     if task.cancelled():
         return
     error = task.exception()
--- a/samphiredock/coordination/quarantine/_quarantine.py
+++ b/samphiredock/coordination/quarantine/_quarantine.py
@@ -101,10 +101,10 @@
             )
         return None
 
-    def begin_run(self, fingerprint: str, budget_ms: float) -> RunMode:
+    def begin_run(self, fingerprint: str, trial_ms: float) -> RunMode:
         """Return how to run a content that :meth:`refusal` did not refuse.
 
-        For a suspect this starts a trial of ``budget_ms``: until it ends,
+        For a suspect this starts a trial of ``trial_ms``: until it ends,
         all daemons that are notified refuse further copies, so that copies
         of one content crash one target at a time.
         """
@@ -112,7 +112,7 @@
         suspect = self._suspects.get(fingerprint, now_ms)
         if suspect is None:
             return RunMode.NORMAL
-        self._announce_trial(suspect, budget_ms)
+        self._announce_trial(suspect, trial_ms)
         return RunMode.SUSPECT
 
     def is_quarantined(self, fingerprint: str) -> bool:
--- a/samphiredock/coordination/quarantine/_suspects.py
+++ b/samphiredock/coordination/quarantine/_suspects.py
@@ -163,9 +163,9 @@
     ) -> None:
         """Mark losses of several contents in the same crash as uncertain."""
         recent = [
-            row
-            for row in self._losses_by_target.get(target, ())
-            if now_ms - row[0] < _SAME_CRASH_MS
+            loss
+            for loss in self._losses_by_target.get(target, ())
+            if now_ms - loss[0] < _SAME_CRASH_MS
         ]
         others = [name for _, name in recent if name != fingerprint]
         self._losses_by_target[target] = [*recent, (now_ms, fingerprint)]
@@ -180,9 +180,9 @@
     ) -> None:
         """Clear the losses that belong to an outage of several targets."""
         self._recent_losses = [
-            row
-            for row in self._recent_losses
-            if now_ms - row[0] < _SAME_CRASH_MS
+            loss
+            for loss in self._recent_losses
+            if now_ms - loss[0] < _SAME_CRASH_MS
         ]
         self._recent_losses.append((now_ms, fingerprint, target))
         contents = {name for _, name, _ in self._recent_losses}
--- a/samphiredock/coordination/search/_admission.py
+++ b/samphiredock/coordination/search/_admission.py
@@ -76,15 +76,15 @@
                 f'expected fewer than {limit} for class {request_class}',
                 self._retry_after_ms(limit),
             )
-        held = self._in_flight[service.name]
-        if held >= service.max_in_flight:
+        in_flight = self._in_flight[service.name]
+        if in_flight >= service.max_in_flight:
             return protocol.NotRun(
                 protocol.NotRunReason.SHARE_EXCEEDED,
-                f'got {held} requests of {service.name} in flight, '
+                f'got {in_flight} requests of {service.name} in flight, '
                 f'expected fewer than {service.max_in_flight}',
                 self._retry_after_ms(service.max_in_flight),
             )
-        self._enter(service.name)
+        self._acquire(service.name)
         return None
 
     def admit_run(
@@ -100,7 +100,7 @@
         service = configuration.services.get(request.service)
         operation = service and service.operations.get(request.operation)
         if service is None or operation is None:
-            self._enter(request.service)
+            self._acquire(request.service)
             return None
         return self.admit(
             service,
@@ -117,7 +117,7 @@
         self._total -= 1
         self._ended_ms.append(self._clock.now_ms())
 
-    def _enter(self, service: str) -> None:
+    def _acquire(self, service: str) -> None:
         self._in_flight[service] += 1
         self._total += 1
 
--- a/samphiredock/coordination/search/_coordinator.py
+++ b/samphiredock/coordination/search/_coordinator.py
@@ -34,7 +34,7 @@
 }
 
 
-class View(_scatter_types.TargetView, typing.Protocol):
+class StateView(_scatter_types.TargetView, typing.Protocol):
     """The daemon's current state, as the coordinator reads it."""
 
     @property
@@ -48,7 +48,7 @@
 
     scatter: _scatter.Scatter
     plan: _planner.Plan
-    done: asyncio.Future
+    outcome: asyncio.Future
     timer: timers.Subscription | None = None
     timer_due_ms: float = math.inf
 
@@ -81,7 +81,7 @@
         name: str,
         site: str,
         incarnation: int,
-        view: View,
+        view: StateView,
         peers: transport.Peers,
         clock: timers.Timers,
         counters: metrics.Metrics,
@@ -130,7 +130,7 @@
         """
         now_ms = self._clock.now_ms()
         for search in list(self._searches.values()):
-            if not search.done.done():
+            if not search.outcome.done():
                 self._apply_effects(search, search.scatter.finish_now(now_ms))
 
     async def search(
@@ -218,7 +218,7 @@
 
     def _on_answers(self, sender: str, batch: protocol.SubAnswerBatch) -> None:
         search = self._searches.get(batch.query_id)
-        if search is None or search.done.done():
+        if search is None or search.outcome.done():
             self._metrics.add('late_answers', len(batch.answers))
             return
         now_ms = self._clock.now_ms()
@@ -228,7 +228,7 @@
     def _on_timer(self, search: _Search) -> None:
         search.timer = None
         search.timer_due_ms = math.inf
-        if not search.done.done():
+        if not search.outcome.done():
             now_ms = self._clock.now_ms()
             self._apply_effects(search, search.scatter.on_tick(now_ms))
 
@@ -247,9 +247,9 @@
                         search.plan.query_id, effect.attempt_ids
                     ),
                 )
-            elif not search.done.done():
-                search.done.set_result(effect.outcome)
-        if search.done.done():
+            elif not search.outcome.done():
+                search.outcome.set_result(effect.outcome)
+        if search.outcome.done():
             return
         if unsent:
             now_ms = self._clock.now_ms()
--- a/samphiredock/coordination/search/_hedging.py
+++ b/samphiredock/coordination/search/_hedging.py
@@ -43,7 +43,7 @@
     return gather_ms(hedge_delay_ms) + ORDER_SLACK_MS
 
 
-class _IndexRecord:
+class _IndexStats:
     """Latencies of one index, and its share of overload signs."""
 
     __slots__ = ('_samples', '_new_samples', '_sorted', '_overload_share')
@@ -87,8 +87,8 @@
     """
 
     def __init__(self) -> None:
-        self._records: dict[str, _IndexRecord] = collections.defaultdict(
-            _IndexRecord
+        self._stats: dict[str, _IndexStats] = collections.defaultdict(
+            _IndexStats
         )
 
     def observe(self, index: str, took_ms: float) -> None:
@@ -98,7 +98,7 @@
         cancelled: without it the quantile would fall and ever more hedges
         would be sent.
         """
-        self._records[index].observe(took_ms)
+        self._stats[index].observe(took_ms)
 
     def record_overload_sign(
         self,
@@ -114,11 +114,11 @@
             and waited_ms > _QUEUED_FACTOR * service_ms
         ):
             weight = max(weight, 1.0)
-        self._records[index].record_overload_sign(weight)
+        self._stats[index].record_overload_sign(weight)
 
     def is_overloaded(self, index: str) -> bool:
         """Return whether the index is overloaded, so that hedges add load."""
-        return self._records[index].is_overloaded()
+        return self._stats[index].is_overloaded()
 
     def hedge_delay_ms(
         self, index: str, quantile: float, default_ms: float
@@ -127,7 +127,7 @@
 
         ``default_ms`` is the delay while too few latencies are known.
         """
-        record = self._records[index]
+        record = self._stats[index]
         if record.is_overloaded():
             return None
         delay_ms = record.quantile(quantile)
@@ -137,4 +137,4 @@
 
     def quantile_ms(self, index: str, quantile: float) -> float:
         """Return a quantile of the latency, 0 while too few are known."""
-        return self._records[index].quantile(quantile) or 0.0
+        return self._stats[index].quantile(quantile) or 0.0
--- a/samphiredock/coordination/search/_merge.py
+++ b/samphiredock/coordination/search/_merge.py
@@ -17,7 +17,9 @@
 ) -> list[protocol.KeyRange]:
     """Return the union of key ranges, sorted and without overlaps."""
     union: list[protocol.KeyRange] = []
-    for low, high in sorted((row.low, row.high) for row in ranges):
+    for low, high in sorted(
+        (key_range.low, key_range.high) for key_range in ranges
+    ):
         if union and low <= union[-1].high:
             last = union.pop()
             union.append(protocol.KeyRange(last.low, max(last.high, high)))
@@ -35,7 +37,8 @@
     sub-query, so its whole answer is rejected.
     """
     return all(
-        requested.low <= row.low < row.high <= requested.high for row in ranges
+        requested.low <= key_range.low < key_range.high <= requested.high
+        for key_range in ranges
     )
 
 
@@ -87,10 +90,10 @@
     for answer in answers:
         for record in answer.records:
             by_key.setdefault(record.key, record)
-    return sorted(by_key.values(), key=_ORDERS[kind])[:limit]
+    return sorted(by_key.values(), key=_SORT_KEYS[kind])[:limit]
 
 
-_ORDERS = {
+_SORT_KEYS = {
     state.MergeKind.BY_SCORE: lambda record: (-record.score, record.key),
     state.MergeKind.BY_KEY: lambda record: record.key,
 }
--- a/samphiredock/coordination/search/_planner.py
+++ b/samphiredock/coordination/search/_planner.py
@@ -87,7 +87,7 @@
     if isinstance(found, result.Failure):
         return found
     search = found.unwrap()
-    problem = _problem_with(request, search, configuration.limits)
+    problem = _find_problem(request, search, configuration.limits)
     if problem:
         return _refused(protocol.NotRunReason.BAD_REQUEST, problem)
     chosen = _choose_snapshot(request, search, snapshot)
@@ -157,7 +157,7 @@
     return result.Success(snapshot)
 
 
-def _problem_with(
+def _find_problem(
     request: protocol.SearchRequest,
     search: state.Search,
     limits: state.Limits,
--- a/samphiredock/coordination/search/_scatter.py
+++ b/samphiredock/coordination/search/_scatter.py
@@ -139,8 +139,10 @@
         All are hedged at once, even if the targets seem overloaded, because
         the daemon's silence says nothing about the targets.
         """
-        attempts = [self._attempts.get(row) for row in attempt_ids]
-        silent = [row for row in attempts if row is not None]
+        attempts = [
+            self._attempts.get(attempt_id) for attempt_id in attempt_ids
+        ]
+        silent = [attempt for attempt in attempts if attempt is not None]
         if not self._finish_effect and self._plan.repeatable:
             for shard, candidates in self._hedges.take_silent(
                 silent, self._candidates_of
@@ -360,12 +362,12 @@
         shard: _scatter_round.ShardState,
         uses_budget: bool,
         now_ms: float,
-        is_its_turn: bool = False,
+        is_next_alone: bool = False,
     ) -> None:
         """Query another replica, unless an attempt on the shard is pending."""
         if self._finish_effect or shard.settled or shard.outstanding:
             return
-        if self._canary_gate.must_run_alone(shard) and not is_its_turn:
+        if self._canary_gate.must_run_alone(shard) and not is_next_alone:
             self._canary_gate.enqueue(shard)
             return
         candidates = self._candidates_of(shard)
@@ -379,7 +381,7 @@
             return
         self._arm_hedges(now_ms)
         self.tally.retries += bool(shard.tried)
-        if is_its_turn:
+        if is_next_alone:
             candidates = [self._canary_gate.choose_replica(candidates)]
         self._send_attempt(shard, now_ms, candidates)
 
@@ -455,7 +457,7 @@
             return True
         return (
             not self._snapshot_wait.may_restart()
-            and self._round.is_least_unreachable()
+            and self._round.is_least_coverage_unreachable()
         )
 
     def _may_run_alone(self, now_ms: float) -> bool:
--- a/samphiredock/coordination/search/_scatter_attempts.py
+++ b/samphiredock/coordination/search/_scatter_attempts.py
@@ -123,7 +123,9 @@
     ) -> list[_scatter_round.Attempt]:
         """Return the pending attempts of one shard."""
         return [
-            row for row in self._outstanding.values() if row.shard is shard
+            attempt
+            for attempt in self._outstanding.values()
+            if attempt.shard is shard
         ]
 
     def drop_losers(
--- a/samphiredock/coordination/search/_scatter_canary.py
+++ b/samphiredock/coordination/search/_scatter_canary.py
@@ -36,7 +36,7 @@
         self._canaries = 0
         self._held: list[_scatter_round.ShardState] = []
         self._queue: list[_scatter_round.ShardState] = []
-        self._lost: list[_scatter_round.ShardState] = []
+        self._shards_with_loss: list[_scatter_round.ShardState] = []
         self._queried_targets: set[str] = set()
 
     def begin(
@@ -47,7 +47,7 @@
         self._in_canary_phase = self._is_serial
         self._canaries = 0
         self._queue.clear()
-        self._lost.clear()
+        self._shards_with_loss.clear()
         if not self._in_canary_phase:
             return shards
         self._queried_targets.clear()
@@ -75,7 +75,7 @@
 
     def must_run_alone(self, shard: _scatter_round.ShardState) -> bool:
         """Return whether a shard may only be queried alone."""
-        return self._is_serial or shard in self._lost
+        return self._is_serial or shard in self._shards_with_loss
 
     def allows_hedges(self) -> bool:
         """Return whether two targets may run the content at the same time."""
@@ -97,10 +97,10 @@
         The shard is queued, to be queried alone.
         """
         self._is_suspect = True
-        if self._in_canary_phase or shard in self._lost:
+        if self._in_canary_phase or shard in self._shards_with_loss:
             self._is_serial = True
-        if shard not in self._lost:
-            self._lost.append(shard)
+        if shard not in self._shards_with_loss:
+            self._shards_with_loss.append(shard)
         self._queue.append(shard)
 
     def record_success(self, shard: _scatter_round.ShardState) -> bool:
@@ -110,9 +110,9 @@
         while another shard has a loss: it may crash only that shard's
         targets.
         """
-        if shard in self._lost:
-            self._lost.remove(shard)
-        if self._lost:
+        if shard in self._shards_with_loss:
+            self._shards_with_loss.remove(shard)
+        if self._shards_with_loss:
             return False
         self._is_suspect = False
         return True
@@ -125,10 +125,14 @@
         self._in_canary_phase = False
         self._is_serial = False
         free = self._held + [
-            shard for shard in self._queue if shard not in self._lost
+            shard
+            for shard in self._queue
+            if shard not in self._shards_with_loss
         ]
         self._held = []
-        self._queue = [shard for shard in self._queue if shard in self._lost]
+        self._queue = [
+            shard for shard in self._queue if shard in self._shards_with_loss
+        ]
         return free
 
     def mark_suspect(self) -> None:
--- a/samphiredock/coordination/search/_scatter_restart.py
+++ b/samphiredock/coordination/search/_scatter_restart.py
@@ -52,22 +52,22 @@
     def check(
         self,
         newest: state.Snapshot | None,
-        held: state.Snapshot,
+        current: state.Snapshot,
         index: str,
-        typical_ms: float,
+        median_ms: float,
         now_ms: float,
     ) -> state.Snapshot | None:
         """Return the snapshot to restart on; None if there is none in time.
 
-        ``typical_ms`` is the median latency: without that much time left a
+        ``median_ms`` is the median latency: without that much time left a
         restart would give no answer.
         """
         self._next_check_ms = now_ms + _POLL_MS
         if (
             newest is None
-            or newest.snapshot_id <= held.snapshot_id
+            or newest.snapshot_id <= current.snapshot_id
             or index not in newest.indexes
-            or self._deadline_at_ms - now_ms <= typical_ms
+            or self._deadline_at_ms - now_ms <= median_ms
         ):
             return None
         return newest
--- a/samphiredock/coordination/search/_scatter_round.py
+++ b/samphiredock/coordination/search/_scatter_round.py
@@ -134,19 +134,21 @@
         least = least_keys(self.plan.search.least_coverage)
         return self._answered_shards > 0 and self.covered_keys() >= least
 
-    def is_least_unreachable(self) -> bool:
+    def is_least_coverage_unreachable(self) -> bool:
         """Return whether the least coverage cannot be reached any more."""
         least = least_keys(self.plan.search.least_coverage)
         return state.KEY_SPACE_SIZE - self._uncovered_keys < least
 
     def accepted(self) -> tuple[protocol.SubAnswer, ...]:
         """Return the answers whose records may be merged."""
-        return tuple(row for shard in self.shards for row in shard.answers)
+        return tuple(
+            answer for shard in self.shards for answer in shard.answers
+        )
 
     def covered_ranges(self) -> list[protocol.KeyRange]:
         """Return the key ranges that the accepted answers searched."""
         return _merge.union_of(
-            row for shard in self.shards for row in shard.ranges
+            key_range for shard in self.shards for key_range in shard.ranges
         )
 
     def covered_keys(self) -> int:
--- a/tests/failure/test_one_snapshot.py
+++ b/tests/failure/test_one_snapshot.py
@@ -94,12 +94,12 @@
         """
         counters = metrics.Metrics('test')
         self.addCleanup(counters.close)
-        door = coordination.SnapshotValidator(counters)
+        validator = coordination.SnapshotValidator(counters)
         configuration = memory_searches.make_configuration(
             memory_searches.make_search()
         )
         old = memory_searches.make_snapshot(1)
-        self.assertIs(old, door.current(old, configuration))
+        self.assertIs(old, validator.current(old, configuration))
         shards = (
             memory_searches.make_snapshot(2)
             .indexes[memory_searches.INDEX]
@@ -122,12 +122,12 @@
             index = {memory_searches.INDEX: state.IndexSnapshot(2, rows)}
             offered = state.Snapshot(2, index)
             with self.subTest(name):
-                self.assertIs(old, door.current(offered, configuration))
+                self.assertIs(old, validator.current(offered, configuration))
         self.assertEqual(4, counters.total('snapshots_refused'))
         wider = memory_searches.make_configuration(
             memory_searches.make_search(), 100
         )
-        self.assertIs(offered, door.current(offered, wider))
+        self.assertIs(offered, validator.current(offered, wider))
 
 
 def _changed(shard: state.Shard, **changes: object) -> state.Shard:
--- a/tests/failure/test_quarantine.py
+++ b/tests/failure/test_quarantine.py
@@ -40,7 +40,7 @@
         self.assertIs(Reason.QUARANTINED, outcome.reason)
         self.assertGreater(outcome.retry_after_ms, 0)
 
-    async def test_two_targets_die_however_often_it_is_sent(self) -> None:
+    async def test_only_two_targets_crash(self) -> None:
         """After two crashes, further copies are refused at once.
 
         The copies are sent to every daemon ten times.
@@ -59,7 +59,7 @@
         self.assertEqual(before_ms, self.tier.clock.now_ms())
         self.assertEqual(2, len(self.tier.targets.dead))
 
-    async def test_copies_at_one_time(self) -> None:
+    async def test_copies_at_the_same_time(self) -> None:
         """Twenty copies at the same time crash no more than two targets.
 
         All canaries go to the same target, since its choice depends on the
@@ -86,7 +86,7 @@
         self.assertLessEqual(first, 8 + 2)
         self.assertEqual(first, len(self.tier.targets.dead))
 
-    async def test_harmless_contents_beside_it_are_answered(self) -> None:
+    async def test_harmless_contents_are_answered(self) -> None:
         """Harmless contents at the same targets are answered, not refused.
 
         Some run alone in the second slot of a target that crashes.
@@ -126,7 +126,7 @@
         quarantine.record_success('harmless')
         self.assertIsNone(quarantine.refusal('harmless'))
 
-    async def test_a_loss_beside_others_is_tried_again_alone(self) -> None:
+    async def test_content_lost_among_others_is_tried_alone(self) -> None:
         """A loss in an exchange with other contents is not counted.
 
         The shards are queried again alone, one at a time.
@@ -177,7 +177,7 @@
         await self.tier.move(1.0)
         self.assert_refused(first.refusal('suspect'))
 
-    async def test_store_tells_a_fresh_daemon(self) -> None:
+    async def test_fresh_daemon_reads_the_store(self) -> None:
         """A daemon that starts later reads the quarantine from the store.
 
         After a release, an older stored object must not bring it back.
--- a/tests/failure/test_truthful_coverage.py
+++ b/tests/failure/test_truthful_coverage.py
@@ -33,7 +33,7 @@
             desk.outcome.missing,
         )
 
-    def test_a_wider_claim_is_not_believed(self) -> None:
+    def test_a_wider_range_is_rejected(self) -> None:
         """A target's false range must not hide a shard that did not answer.
 
         One target states the whole key space; another shard has no target.
@@ -50,7 +50,7 @@
         self.assertEqual(0.75, desk.outcome.coverage)
         self.assertEqual(1, desk.scatter.tally.bad_answers)
 
-    def test_an_empty_answer_of_a_cold_target_is_asked_elsewhere(self) -> None:
+    def test_an_empty_answer_is_retried_elsewhere(self) -> None:
         """An answer of a target that has not loaded its shard is retried.
 
         It is well-formed, but has neither records nor ranges.
@@ -94,13 +94,13 @@
                 desk.tick(20.0)
                 continue
             item = rng.choice(list(desk.waiting.values()))
-            answer, truly = _faulty(desk, item, rng)
-            was_open = desk.outcome is None
+            answer, completed = _faulty(desk, item, rng)
+            was_pending = desk.outcome is None
             desk.give(answer)
             if rng.random() < 0.3:
                 desk.give(answer)
-            if was_open:
-                searched += truly
+            if was_pending:
+                searched += completed
         _check(self, desk.outcome, searched, least)
 
 
--- a/tests/failure/test_whole_answer.py
+++ b/tests/failure/test_whole_answer.py
@@ -39,7 +39,7 @@
         keys = [row.key for row in desk.outcome.records]
         self.assertEqual(['k-s0', 'k-s1', 'k-s2', 'k-s3'], sorted(keys))
 
-    def test_late_answer_of_a_given_up_attempt_is_dropped(self) -> None:
+    def test_late_answer_of_a_lost_dispatcher_is_dropped(self) -> None:
         """An answer of a dispatcher that was taken for lost is dropped.
 
         Its shards have been retried elsewhere by then.
@@ -63,17 +63,17 @@
         self.assertNotIn('late', [row.key for row in desk.outcome.records])
         self.assertEqual(len(held), desk.scatter.tally.late_answers)
 
-    def test_crossed_answers_are_dropped(self) -> None:
+    def test_answer_of_another_target_is_dropped(self) -> None:
         """An answer of another target must not settle an attempt.
 
         The attempt stays pending until its own answer arrives.
         """
         desk = search_desk.Desk()
         first, second = list(desk.waiting.values())[:2]
-        crossed = protocol.SubAnswer(
+        mismatched = protocol.SubAnswer(
             first.attempt_id, second.target, Status.ANSWERED, 1
         )
-        desk.take(desk.scatter.on_answers([crossed], 0.0))
+        desk.take(desk.scatter.on_answers([mismatched], 0.0))
         self.assertEqual(1, desk.scatter.tally.mismatched_answers)
         desk.give_rest()
         self.assertIsInstance(desk.outcome, protocol.Answered)
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -60,11 +60,11 @@
         waits = []
         for gap_ms in (100.0, 1_000.0):
             for _ in range(200):
-                self.admission._enter('desk')
+                self.admission._acquire('desk')
                 self.clock.advance(gap_ms)
                 self.admission.release('desk')
             for _ in range(10):
-                self.admission._enter('field')
+                self.admission._acquire('field')
             self.assertIs(Reason.OVERLOADED, self.admit(self.desk))
             waits.append(self.refusal.retry_after_ms)
             for _ in range(10):
--- a/tests/unit/test_curve.py
+++ b/tests/unit/test_curve.py
@@ -29,7 +29,7 @@
         pairs = [zmq.curve_keypair() for _ in range(3)]
         self.pairs = [(a.decode(), b.decode()) for a, b in pairs]
         self.admitted = {'a': self.pairs[0][0], 'b': self.pairs[1][0]}
-        self.heard: list[tuple[str, int]] = []
+        self.received: list[tuple[str, int]] = []
 
     def _hub(
         self, name: str, pair: tuple[str, str] | None
@@ -43,7 +43,7 @@
         self.addCleanup(hub.close)
         hub.subscribe(
             Hello,
-            lambda sender, hello: self.heard.append((sender, hello.number)),
+            lambda sender, hello: self.received.append((sender, hello.number)),
         )
         return hub, counters, address
 
@@ -54,7 +54,7 @@
             await asyncio.sleep(_POLL_S)
         self.fail('the awaited event did not come')
 
-    async def test_admitted_keys_are_heard_and_a_stranger_is_not(
+    async def test_only_admitted_keys_are_accepted(
         self,
     ) -> None:
         """A connection with a key that is not admitted is refused.
@@ -63,16 +63,16 @@
         """
         first, counters, address = self._hub('a', self.pairs[0])
         second, _, second_address = self._hub('b', self.pairs[1])
-        stranger, _, _ = self._hub('c', self.pairs[2])
-        stranger.set_address('a', address)
-        self.assertTrue(stranger.send('a', Hello(666)))
+        outsider, _, _ = self._hub('c', self.pairs[2])
+        outsider.set_address('a', address)
+        self.assertTrue(outsider.send('a', Hello(666)))
         await self._until(lambda: counters.total('peer_connections_refused'))
         first.set_address('b', second_address)
         second.set_address('a', address)
         second.send('a', Hello(1))
         first.send('b', Hello(2))
-        await self._until(lambda: len(self.heard) == 2)
-        self.assertEqual({('b', 1), ('a', 2)}, set(self.heard))
+        await self._until(lambda: len(self.received) == 2)
+        self.assertEqual({('b', 1), ('a', 2)}, set(self.received))
 
     async def test_nothing_is_sent_in_the_clear(self) -> None:
         """A message to a peer whose key is unknown is dropped."""
@@ -81,26 +81,26 @@
         first.set_address('c', address)
         first.send('c', Hello(1))
         await self._until(lambda: counters.total('peer_messages_dropped'))
-        self.assertEqual([], self.heard)
+        self.assertEqual([], self.received)
 
-    async def test_a_member_cannot_speak_for_another(self) -> None:
+    async def test_sender_name_must_match_the_key(self) -> None:
         """A message whose sender name does not match the key is dropped.
 
         Otherwise a member could report for the holder of a claim that its
         request was never sent, and have the request run a second time.
         """
         _, counters, address = self._hub('a', self.pairs[0])
-        liar, _, _ = self._hub('a', self.pairs[1])
+        impostor, _, _ = self._hub('a', self.pairs[1])
         second, _, _ = self._hub('b', self.pairs[1])
-        for hub, number in ((liar, 666), (second, 1)):
+        for hub, number in ((impostor, 666), (second, 1)):
             hub.set_address('x', address)
             hub._keys.admitted['x'] = self.pairs[0][0]
             hub.send('x', Hello(number))
         await self._until(lambda: counters.total('peer_senders_refused'))
-        await self._until(lambda: self.heard)
-        self.assertEqual([('b', 1)], self.heard)
+        await self._until(lambda: self.received)
+        self.assertEqual([('b', 1)], self.received)
 
-    async def test_a_plain_peer_is_not_heard(self) -> None:
+    async def test_peer_without_keys_is_ignored(self) -> None:
         """A member with keys receives nothing from a peer without keys."""
         _, counters, address = self._hub('a', self.pairs[0])
         second, _, _ = self._hub('b', self.pairs[1])
@@ -109,5 +109,5 @@
         plain.send('a', Hello(666))
         second.set_address('a', address)
         second.send('a', Hello(1))
-        await self._until(lambda: self.heard)
-        self.assertEqual([('b', 1)], self.heard)
+        await self._until(lambda: self.received)
+        self.assertEqual([('b', 1)], self.received)
--- a/tests/unit/test_fuzz_requests.py
+++ b/tests/unit/test_fuzz_requests.py
@@ -131,9 +131,11 @@
         self.codec = protocol.Codec(_parts.PEER_MESSAGES)
         self.hub = self.loop.run_until_complete(self._make())
         self.addCleanup(self.hub.close)
-        self.heard: list[object] = []
+        self.received: list[object] = []
         for kind in _parts.PEER_MESSAGES:
-            self.hub.subscribe(kind, lambda _, each: self.heard.append(each))
+            self.hub.subscribe(
+                kind, lambda _, each: self.received.append(each)
+            )
 
     async def _make(self) -> transport.PeerHub:
         (port,) = cluster.free_ports(1)
@@ -147,12 +149,12 @@
     ) -> None:
         """Each message is either delivered or counted, never both."""
         before = self.counters.total('peer_messages_unreadable')
-        self.heard.clear()
+        self.received.clear()
         self.hub._read(frames)
         counted = self.counters.total('peer_messages_unreadable') - before
         whole = len(frames) >= 3 and len(frames) % 2 == 1
         messages = len(frames) // 2 if whole else 1
-        self.assertEqual(messages, counted + len(self.heard))
+        self.assertEqual(messages, counted + len(self.received))
 
     @_SETTINGS
     @hypothesis.given(
--- a/tests/unit/test_suspects.py
+++ b/tests/unit/test_suspects.py
@@ -25,7 +25,7 @@
         ]
         self.assertEqual(list(contents), found)
 
-    def test_site_that_fails_makes_no_suspects(self) -> None:
+    def test_outage_makes_no_suspects(self) -> None:
         """An outage of three targets makes no content a suspect.
 
         Otherwise harmless contents would be refused at all daemons.
@@ -41,7 +41,7 @@
             self.lose(content, f't{number}', number * 2_000.0)
         self.assert_suspects('a', 'b', 'c')
 
-    def test_one_content_that_lost_two_is_not_forgiven(self) -> None:
+    def test_content_with_two_losses_stays_a_suspect(self) -> None:
         """An outage at the same time does not clear a content that crashes."""
         self.lose('poison', 't1', 0.0)
         self.lose('poison', 't2', 10.0)
