--- a/samphiredock/coordination/quarantine/_crash_tracker.py
+++ b/samphiredock/coordination/quarantine/_crash_tracker.py
@@ -57,7 +57,7 @@
 
 
 class QuarantineCrashTracker:
-    """Implements :class:`CrashTracker` by the quarantine.
+    """Implements :class:`CrashTracker` with the daemon's quarantine.
 
     It also remembers the contents that succeeded recently.
     """
--- a/samphiredock/coordination/quarantine/_quarantine.py
+++ b/samphiredock/coordination/quarantine/_quarantine.py
@@ -95,8 +95,8 @@
             self._metrics.add('suspect_refusals')
             return protocol.NotRun(
                 protocol.NotRunReason.QUARANTINED,
-                'this request may have crashed a target, and another copy is '
-                'being tried alone',
+                'this request may have crashed a target, and an identical '
+                'one is being tried alone',
                 max(_MIN_RETRY_MS, int(suspect.trial_until_ms - now_ms)),
             )
         return None
@@ -105,8 +105,8 @@
         """Return how to run a content that :meth:`refusal` did not refuse.
 
         For a suspect this starts a trial of ``trial_ms``: until it ends,
-        all daemons that are notified refuse further copies, so that copies
-        of one content crash one target at a time.
+        all daemons that are notified refuse further requests with this
+        content, so that it crashes one target at a time.
         """
         now_ms = self._clock.now_ms()
         suspect = self._suspects.get(fingerprint, now_ms)
@@ -285,7 +285,7 @@
         )
 
     def _publish(self, fingerprint: str) -> None:
-        """Publish a quarantine that was not withdrawn, and store it."""
+        """Publish and store a quarantine unless it was withdrawn meanwhile."""
         entry = self._suspects.entry_of(
             fingerprint, self._clock.now_ms(), self._clock.wall_ms()
         )
--- a/samphiredock/coordination/quarantine/_suspects.py
+++ b/samphiredock/coordination/quarantine/_suspects.py
@@ -8,7 +8,9 @@
 from samphiredock import protocol
 
 QUARANTINE_MS = 600_000
-TRIAL_MS = 1_000.0  # other copies are refused for so long after a loss
+
+# After a loss, further requests with the content are refused for this time.
+TRIAL_MS = 1_000.0
 
 _SUSPECT_TTL_MS = 600_000.0
 
@@ -38,8 +40,8 @@
 
     ``losses`` has the lost targets, and ``entry`` the quarantine, if there
     is one.  ``is_published`` marks a quarantine that came from the store or
-    another daemon; it is not withdrawn.  Until ``trial_until_ms`` a copy of
-    the content is being tried alone.
+    another daemon; it is not withdrawn.  Until ``trial_until_ms`` a request
+    with the content is being tried alone.
     """
 
     fingerprint: str
@@ -60,8 +62,8 @@
 class Suspects:
     """Suspects by the fingerprint of their content.
 
-    A crash may hit two contents that each run alone in an exchange, in two
-    slots of the same target.  The loss is then uncertain for both: both
+    A crash may hit two contents that each run alone in an HTTP exchange, in
+    two slots of the same target.  The loss is then uncertain for both: both
     become suspects, and a content is quarantined only after a loss for which
     it is the only explanation.  The harmless one is cleared by its next run.
 
@@ -74,7 +76,9 @@
     def __init__(self, quarantine_ms: int = QUARANTINE_MS) -> None:
         self._quarantine_ms = quarantine_ms
         self._suspects: dict[str, Suspect] = {}
+        # Time and fingerprint.
         self._losses_by_target: dict[str, list[tuple[float, str]]] = {}
+        # Time, fingerprint and target.
         self._recent_losses: list[tuple[float, str, str]] = []
 
     def get(self, fingerprint: str, now_ms: float) -> Suspect | None:
@@ -202,7 +206,8 @@
 
     def _update_entry(self, suspect: Suspect, wall_ms: int) -> None:
         if not suspect.should_quarantine():
-            # A loss that has just become uncertain withdraws a quarantine.
+            # A quarantine set here before is withdrawn if a loss that it was
+            # based on has become uncertain.
             if not suspect.is_published:
                 suspect.entry = None
             return
--- a/samphiredock/coordination/search/_admission.py
+++ b/samphiredock/coordination/search/_admission.py
@@ -13,7 +13,7 @@
 # reserved for interactive requests.
 _CLASS_SHARE = {'interactive': 1.0, 'batch': 0.8}
 
-_RATE_WINDOW = 200
+_RATE_WINDOW = 200  # ended requests from which the drain rate is computed
 _DRAIN_SHARE = 0.1
 _MIN_RETRY_MS = 50
 _MAX_RETRY_MS = 5_000
@@ -54,7 +54,8 @@
         deadline_ms
             The time that the caller allows.
         fastest_ms
-            The latency of the fastest such requests, 0 if not known.
+            A low quantile of the latency that a request like this one has
+            here, 0 if not known; hardly any would meet a shorter deadline.
 
         Returns
         -------
@@ -95,7 +96,7 @@
         """Admit an unrepeatable request, or return why it is refused.
 
         A request of an unknown service or operation is admitted and
-        counted; the runner refuses it with its own reason.
+        counted; :class:`Runner` refuses it with the exact reason.
         """
         service = configuration.services.get(request.service)
         operation = service and service.operations.get(request.operation)
--- a/samphiredock/coordination/search/_coordinator.py
+++ b/samphiredock/coordination/search/_coordinator.py
@@ -116,7 +116,7 @@
         return len(self._searches)
 
     def on_member_lost(self, member: str) -> None:
-        """Retry the attempts of a lost dispatcher elsewhere."""
+        """Send the attempts of a lost daemon to other replicas."""
         now_ms = self._clock.now_ms()
         for search in list(self._searches.values()):
             effects = search.scatter.on_member_lost(member, now_ms)
@@ -187,7 +187,11 @@
     async def _run_plan(
         self, plan: _planner.Plan, limits: state.Limits
     ) -> protocol.SearchOutcome:
-        """Run the search, with a canary if its content is new or a suspect."""
+        """Run a search with the precautions that its request content needs.
+
+        They are a canary, unless the content succeeded recently, and one
+        attempt at a time while the content is a suspect.
+        """
         fingerprint = plan.fingerprint
         canary = plan.search.canary and not self._crash_tracker.is_known(
             fingerprint
--- a/samphiredock/coordination/search/_hedging.py
+++ b/samphiredock/coordination/search/_hedging.py
@@ -1,4 +1,8 @@
-"""Latency quantiles for hedge delays, and detection of overload."""
+"""Latency quantiles for hedge delays, and detection of overload.
+
+A merge order, or order for short, asks another daemon to query several
+targets and to report their results merged; its attempts are called ordered.
+"""
 
 import collections
 
@@ -18,8 +22,8 @@
 
 GATHER_FACTOR = 1.3
 """For how many hedge delays a daemon gathers the results of an order before
-it reports them merged.  Most are in by then; each later one is reported by
-itself."""
+it reports them merged.  Most have arrived by then; each later one is reported
+by itself."""
 
 ORDER_SLACK_MS = 20.0
 """How long after the end of gathering an ordered attempt counts as late, if
@@ -34,7 +38,7 @@
 
 
 def gather_ms(hedge_delay_ms: float) -> float:
-    """Return for how long the results of an order are gathered."""
+    """Return for how many ms a daemon gathers the results of an order."""
     return hedge_delay_ms * GATHER_FACTOR
 
 
@@ -82,7 +86,7 @@
     """Latencies of attempts by index, as this daemon observes them.
 
     They include the time in the dispatcher's queue, because a hedge helps
-    whatever delays an answer.  Samples are kept by index, since a single
+    against that delay as well.  Samples are kept by index, since a single
     shard has too few for a tail quantile.
     """
 
@@ -117,7 +121,7 @@
         self._stats[index].record_overload_sign(weight)
 
     def is_overloaded(self, index: str) -> bool:
-        """Return whether the index is overloaded, so that hedges add load."""
+        """Return whether the index is overloaded, so that hedges do harm."""
         return self._stats[index].is_overloaded()
 
     def hedge_delay_ms(
--- a/samphiredock/coordination/search/_planner.py
+++ b/samphiredock/coordination/search/_planner.py
@@ -37,8 +37,9 @@
         The hedge delay while no latencies are known; None for a share of
         the search's deadline.
     uses_orders
-        A dispatcher other than the target itself is a daemon that queries
-        the target for this search and merges the answers.
+        Whether attempts are sent as merge orders, unless this daemon queries
+        the target itself.  A merge order asks another daemon to query
+        targets and to merge their answers.
     """
 
     query_id: str
@@ -162,6 +163,7 @@
     search: state.Search,
     limits: state.Limits,
 ) -> str:
+    """Return what is wrong with the request, an empty text if nothing."""
     if request.deadline_ms is not None and not (
         0 < request.deadline_ms <= limits.deadline_limit_ms
     ):
--- a/samphiredock/coordination/search/_scatter.py
+++ b/samphiredock/coordination/search/_scatter.py
@@ -18,8 +18,8 @@
 from samphiredock import state
 
 
-# The pause before a content that lost a target runs again: losses that other
-# daemons had with copies of it are reported here in the meantime.
+# The pause before a request content runs again after the loss of a target.
+# Other daemons may run the same content, and report their losses meanwhile.
 _LOSS_PAUSE_MS = 20.0
 
 
@@ -62,6 +62,7 @@
         self._attempts = _scatter_attempts.Attempts(
             plan.query_id, self._index, context
         )
+        # Status of attempts without an answer: the longest retry_after_ms.
         self._seen_statuses: dict[_Status, int] = {}
         self._may_have_begun = False
         self._finish_effect: _scatter_types.Finish | None = None
@@ -101,7 +102,7 @@
             if attempt is None:
                 self.tally.late_answers += 1
             elif answer.target != attempt.item.target:
-                # Answers another attempt; the one to this may still come.
+                # It answers another attempt, so this one stays pending.
                 self.tally.mismatched_answers += 1
             else:
                 self._on_answer(attempt, answer, now_ms)
@@ -122,7 +123,7 @@
     def on_late(
         self, attempt_ids: typing.Iterable[str], now_ms: float
     ) -> list[_scatter_types.Effect]:
-        """Hedge attempts that the daemon with their order reports as late."""
+        """Hedge ordered attempts that their daemon reports as late."""
         for attempt_id in attempt_ids:
             attempt = self._attempts.get(attempt_id)
             if attempt is not None:
@@ -134,7 +135,7 @@
     def on_silent(
         self, attempt_ids: typing.Iterable[str], now_ms: float
     ) -> list[_scatter_types.Effect]:
-        """Hedge the attempts of a daemon that has not reported on its order.
+        """Hedge the attempts of a daemon that is silent about its order.
 
         All are hedged at once, even if the targets seem overloaded, because
         the daemon's silence says nothing about the targets.
@@ -153,7 +154,7 @@
     def on_member_lost(
         self, member: str, now_ms: float
     ) -> list[_scatter_types.Effect]:
-        """Retry the attempts of a lost dispatcher elsewhere."""
+        """Send the attempts of a lost dispatcher to other replicas."""
         for attempt in self._attempts.outstanding():
             if attempt.dispatcher == member and not self._finish_effect:
                 self._attempts.remove(attempt, None)
@@ -203,7 +204,7 @@
         return due_ms
 
     def gather_ms(self) -> float:
-        """Return for how many ms the results of an order are gathered."""
+        """Return for how many ms a daemon gathers the results of an order."""
         return self._hedges.gather_ms()
 
     # Attempts.
@@ -345,7 +346,11 @@
             self._retry(shard, False, now_ms)
 
     def _run_next_alone(self, now_ms: float) -> None:
-        """Query one shard alone, or end that if the content was judged."""
+        """Query the next shard alone, unless that is no longer needed.
+
+        If the content is quarantined by now, the search ends.  If enough
+        canaries were sent, the held shards are queried.
+        """
         if self._context.crash_tracker.is_suspect(self._plan.fingerprint):
             self._canary_gate.mark_suspect()
         if self._context.crash_tracker.is_quarantined(self._plan.fingerprint):
@@ -364,7 +369,11 @@
         now_ms: float,
         is_next_alone: bool = False,
     ) -> None:
-        """Query another replica, unless an attempt on the shard is pending."""
+        """Query another replica, unless an attempt on the shard is pending.
+
+        A shard that must run alone is queued instead, unless
+        ``is_next_alone`` says that it was taken from the queue.
+        """
         if self._finish_effect or shard.settled or shard.outstanding:
             return
         if self._canary_gate.must_run_alone(shard) and not is_next_alone:
--- a/samphiredock/coordination/search/_scatter_attempts.py
+++ b/samphiredock/coordination/search/_scatter_attempts.py
@@ -12,7 +12,7 @@
 
 
 class Attempts:
-    """Pending attempts by id, and the messages to send about them."""
+    """Pending attempts by id, and the effects that send or cancel them."""
 
     def __init__(
         self, query_id: str, index: str, context: _scatter_types.ScatterContext
--- a/samphiredock/coordination/search/_scatter_canary.py
+++ b/samphiredock/coordination/search/_scatter_canary.py
@@ -12,10 +12,11 @@
 class CanaryGate:
     """Holds shards back while the request content may crash its targets.
 
-    A canary is a shard that is queried alone: in an exchange of its own,
-    while the other shards are held.  The order in which shards and replicas
-    are queried alone depends only on the content, so that copies of it at
-    several daemons crash the same targets instead of one per daemon.
+    A canary is a shard that is queried alone: no other request is in the same
+    HTTP exchange with its target, and the other shards are held.  The order
+    in which shards and replicas are queried alone depends only on the
+    content, so that copies of it at several daemons crash the same targets
+    instead of one per daemon.
 
     Parameters
     ----------
@@ -42,7 +43,10 @@
     def begin(
         self, shards: list[_scatter_round.ShardState]
     ) -> list[_scatter_round.ShardState]:
-        """Begin a round; return the shards to query now, all or none."""
+        """Begin a round and return the shards to query now.
+
+        These are all shards, or none if they must be queried alone.
+        """
         self._is_serial = self._is_serial or self._is_suspect
         self._in_canary_phase = self._is_serial
         self._canaries = 0
--- a/samphiredock/coordination/search/_scatter_hedges.py
+++ b/samphiredock/coordination/search/_scatter_hedges.py
@@ -17,17 +17,17 @@
 
 MAX_HEDGE_REFUSALS = 4
 HEDGE_REFUSAL_PAUSE_MS = 8.0
-"""How often a shard's hedge may find no idle slot, and the pause after each
-refusal; slots free up within a service time of tens of ms."""
+"""How often the hedge of a shard may be refused because no slot is idle, and
+the pause after each refusal; a slot becomes idle within tens of ms."""
 
 HEDGE_BATCH_SHARE = 0.2
 MIN_HEDGE_BATCH = 2
 HEDGE_BATCH_INTERVAL_SHARE = 0.25
 """Shards that are overdue at the same time are hedged in batches: at most
 this share of all shards, and the next batch after a share of the hedge delay.
-Many are overdue at once mostly because of this daemon or a load on every
-target; hedging them all would double that load, and most are answered before
-their batch.  A site that is silent is still hedged within two delays."""
+Many are overdue at once mostly because this daemon or every target is busy;
+hedging them all would double the load, and most are answered before their
+batch.  If a whole site is silent, all its shards are hedged in two delays."""
 
 CandidatesOf = typing.Callable[[_scatter_round.ShardState], list[str]]
 
@@ -70,12 +70,12 @@
             return latencies.hedge_delay_ms(
                 self._index, self._quantile, self._initial_delay_ms
             )
-        # Hedges after a fixed delay add to an overload as any others.
+        # Under overload, hedges after a fixed delay are suspended too.
         overloaded = latencies.is_overloaded(self._index)
         return None if overloaded else self._fixed_ms
 
     def gather_ms(self) -> float:
-        """Return for how many ms the results of an order are gathered."""
+        """Return for how many ms a daemon gathers the results of an order."""
         return _hedging.gather_ms(self._delay_ms() or self._initial_delay_ms)
 
     def arm(self, now_ms: float) -> None:
--- a/samphiredock/coordination/search/_scatter_restart.py
+++ b/samphiredock/coordination/search/_scatter_restart.py
@@ -10,12 +10,12 @@
 
 
 class SnapshotWait:
-    """Waits for a newer snapshot, because a shard lacks the current one.
+    """Waits for a newer snapshot when replicas have dropped the search's own.
 
-    If no replica of a shard has the snapshot any more, the targets are ahead
-    of this daemon, which will soon learn of a newer one.  The wait lasts for
-    a share of the time left, so that the answers at the old snapshot can
-    still be returned in time.
+    If no replica of a shard has the search's snapshot any more, the targets
+    are ahead of this daemon, which will soon learn of a newer one.  The wait
+    lasts for a share of the time left, so that the answers at the old
+    snapshot can still be returned in time.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         return self._next_check_ms
 
     def begin(self, now_ms: float) -> None:
-        """Start to wait for a newer snapshot, unless that is under way."""
+        """Start to wait for a newer snapshot, unless the wait is active."""
         if not self.is_active():
             left_ms = self._deadline_at_ms - now_ms
             self._until_ms = now_ms + left_ms * _WAIT_SHARE
--- a/samphiredock/coordination/search/_scatter_results.py
+++ b/samphiredock/coordination/search/_scatter_results.py
@@ -16,11 +16,15 @@
 
     ``WHOLE`` and ``PART``: accepted, and the shard's key range is now
     searched entirely or in part.  ``EMPTY``: no range was searched.
-    ``BAD``: the answer contradicts the sub-query.  ``LOST``: the target was
-    lost while it ran the attempt.  ``GONE``: the target no longer has the
-    snapshot.  ``BUSY``: the attempt was not taken, since no slot was idle or
-    its order was not accepted.  ``TRANSIENT``: the same target may accept
-    it later.  ``UNKNOWN``: the target may have run it.
+    ``WRONG_SNAPSHOT``: the answer is of another snapshot.  ``BAD``: the
+    answer contradicts the sub-query.  ``FAILED``: the exchange broke off or
+    got no response.  ``LOST``: the target was lost while it ran the attempt.
+    ``GONE``: the target no longer has the snapshot.  ``BUSY``: the attempt
+    was not taken, since no slot was idle or its order was not accepted.
+    ``TRANSIENT``: the same target may accept it later.  ``REFUSED``: the
+    target drains, or the attempt expired or was cancelled.
+    ``QUARANTINED``: the request content is refused.  ``UNKNOWN``: the target
+    may have run it.
     """
 
     WHOLE = 'whole'
@@ -79,7 +83,7 @@
         uses_budget=False, retry_after_pause=True
     ),
     AttemptResult.REFUSED: RetryRule(uses_budget=False),
-    # No fault of the target, which may have run it.
+    # The target may have run it, but is not at fault.
     AttemptResult.UNKNOWN: RetryRule(),
 }
 
--- a/samphiredock/coordination/search/_scatter_round.py
+++ b/samphiredock/coordination/search/_scatter_round.py
@@ -26,9 +26,9 @@
 class Attempt:
     """A pending sub-query to one target.
 
-    ``alone`` says that it runs in an exchange of its own.  ``is_ordered``
-    says that another daemon queries the target, and has not reported the
-    attempt as late.
+    ``alone`` says that no other request is in the same HTTP exchange with
+    the target.  ``is_ordered`` says that another daemon queries the target by
+    a merge order, and has not reported the attempt as late.
     """
 
     shard: 'ShardState'
@@ -57,13 +57,15 @@
     outstanding
         How many attempts are pending.
     passes
-        How many times the replicas were candidates, including now.
+        How many passes over the replicas have begun; another one begins when
+        replicas that refused become candidates again.
     pause_ms
         The longest pause that a refusing replica asked for.
     retry_at_ms
         When to query the retryable replicas, 0 if no pause is running.
     hedged
-        Whether no further hedge is wanted.
+        Whether no hedge may be sent: one was sent already, or the budget
+        denied it.
     hedge_refusals, next_hedge_ms
         How many hedges found no idle slot, and when the next may be sent.
     snapshot_gone
--- a/samphiredock/coordination/search/_scatter_types.py
+++ b/samphiredock/coordination/search/_scatter_types.py
@@ -21,7 +21,7 @@
     def record_first_attempts(
         self, shards: typing.Sequence[str], share: float
     ) -> None:
-        """Add to the budget for the first attempt of each shard."""
+        """Add ``share`` of an attempt to the budget for each of the shards."""
 
     def spend_hedge(self, shard: str = '') -> bool:
         """Charge a hedge; False if the budget does not allow it."""
@@ -74,7 +74,8 @@
     """Send these sub-queries to one dispatcher.
 
     ``dispatcher`` is None if no daemon is known to own the targets.  With
-    ``alone`` each sub-query goes to its target in an exchange of its own.
+    ``alone`` each sub-query goes to its target without any other request in
+    the same HTTP exchange.
     """
 
     dispatcher: str | None
--- a/tests/failure/test_quarantine.py
+++ b/tests/failure/test_quarantine.py
@@ -48,7 +48,7 @@
         started_ms = self.tier.clock.now_ms()
         (first,) = await self.ask('d0', _POISON)
         self.assertIsInstance(first, protocol.Unknown)
-        # Two service times and one pause: no wait after the quarantine.
+        # Two service times and the pause between them, but no other wait.
         took_ms = self.tier.clock.now_ms() - started_ms
         self.assertLess(took_ms, 2 * memory_searches.SERVICE_MS + 30.0)
         await self.tier.move(1.0)
--- a/tests/unit/test_curve.py
+++ b/tests/unit/test_curve.py
@@ -52,7 +52,7 @@
             if condition():
                 return
             await asyncio.sleep(_POLL_S)
-        self.fail('the awaited event did not come')
+        self.fail(f'condition still false after {_POLLS * _POLL_S} s')
 
     async def test_only_admitted_keys_are_accepted(
         self,
--- a/tests/unit/test_suspects.py
+++ b/tests/unit/test_suspects.py
@@ -37,6 +37,7 @@
         self.assert_suspects()
 
     def test_losses_far_apart_are_no_outage(self) -> None:
+        """Separate crashes must not be cleared as one outage."""
         for number, content in enumerate('abc'):
             self.lose(content, f't{number}', number * 2_000.0)
         self.assert_suspects('a', 'b', 'c')
@@ -50,6 +51,7 @@
         self.assertTrue(self.suspects.get('poison', 30.0).should_quarantine())
 
     def test_one_content_alone_is_never_an_outage(self) -> None:
+        """A content that crashes target after target must be quarantined."""
         for number in range(4):
             self.lose('poison', f't{number}', 10.0 * number)
         self.assertTrue(self.suspects.get('poison', 50.0).should_quarantine())
