--- a/tests/failure/test_hedging.py
+++ b/tests/failure/test_hedging.py
@@ -30,7 +30,7 @@
         self.desk = _trained_desk()
         self.late, *others = self.desk.waiting.values()
         self.desk.now_ms = 5.0
-        self.desk.give(*[self.desk.good(row) for row in others])
+        self.desk.give(*[self.desk.good(item) for item in others])
 
     def test_one_hedge_elsewhere_and_the_loser_is_cancelled(self) -> None:
         """One hedge goes to the other replica, and the loser is cancelled."""
@@ -53,7 +53,7 @@
         self.desk.limits = state.Limits(hedge_after_ms=50.0)
         self.desk.begin()
         others = list(self.desk.waiting.values())[1:]
-        self.desk.give(*[self.desk.good(row) for row in others])
+        self.desk.give(*[self.desk.good(item) for item in others])
         self.assertEqual([], self.desk.tick(40.0))
         self.assertEqual(1, len(self.desk.tick(10.0)))
 
@@ -69,8 +69,8 @@
             self.desk.context.budget.deposit(100, 1.0)
             self.desk.begin()
             first = {
-                row.shard_id: self.desk.owner(row.target)
-                for row in self.desk.waiting.values()
+                item.shard_id: self.desk.owner(item.target)
+                for item in self.desk.waiting.values()
             }
             hedges = self.desk.tick(100.0)
             self.assertEqual(4, len(hedges))
@@ -95,7 +95,9 @@
         latencies = self.desk.context.latencies
         self.desk.tick(50.0)
         for number in range(4):
-            (hedge,) = [row for row in self.desk.waiting.values() if row.hedge]
+            (hedge,) = [
+                item for item in self.desk.waiting.values() if item.hedge
+            ]
             before = latencies.is_overloaded(memory_searches.INDEX)
             self.desk.give(self.desk.failed(hedge, Status.NO_IDLE_SLOT))
             self.assertEqual([], self.desk.tick(1.0))
@@ -147,7 +149,7 @@
             self.desk.begin()
             others = list(self.desk.waiting.values())[1:]
             self.desk.now_ms += 5.0
-            self.desk.give(*[self.desk.good(row) for row in others])
+            self.desk.give(*[self.desk.good(item) for item in others])
             due_ms = self.desk.scatter.next_due_ms()
             (hedge,) = self.desk.tick(due_ms - self.desk.now_ms)
             self.desk.give(self.desk.good(hedge))
@@ -178,7 +180,7 @@
         hedges = desk.tick(40.0)
         self.assertEqual(
             {canary.shard_id, rest[0].shard_id},
-            {row.shard_id for row in hedges if row.hedge},
+            {item.shard_id for item in hedges if item.hedge},
         )
 
 
@@ -197,9 +199,9 @@
         desk.give(desk.good(second))
         desk.tick(0.5 * desk.search.deadline_ms)
         answered = [
-            desk.good(row)
-            for row in desk.waiting.values()
-            if row.attempt_id != lost.attempt_id
+            desk.good(item)
+            for item in desk.waiting.values()
+            if item.attempt_id != lost.attempt_id
         ]
         desk.give(*answered)
         self.assertIsInstance(desk.outcome, protocol.Answered)
@@ -215,8 +217,10 @@
         for _ in range(400):
             desk.begin()
             while desk.outcome is None:
-                rows = list(desk.waiting.values())
-                desk.give(*[desk.failed(r, Status.BROKEN) for r in rows])
+                items = list(desk.waiting.values())
+                desk.give(
+                    *[desk.failed(item, Status.BROKEN) for item in items]
+                )
             sent += desk.scatter.tally.sub_queries_sent
             needed += desk.scatter.tally.sub_queries_needed
         share = desk.limits.hedge_budget
--- a/tests/failure/test_one_snapshot.py
+++ b/tests/failure/test_one_snapshot.py
@@ -30,7 +30,9 @@
         desk.give_rest()
         self.assertIsInstance(desk.outcome, protocol.Answered)
         self.assertEqual(1, desk.outcome.snapshot_id)
-        self.assertNotIn('new', [row.key for row in desk.outcome.records])
+        self.assertNotIn(
+            'new', [record.key for record in desk.outcome.records]
+        )
         self.assertEqual(1, desk.scatter.tally.wrong_snapshot_answers)
 
     def test_gone_everywhere_restarts_whole_on_the_newer(self) -> None:
@@ -41,15 +43,15 @@
         """
         desk = search_desk.Desk()
         first, *others = desk.waiting.values()
-        desk.give(*[desk.good(row) for row in others])
+        desk.give(*[desk.good(item) for item in others])
         (second,) = desk.give(desk.failed(first, Status.SNAPSHOT_GONE))
         desk.give(desk.failed(second, Status.SNAPSHOT_GONE))
         self.assertIsNone(desk.outcome)
         desk.snapshot = memory_searches.make_snapshot(2, 6)
         again = desk.tick(10.0)
         self.assertEqual(6, len(again))
-        self.assertEqual({2}, {row.snapshot_id for row in again})
-        self.assertEqual(6, len({row.shard_id for row in again}))
+        self.assertEqual({2}, {item.snapshot_id for item in again})
+        self.assertEqual(6, len({item.shard_id for item in again}))
         desk.give_rest()
         self.assertIsInstance(desk.outcome, protocol.Answered)
         self.assertEqual(2, desk.outcome.snapshot_id)
@@ -61,7 +63,7 @@
         """
         desk = search_desk.Desk()
         first, *others = desk.waiting.values()
-        desk.give(*[desk.good(row) for row in others])
+        desk.give(*[desk.good(item) for item in others])
         (second,) = desk.give(desk.failed(first, Status.SNAPSHOT_GONE))
         desk.give(desk.failed(second, Status.SNAPSHOT_GONE))
         desk.tick(79.0)
@@ -78,9 +80,11 @@
         for _ in range(10):
             newer = desk.scatter.tally.search_restarts + 2
             desk.snapshot = memory_searches.make_snapshot(newer)
-            rows = list(desk.waiting.values())
-            sent += len(rows)
-            desk.give(*[desk.failed(r, Status.SNAPSHOT_GONE) for r in rows])
+            items = list(desk.waiting.values())
+            sent += len(items)
+            desk.give(
+                *[desk.failed(item, Status.SNAPSHOT_GONE) for item in items]
+            )
         self.assertEqual(2, desk.scatter.tally.search_restarts)
         self.assertLessEqual(sent, 3 * 4 * 2)
         self.assertIsInstance(desk.outcome, protocol.NotRun)
@@ -118,8 +122,10 @@
             'none': [_changed(first, replicas=[]), second, *rest],
             'unknown': [_changed(first, replicas=['t99']), second, *rest],
         }
-        for name, rows in broken.items():
-            index = {memory_searches.INDEX: state.IndexSnapshot(2, rows)}
+        for name, broken_shards in broken.items():
+            index = {
+                memory_searches.INDEX: state.IndexSnapshot(2, broken_shards)
+            }
             offered = state.Snapshot(2, index)
             with self.subTest(name):
                 self.assertIs(old, validator.current(offered, configuration))
--- a/tests/failure/test_quarantine.py
+++ b/tests/failure/test_quarantine.py
@@ -31,7 +31,7 @@
         """Send requests to one daemon at the same time."""
         daemon = self.tier.daemons[name]
         return await self.tier.gather(
-            *[daemon.coordinator.search(row) for row in requests]
+            *[daemon.coordinator.search(request) for request in requests]
         )
 
     def assert_refused(self, outcome: protocol.SearchOutcome) -> None:
@@ -100,7 +100,9 @@
             requests.insert(round_number * 4, _POISON)
             outcomes = await self.ask('d0', *requests)
             answered = [
-                row for row in outcomes if isinstance(row, protocol.Answered)
+                outcome
+                for outcome in outcomes
+                if isinstance(outcome, protocol.Answered)
             ]
             self.assertEqual(20, len(answered))
             self.assertEqual(2, len(self.tier.targets.dead))
@@ -133,7 +135,7 @@
         """
         desk = search_desk.Desk()
         first, second, *others = desk.waiting.values()
-        desk.give(*[desk.good(row) for row in others])
+        desk.give(*[desk.good(item) for item in others])
         lost = {'target_lost': True, 'ran_alone': False}
         desk.give(
             desk.failed(first, protocol.SubStatus.BROKEN, **lost),
--- a/tests/failure/test_truthful_coverage.py
+++ b/tests/failure/test_truthful_coverage.py
@@ -21,7 +21,7 @@
         """A gap of one key in 2**32 must not be rounded to full coverage."""
         desk = search_desk.Desk()
         first, *others = desk.waiting.values()
-        desk.give(*[desk.good(row) for row in others])
+        desk.give(*[desk.good(item) for item in others])
         whole = desk.good(first).ranges[0]
         short = [protocol.KeyRange(whole.low, whole.high - 1)]
         (again,) = desk.give(desk.good(first, ranges=short))
@@ -40,7 +40,7 @@
         """
         desk = search_desk.Desk()
         first, second, *others = desk.waiting.values()
-        desk.give(*[desk.good(row) for row in others])
+        desk.give(*[desk.good(item) for item in others])
         everything = [protocol.KeyRange(0, state.KEY_SPACE_SIZE)]
         (again,) = desk.give(desk.good(first, ranges=everything))
         desk.give(desk.good(again))
@@ -57,7 +57,7 @@
         """
         desk = search_desk.Desk()
         first, *others = desk.waiting.values()
-        desk.give(*[desk.good(row) for row in others])
+        desk.give(*[desk.good(item) for item in others])
         (again,) = desk.give(desk.good(first, ranges=[], records=[]))
         desk.give(desk.good(again))
         self.assertIsInstance(desk.outcome, protocol.Answered)
@@ -68,7 +68,7 @@
         search = memory_searches.make_search(least_coverage=0.9)
         desk = search_desk.Desk(search=search)
         first, *others = desk.waiting.values()
-        desk.give(*[desk.good(row) for row in others])
+        desk.give(*[desk.good(item) for item in others])
         desk.tick(200.0)
         self.assertIsInstance(desk.outcome, protocol.Unknown)
 
@@ -125,7 +125,9 @@
     if kind == 4:
         return desk.good(item, ranges=[], records=[]), []
     if kind == 5:
-        status = rng.choice([row for row in Status if row.value != 'answered'])
+        status = rng.choice(
+            [status for status in Status if status.value != 'answered']
+        )
         lost = status is Status.BROKEN and rng.random() < 0.5
         alone = item.attempt_id in desk.alone
         return (
@@ -161,7 +163,7 @@
         case.assertGreater(missing, 0)
         case.assertEqual(covered / state.KEY_SPACE_SIZE, outcome.coverage)
         case.assertEqual(
-            missing, sum(row.high - row.low for row in outcome.missing)
+            missing, sum(gap.high - gap.low for gap in outcome.missing)
         )
         case.assertGreaterEqual(outcome.coverage, least)
     elif isinstance(outcome, protocol.NotRun):
@@ -170,5 +172,5 @@
         case.assertTrue(not searched or covered / 2**32 < least)
     if isinstance(outcome, protocol.Answered | protocol.Partial):
         case.assertEqual(1, outcome.snapshot_id)
-        keys = [row.key for row in outcome.records]
+        keys = [record.key for record in outcome.records]
         case.assertEqual(len(keys), len(set(keys)))
--- a/tests/failure/test_whole_answer.py
+++ b/tests/failure/test_whole_answer.py
@@ -19,9 +19,9 @@
         answer = desk.good(first)
         desk.give(answer)
         desk.give(answer, answer)
-        desk.give(*[desk.good(row) for row in others])
+        desk.give(*[desk.good(item) for item in others])
         self.assertIsInstance(desk.outcome, protocol.Answered)
-        keys = [row.key for row in desk.outcome.records]
+        keys = [record.key for record in desk.outcome.records]
         self.assertEqual(['k-s0', 'k-s1', 'k-s2', 'k-s3'], sorted(keys))
         self.assertEqual(2, desk.scatter.tally.late_answers)
 
@@ -32,11 +32,11 @@
         """
         desk = search_desk.Desk()
         first, *others = desk.waiting.values()
-        desk.give(*[desk.good(row) for row in others])
+        desk.give(*[desk.good(item) for item in others])
         (again,) = desk.give(desk.good(first, truncated=True))
         desk.give(desk.good(again))
         self.assertIsInstance(desk.outcome, protocol.Answered)
-        keys = [row.key for row in desk.outcome.records]
+        keys = [record.key for record in desk.outcome.records]
         self.assertEqual(['k-s0', 'k-s1', 'k-s2', 'k-s3'], sorted(keys))
 
     def test_late_answer_of_a_lost_dispatcher_is_dropped(self) -> None:
@@ -48,19 +48,21 @@
         first = next(iter(desk.waiting.values()))
         lost = desk.owner(first.target)
         held = [
-            row
-            for row in desk.waiting.values()
-            if desk.owner(row.target) == lost
+            item
+            for item in desk.waiting.values()
+            if desk.owner(item.target) == lost
         ]
         again = desk.take(desk.scatter.on_member_lost(lost, 0.0))
         self.assertEqual(len(held), len(again))
-        for row in held:
-            del desk.waiting[row.attempt_id]
+        for item in held:
+            del desk.waiting[item.attempt_id]
         late = [protocol.Record('late', 9.0, {})]
-        desk.give(*[desk.good(row, records=late) for row in held])
+        desk.give(*[desk.good(item, records=late) for item in held])
         desk.give_rest()
         self.assertIsInstance(desk.outcome, protocol.Answered)
-        self.assertNotIn('late', [row.key for row in desk.outcome.records])
+        self.assertNotIn(
+            'late', [record.key for record in desk.outcome.records]
+        )
         self.assertEqual(len(held), desk.scatter.tally.late_answers)
 
     def test_answer_of_another_target_is_dropped(self) -> None:
@@ -81,14 +83,14 @@
     def test_limit_over_all_shards_is_exact(self) -> None:
         """A limit of three returns the best three records of all shards."""
         desk = search_desk.Desk(search=memory_searches.make_search(limit=3))
-        rows = list(desk.waiting.values())
-        for number, row in enumerate(rows):
+        items = list(desk.waiting.values())
+        for number, item in enumerate(items):
             records = [
                 protocol.Record(f'{number}-{rank}', 10.0 * rank + number, {})
                 for rank in (3, 2, 1)
             ]
-            desk.give(desk.good(row, records=records))
-        keys = [row.key for row in desk.outcome.records]
+            desk.give(desk.good(item, records=records))
+        keys = [record.key for record in desk.outcome.records]
         self.assertEqual(['3-3', '2-3', '1-3'], keys)
 
 
@@ -102,12 +104,12 @@
         """
         desk = search_desk.Desk()
         while desk.outcome is None:
-            rows = list(desk.waiting.values())
+            items = list(desk.waiting.values())
             shed = [
-                desk.failed(row, Status.SHED, retry_after_ms=15)
-                for row in rows
+                desk.failed(item, Status.SHED, retry_after_ms=15)
+                for item in items
             ]
-            desk.give(*shed) if rows else desk.tick(5.0)
+            desk.give(*shed) if items else desk.tick(5.0)
         self.assertIsInstance(desk.outcome, protocol.NotRun)
         self.assertIs(protocol.NotRunReason.OVERLOADED, desk.outcome.reason)
         self.assertEqual(15, desk.outcome.retry_after_ms)
@@ -124,9 +126,11 @@
             if status is not None:
                 desk.give(desk.failed(first, status))
             while desk.outcome is None:
-                rows = [r for r in desk.waiting.values() if r is not first]
-                shed = [desk.failed(row, Status.SHED) for row in rows]
-                desk.give(*shed) if rows else desk.tick(5.0)
+                items = [
+                    item for item in desk.waiting.values() if item is not first
+                ]
+                shed = [desk.failed(item, Status.SHED) for item in items]
+                desk.give(*shed) if items else desk.tick(5.0)
             with self.subTest(status=status):
                 self.assertIsInstance(desk.outcome, protocol.Unknown)
 
--- a/tests/unit/test_coordinator.py
+++ b/tests/unit/test_coordinator.py
@@ -81,7 +81,7 @@
         """A search that has ended no longer counts as in flight."""
         requests = [memory_searches.ask(claimant=str(n)) for n in range(3)]
         await self.tier.gather(
-            *[self.daemon.coordinator.search(row) for row in requests]
+            *[self.daemon.coordinator.search(request) for request in requests]
         )
         self.assertEqual(0, self.daemon.admission.in_flight())
         self.assertEqual(3, self.daemon.counters.total('search_outcomes'))
