--- a/samphiredock/coordination/search/_hedging.py
+++ b/samphiredock/coordination/search/_hedging.py
@@ -121,7 +121,7 @@
         self._stats[index].record_overload_sign(weight)
 
     def is_overloaded(self, index: str) -> bool:
-        """Return whether the index is overloaded, so that hedges do harm."""
+        """Return whether the index is overloaded; hedges would add to that."""
         return self._stats[index].is_overloaded()
 
     def hedge_delay_ms(
--- a/samphiredock/coordination/search/_scatter_types.py
+++ b/samphiredock/coordination/search/_scatter_types.py
@@ -21,7 +21,7 @@
     def record_first_attempts(
         self, shards: typing.Sequence[str], share: float
     ) -> None:
-        """Add ``share`` of an attempt to the budget for each of the shards."""
+        """Allow ``share`` of an extra attempt for each shard's first one."""
 
     def spend_hedge(self, shard: str = '') -> bool:
         """Charge a hedge; False if the budget does not allow it."""
