--- a/samphiredock/coordination/search/_scatter_attempts.py
+++ b/samphiredock/coordination/search/_scatter_attempts.py
@@ -12,7 +12,7 @@
 
 
 class Attempts:
-    """Pending attempts by id, and the messages to send about them."""
+    """Pending attempts by id, and the effects that send or cancel them."""
 
     def __init__(
         self, query_id: str, index: str, context: _scatter_types.ScatterContext
@@ -123,7 +123,9 @@
     ) -> list[_scatter_round.Attempt]:
         """Return the pending attempts of one shard."""
         return [
-            row for row in self._outstanding.values() if row.shard is shard
+            attempt
+            for attempt in self._outstanding.values()
+            if attempt.shard is shard
         ]
 
     def drop_losers(
--- a/samphiredock/coordination/search/_scatter_restart.py
+++ b/samphiredock/coordination/search/_scatter_restart.py
@@ -10,12 +10,12 @@
 
 
 class SnapshotWait:
-    """Waits for a newer snapshot, because a shard lacks the current one.
+    """Waits for a newer snapshot when replicas have dropped the search's own.
 
-    If no replica of a shard has the snapshot any more, the targets are ahead
-    of this daemon, which will soon learn of a newer one.  The wait lasts for
-    a share of the time left, so that the answers at the old snapshot can
-    still be returned in time.
+    If no replica of a shard has the search's snapshot any more, the targets
+    are ahead of this daemon, which will soon learn of a newer one.  The wait
+    lasts for a share of the time left, so that the answers at the old
+    snapshot can still be returned in time.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         return self._next_check_ms
 
     def begin(self, now_ms: float) -> None:
-        """Start to wait for a newer snapshot, unless that is under way."""
+        """Start to wait for a newer snapshot, unless the wait is active."""
         if not self.is_active():
             left_ms = self._deadline_at_ms - now_ms
             self._until_ms = now_ms + left_ms * _WAIT_SHARE
@@ -52,22 +52,22 @@
     def check(
         self,
         newest: state.Snapshot | None,
-        held: state.Snapshot,
+        current: state.Snapshot,
         index: str,
-        typical_ms: float,
+        median_ms: float,
         now_ms: float,
     ) -> state.Snapshot | None:
         """Return the snapshot to restart on; None if there is none in time.
 
-        ``typical_ms`` is the median latency: without that much time left a
+        ``median_ms`` is the median latency: without that much time left a
         restart would give no answer.
         """
         self._next_check_ms = now_ms + _POLL_MS
         if (
             newest is None
-            or newest.snapshot_id <= held.snapshot_id
+            or newest.snapshot_id <= current.snapshot_id
             or index not in newest.indexes
-            or self._deadline_at_ms - now_ms <= typical_ms
+            or self._deadline_at_ms - now_ms <= median_ms
         ):
             return None
         return newest
--- a/tests/unit/test_suspects.py
+++ b/tests/unit/test_suspects.py
@@ -25,7 +25,7 @@
         ]
         self.assertEqual(list(contents), found)
 
-    def test_site_that_fails_makes_no_suspects(self) -> None:
+    def test_outage_makes_no_suspects(self) -> None:
         """An outage of three targets makes no content a suspect.
 
         Otherwise harmless contents would be refused at all daemons.
@@ -37,11 +37,12 @@
         self.assert_suspects()
 
     def test_losses_far_apart_are_no_outage(self) -> None:
+        """Separate crashes must not be cleared as one outage."""
         for number, content in enumerate('abc'):
             self.lose(content, f't{number}', number * 2_000.0)
         self.assert_suspects('a', 'b', 'c')
 
-    def test_one_content_that_lost_two_is_not_forgiven(self) -> None:
+    def test_content_with_two_losses_stays_a_suspect(self) -> None:
         """An outage at the same time does not clear a content that crashes."""
         self.lose('poison', 't1', 0.0)
         self.lose('poison', 't2', 10.0)
@@ -50,6 +51,7 @@
         self.assertTrue(self.suspects.get('poison', 30.0).should_quarantine())
 
     def test_one_content_alone_is_never_an_outage(self) -> None:
+        """A content that crashes target after target must be quarantined."""
         for number in range(4):
             self.lose('poison', f't{number}', 10.0 * number)
         self.assertTrue(self.suspects.get('poison', 50.0).should_quarantine())
