--- a/samphiredock/transport/_http_connection.py
+++ b/samphiredock/transport/_http_connection.py
@@ -1,10 +1,9 @@
-"""One HTTP connection to a target, on which one exchange runs at a time.
+"""One HTTP/1.1 connection to a target, for one exchange at a time.
 
-The HTTP library's client hides three things that decide whether an answer
-is whole and belongs to its request: whether a body without a length ended
-with its connection or was reset, what came after an answer, and what came
-while nothing was asked.  So the connection is kept here, around the
-library's kin that only parses.
+It is built on ``httptools``, which only parses.  aiohttp's client does not
+show what decides whether a reply is complete and belongs to its request:
+whether a body without a length ended with a close or a reset, and which bytes
+arrived after a reply or while no request was pending.
 """
 
 import asyncio
@@ -18,38 +17,42 @@
 from samphiredock.transport import _link_errors
 
 _REPLY_LIMIT_BYTES = 16 * 1024 * 1024
-"""Answers of targets are some kilobytes; more would fill the memory."""
+"""Bounds the memory that one reply may take."""
 
-_LEAST_WAIT_MS = 1.0
+_MIN_TIMEOUT_MS = 1.0
 
 _KEEPALIVE_IDLE_S = 2
 _KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_PROBES = 2
-"""A peer that lost power never closes its connections.  Probes of the
-kernel find that within about 4 s, before the connection is used again."""
+"""A host that lost power never closes its connections.  The kernel's
+keepalive probes detect that within about 4 s and close them here."""
 
 _Kind = _link_errors.LinkErrorKind
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Exchanged:
-    """One answer, and whether its connection may carry another request.
+class CompletedExchange:
+    """A reply, and whether its connection may carry another request.
 
-    ``keep_ms`` is how long the target keeps an idle connection, None if it
-    does not say.
+    ``keepalive_ms`` is the idle timeout that the target states in its
+    ``Keep-Alive`` header, None if it states none.
     """
 
     reply: protocol.HttpReply
     reusable: bool
-    keep_ms: float | None
+    keepalive_ms: float | None
 
 
 OnChunk = typing.Callable[[bytes], None]
-"""Takes each chunk of an answer that is sent in chunks, when it has come."""
+"""Called with each chunk of a reply in chunked encoding as it arrives."""
 
 
 class _ReplyReader:
-    """Callbacks of the parser: the answers on one connection, in order."""
+    """Parses the bytes received during one exchange and finds its reply.
+
+    ``found`` is that reply once it is complete; ``skipped`` counts replies
+    that belong to other requests.
+    """
 
     def __init__(
         self,
@@ -65,55 +68,60 @@
         self._begin()
         self.found: protocol.HttpReply | None = None
         self.reusable = True
-        self.others = 0
+        self.skipped = 0
 
     def _begin(self) -> None:
         self._headers: list[tuple[str, str]] = []
         self._body: list[bytes] = []
-        self._framed = False
+        self._has_framing = False
         self._in_body = False
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes; raises what the parser raises."""
+        """Parse received bytes.
+
+        Raises ``httptools.HttpParserError`` if they are not HTTP or too
+        many.
+        """
         self._size += len(data)
         if self._size > _REPLY_LIMIT_BYTES:
-            raise httptools.HttpParserError('the answer is too large')
+            raise httptools.HttpParserError('the reply exceeds the size limit')
         self._parser.feed_data(data)
 
     def feed_end(self) -> None:
-        """The target has closed the connection in order."""
+        """Handle EOF: the target closed the connection without a reset."""
         self.reusable = False
-        if self._in_body and not self._framed and self.found is None:
+        if self._in_body and not self._has_framing and self.found is None:
             self._complete()
 
     def on_message_begin(self) -> None:
-        """Part of the parser's interface."""
+        """Implement the callback of ``httptools``."""
         if self.found is not None:
-            # Nobody asked for this one: the connection is out of step.
+            # A second reply: a later request would get a wrong one.
             self.reusable = False
         self._begin()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Part of the parser's interface."""
+        """Implement the callback of ``httptools``."""
         key = name.decode('latin-1')
         self._headers.append((key, value.decode('latin-1')))
         if key.lower() in ('content-length', 'transfer-encoding'):
-            self._framed = True
+            self._has_framing = True
 
     def on_headers_complete(self) -> None:
-        """Part of the parser's interface."""
+        """Implement the callback of ``httptools``."""
         self._in_body = True
         if self._method == 'HEAD':
-            # The parser would wait for the body that the length announces.
+            # The parser would wait for the body that the Content-Length of
+            # a reply to HEAD announces but that is not sent.
             self.reusable = False
             self._complete()
 
     def on_body(self, body: bytes) -> None:
-        """Part of the parser's interface."""
+        """Implement the callback of ``httptools``."""
         self._body.append(body)
 
     def on_chunk_complete(self) -> None:
-        """Part of the parser's interface."""
+        """Implement the callback of ``httptools``."""
         if self._on_chunk is None or self.found is not None or not self._body:
             return
         chunk = b''.join(self._body)
@@ -125,7 +133,7 @@
             self._on_chunk(chunk)
 
     def on_message_complete(self) -> None:
-        """Part of the parser's interface."""
+        """Implement the callback of ``httptools``."""
         self._complete()
 
     def _complete(self) -> None:
@@ -139,8 +147,8 @@
             status, tuple(self._headers), b''.join(self._body)
         )
         if not self._is_reply(reply):
-            # The late answer to an earlier request; ours follows it.
-            self.others += 1
+            # A late reply to an earlier request; the right one follows it.
+            self.skipped += 1
             return
         self.found = reply
         if not self._parser.should_keep_alive():
@@ -148,7 +156,7 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """One connection; made by :func:`open_connection`."""
+    """One connection; opened by :func:`open_connection`."""
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
@@ -158,18 +166,18 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether another exchange may be tried."""
+        """Whether another exchange may be started."""
         return not self._closed
 
-    # Part of asyncio's interface.
+    # asyncio.Protocol callbacks.
 
     def connection_made(self, connection: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and enable keepalive probes."""
         self._transport = typing.cast(asyncio.Transport, connection)
         _set_keepalive(connection.get_extra_info('socket'))
 
     def data_received(self, data: bytes) -> None:
-        """Take in a part of an answer, or bytes that nobody asked for."""
+        """Parse a part of a reply; close on bytes outside of an exchange."""
         if self._reader is None:
             self.close()
             return
@@ -184,7 +192,7 @@
             self._succeed()
 
     def eof_received(self) -> bool:
-        """The target has closed its side in order."""
+        """Handle the target closing its side without a reset."""
         if self._reader is not None:
             self._reader.feed_end()
             if self._reader.found is not None:
@@ -193,7 +201,10 @@
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is gone; a body without a length is not whole."""
+        """Fail the running exchange.
+
+        A body without a length that ended with a reset is incomplete.
+        """
         self._closed = True
         self._fail(_Kind.BROKEN, type(error).__name__ if error else 'closed')
 
@@ -205,41 +216,46 @@
         is_reply: typing.Callable[[protocol.HttpReply], bool],
         timeout_ms: float,
         on_chunk: OnChunk | None = None,
-    ) -> Exchanged | _link_errors.LinkError:
-        """Send a request and wait for its answer; cancelling closes.
+    ) -> CompletedExchange | _link_errors.LinkError:
+        """Send a request and return its reply.
 
-        With ``on_chunk`` the chunks of the answer are given to it, and are
-        not in the body of what is returned.
+        ``is_reply`` returns whether a reply belongs to the request; others
+        are skipped.  With ``on_chunk``, the chunks of the reply are passed
+        to it and are not in the returned body.  The connection is closed if
+        the exchange fails or is cancelled.
         """
         transport = self._transport
         if transport is None or self._closed:
-            return _link_errors.LinkError(_Kind.UNREACHABLE, 'closed before')
+            return _link_errors.LinkError(
+                _Kind.UNREACHABLE, 'closed before the request'
+            )
         self._reader = _ReplyReader(request.method, is_reply, on_chunk)
         loop = asyncio.get_running_loop()
         self._waiter = loop.create_future()
         transport.write(_encode(request))
-        # A timer of its own: a context of asyncio around each of thousands
-        # of exchanges a second costs several times as much.
+        # Cheaper than asyncio.timeout() around each exchange.
         timer = loop.call_later(
-            max(_LEAST_WAIT_MS, timeout_ms) / 1000.0,
+            max(_MIN_TIMEOUT_MS, timeout_ms) / 1000.0,
             self._fail,
             _Kind.SILENT,
-            f'no answer in {timeout_ms:.0f} ms',
+            f'no reply in {timeout_ms:.0f} ms',
         )
-        ended = False
+        reusable = False
         try:
             outcome = await self._waiter
-            ended = isinstance(outcome, Exchanged) and outcome.reusable
+            reusable = (
+                isinstance(outcome, CompletedExchange) and outcome.reusable
+            )
             return outcome
         finally:
             timer.cancel()
             self._reader = None
             self._waiter = None
-            if not ended:
+            if not reusable:
                 self.close()
 
     def close(self) -> None:
-        """Close the connection, and with it what runs on it."""
+        """Abort the connection and the exchange that runs on it."""
         self._closed = True
         if self._transport is not None:
             self._transport.abort()
@@ -247,15 +263,17 @@
     def _succeed(self) -> None:
         reader, transport = self._reader, self._transport
         if self._waiter is None or self._waiter.done():
-            # More came with or after the answer, before it was taken.
+            # More bytes arrived before exchange() took the result.
             return
         assert reader is not None and transport is not None
-        # A rest of the request that is still unsent would be read by the
-        # target in front of the next one.
+        # The target replied before it had read the whole request; what is
+        # still unsent would precede the next request.
         flushed = transport.get_write_buffer_size() == 0
         reply = reader.found
         self._waiter.set_result(
-            Exchanged(reply, reader.reusable and flushed, _keep_ms(reply))
+            CompletedExchange(
+                reply, reader.reusable and flushed, _keepalive_ms(reply)
+            )
         )
 
     def _fail(self, kind: _link_errors.LinkErrorKind, detail: str) -> None:
@@ -264,7 +282,7 @@
 
 
 async def open_connection(address: str) -> HttpConnection:
-    """Connect to ``IP:port``; raises ``OSError``."""
+    """Connect to ``IP:port``; raises ``OSError`` if that fails."""
     host, _, port = address.rpartition(':')
     loop = asyncio.get_running_loop()
     _, channel = await loop.create_connection(HttpConnection, host, int(port))
@@ -292,8 +310,8 @@
     return head.encode('latin-1') + request.body
 
 
-def _keep_ms(reply: protocol.HttpReply) -> float | None:
-    """Return the timeout that a ``Keep-Alive`` header states."""
+def _keepalive_ms(reply: protocol.HttpReply) -> float | None:
+    """Return the timeout in a reply's ``Keep-Alive`` header, if any."""
     value = reply.header('Keep-Alive') or ''
     for item in value.split(','):
         key, _, text = item.strip().partition('=')
--- a/samphiredock/transport/_target_http.py
+++ b/samphiredock/transport/_target_http.py
@@ -308,7 +308,7 @@
         except asyncio.TimeoutError:
             return _failure(
                 _link_errors.LinkErrorKind.SILENT,
-                f'no answer in {timeout_ms:.0f} ms',
+                f'no reply in {timeout_ms:.0f} ms',
             )
         except (aiohttp.ClientError, OSError) as error:
             return _failure(
--- a/tests/unit/test_connection_pool.py
+++ b/tests/unit/test_connection_pool.py
@@ -219,7 +219,7 @@
         self.assertEqual(
             b'b', (await self._ask('b', max_idle_ms=100.0)).unwrap().body
         )
-        self.assertEqual(1, self.pool._pools['t'].open)
+        self.assertEqual(1, self.pool._pools['t'].open_count)
 
     async def _open(self, count: int) -> None:
         """Have so many connections open, all idle."""
@@ -247,7 +247,7 @@
         clock.advance(300.0)
         reply = await self._ask('x', max_idle_ms=100.0)
         self.assertEqual(b'x', reply.unwrap().body)
-        self.assertEqual(4, self.pool._pools['t'].open)
+        self.assertEqual(4, self.pool._pools['t'].open_count)
 
     async def test_a_request_that_waits_finds_room_as_the_limit_rises(
         self,
