--- a/samphiredock/transport/_entry_connection.py
+++ b/samphiredock/transport/_entry_connection.py
@@ -1,9 +1,8 @@
-"""One connection of a caller whose requests are passed on.
+"""The server's side of one HTTP connection of a caller.
 
-Forwarding is this project's own work, so the connection is kept here, around
-a library that only parses: what a caller sent must reach a target byte by
-byte, and the general HTTP library would cost a daemon 160 to 250 ms of its
-start and 14 MB (see ``docs/design/start.md``).
+It is built on ``httptools``, which only parses: a request must reach its
+target byte for byte as the caller sent it, and importing aiohttp would slow
+down the start of a daemon (see ``docs/design/start.md``).
 """
 
 import asyncio
@@ -22,20 +21,21 @@
 from samphiredock import timers
 
 LINGER_MS = 500.0
-"""How long bytes are still taken after the last answer of a connection has
-left this process.  Closed with unread bytes the connection would be reset, and
-what the caller has not read yet lost with it."""
+"""How long a connection is still read after its last reply was written.  A
+socket that is closed with unread bytes is reset, and the caller loses what it
+has not read yet."""
 
-_WAITING_LIMIT = 8
-"""Requests that may wait on one connection; more are left in the socket."""
+_PIPELINE_LIMIT = 8
+"""Pipelined requests that may be queued; reading then pauses."""
 
-_RESUME_WAITING = 4
-"""How many wait when reading goes on: read only after the last of them, what
-is in the socket would come too late for a connection that ends with it."""
+_PIPELINE_RESUME = 4
+"""Queue length at which reading resumes.  Above 0, so that requests that are
+in the socket are read before the last queued one is answered, which may end
+the connection."""
 
 _HEAD_SLACK_BYTES = 65_536
-"""What a head may exceed its limit by while it is read: it comes in pieces,
-which may also hold the end of the request before it."""
+"""Tolerance above the limit while a request head is incomplete: the bytes
+received may include the end of the previous request."""
 
 _BAD_REQUEST = 400
 _TIMED_OUT = 408
@@ -43,8 +43,8 @@
 _TOO_LARGE_HEAD = 431
 _BODILESS = frozenset({204, 304})
 
-_ASKS_FIRST = b'100-continue'
-_GO_ON = b'HTTP/1.1 100 Continue\r\n\r\n'
+_EXPECT_CONTINUE = b'100-continue'
+_CONTINUE_RESPONSE = b'HTTP/1.1 100 Continue\r\n\r\n'
 
 _log = logs.logger('entry')
 
@@ -52,18 +52,19 @@
     [str, str, protocol.Headers, bytes],
     typing.Awaitable[protocol.HttpReply | protocol.StreamedReply],
 ]
-"""Answers one request, given its method, raw path, headers and body; it is
-cancelled when the caller leaves."""
+"""Answers one request, given its method, raw path, headers and body; cancelled
+when the caller disconnects."""
 
 _LAST_CHUNK = b'0\r\n\r\n'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryCallbacks:
-    """What is behind one server.
+    """What an entry server calls.
 
-    ``is_closing`` says that connections should end after the current
-    answer, ``limits`` what callers may send now.
+    ``handle`` answers a request, ``is_closing`` returns whether connections
+    should end after the current reply, and ``limits`` returns the limits in
+    force for callers.
     """
 
     handle: EntryHandler
@@ -73,10 +74,11 @@
 
 @dataclasses.dataclass(slots=True)
 class _Request:
-    """One request, while it is read and until it is answered.
+    """One request, from its first byte until it is answered.
 
-    ``refusal`` is the status of one that is not handled: its connection
-    ends with the answer, since what follows on it cannot be told.
+    ``refusal`` is the error status of a request that is not handled, 0 for
+    any other, and ``detail`` its reason.  The connection ends after a
+    refusal: where the next request would begin is unknown.
     """
 
     method: str = ''
@@ -86,124 +88,125 @@
     head_bytes: int = 0
     body: list[bytes] = dataclasses.field(default_factory=list)
     body_bytes: int = 0
-    keeps: bool = True
-    asks_first: bool = False
+    keep_alive: bool = True
+    expects_continue: bool = False
     refusal: int = 0
-    why: str = ''
+    detail: str = ''
 
 
 class EntryConnection(asyncio.Protocol):
-    """Reads requests, has each answered in turn, and writes the answers.
+    """Reads requests, passes them to a handler one by one, writes replies.
 
     Parameters
     ----------
-    door
-        What answers.
+    callbacks
+        The handler of requests, and what the connection has to know.
     counters
         The metrics of this daemon.
     clock
         The timers of this daemon.
     open_connections
-        Holds this connection from when it is open until it is gone.
+        The connection adds itself when it opens and removes itself when it
+        is lost.
     """
 
     def __init__(
         self,
-        door: EntryCallbacks,
+        callbacks: EntryCallbacks,
         counters: metrics.Metrics,
         clock: timers.Timers,
         open_connections: set['EntryConnection'],
     ) -> None:
-        self._door = door
+        self._callbacks = callbacks
         self._metrics = counters
         self._clock = clock
         self._open_connections = open_connections
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
-        self._waiting: collections.deque[_Request] = collections.deque()
+        self._queued: collections.deque[_Request] = collections.deque()
         self._reading: _Request | None = None
         self._in_head = False
-        self._unread_head = 0
+        self._head_bytes_received = 0
         self._task: asyncio.Task | None = None
         self._write_paused = False
         self._read_paused = False
-        self._ending = False
-        self._lingers = False
+        self._stops_reading = False
+        self._is_lingering = False
         self._idle_since_ms: float | None = clock.now_ms()
-        self._idle_limit_ms = door.limits().idle_ms
+        self._idle_limit_ms = callbacks.limits().idle_ms
         self._head_since_ms: float | None = None
 
-    # Part of asyncio's interface.
+    # asyncio.Protocol callbacks.
 
     def connection_made(self, connection: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = typing.cast(asyncio.Transport, connection)
         self._open_connections.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The caller has left: nobody wants what is under way."""
-        self._ending = True
-        self._waiting.clear()
+        """Cancel the running request: its caller is gone."""
+        self._stops_reading = True
+        self._queued.clear()
         if self._task is not None:
             self._task.cancel()
         self._open_connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take in what the caller sends."""
-        if self._ending:
+        """Parse received bytes and start the next request."""
+        if self._stops_reading:
             return
         self._idle_since_ms = None
-        self._unread_head += len(data)
+        self._head_bytes_received += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # Other protocols are not spoken; what was asked is answered,
-            # and what follows it belongs to none.
+            # No other protocol is supported: the request is answered, the
+            # bytes after it are not HTTP.
             self._end_reading()
         except httptools.HttpParserError as error:
             self._refuse(_BAD_REQUEST, str(error) or repr(error))
         if self._in_head or self._is_idle():
-            self._await_head()
-        self._next()
+            self._limit_head()
+        self._answer_next()
 
     def _is_idle(self) -> bool:
-        """Whether no request is read, waits or is answered."""
-        return not (self._task or self._waiting or self._reading)
+        """Whether no request is being read, queued or being answered."""
+        return not (self._task or self._queued or self._reading)
 
-    def _await_head(self) -> None:
-        """The rest of a head is to come: bound its size and its time."""
+    def _limit_head(self) -> None:
+        """Limit the size of an incomplete head, and start its time limit."""
         if self._head_since_ms is None:
             self._head_since_ms = self._clock.now_ms()
-        limit = self._door.limits().header_bytes + _HEAD_SLACK_BYTES
-        if self._unread_head > limit:
+        limit = self._callbacks.limits().header_bytes + _HEAD_SLACK_BYTES
+        if self._head_bytes_received > limit:
             self._refuse_head()
 
     def pause_writing(self) -> None:
-        """The caller reads more slowly than it is answered."""
+        """Start no further request: the caller reads too slowly."""
         self._write_paused = True
 
     def resume_writing(self) -> None:
-        """The caller has read enough of its answers."""
+        """Go on with the next request."""
         self._write_paused = False
-        self._next()
+        self._answer_next()
 
-    # Part of the parser's interface.
+    # httptools.HttpRequestParser callbacks.
 
     def on_message_begin(self) -> None:
-        """A request begins; after a refusal none is taken."""
-        if self._ending:
+        """Begin a request, unless reading has ended."""
+        if self._stops_reading:
             return
         self._reading = _Request()
         self._in_head = True
 
     def on_url(self, part: bytes) -> None:
-        """A part of the path, as it was sent."""
+        """Append a part of the raw path."""
         if self._reading is not None:
             self._reading.path += part
             self._reading.head_bytes += len(part)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header."""
+        """Append a header."""
         request = self._reading
         if request is None:
             return
@@ -211,190 +214,196 @@
             (name.decode('latin-1'), value.decode('latin-1'))
         )
         request.head_bytes += len(name) + len(value) + 4
-        if name.lower() == b'expect' and value.lower() == _ASKS_FIRST:
-            request.asks_first = True
+        if name.lower() == b'expect' and value.lower() == _EXPECT_CONTINUE:
+            request.expects_continue = True
         elif name.lower() == b'content-length' and value.isdigit():
             request.body_bytes = int(value)
 
     def on_headers_complete(self) -> None:
-        """The head is whole: refuse at once what is too large."""
+        """Refuse a request whose head or announced body is too large."""
         request = self._reading
         if request is None:
             return
         self._in_head = False
-        self._unread_head = 0
+        self._head_bytes_received = 0
         self._head_since_ms = None
-        limits = self._door.limits()
+        limits = self._callbacks.limits()
         request.method = self._parser.get_method().decode('latin-1')
         request.version = self._parser.get_http_version()
-        request.keeps = self._parser.should_keep_alive()
+        request.keep_alive = self._parser.should_keep_alive()
         if request.head_bytes > limits.header_bytes:
             self._refuse_head()
         elif request.body_bytes > limits.body_bytes:
             self._refuse_body()
         request.body_bytes = 0
-        self._let_go_on()
+        self._send_continue()
 
-    def _let_go_on(self) -> None:
-        """Have a caller that holds its body back send it.
+    def _send_continue(self) -> None:
+        """Send ``100 Continue`` to a caller that waits for it.
 
-        Not before what came first is answered: the answers go in order.
+        Only once all earlier requests are answered, since replies go out in
+        order.
         """
         request = self._reading
-        if request is None or self._in_head or not request.asks_first:
+        if request is None or self._in_head or not request.expects_continue:
             return
-        if self._task is None and not self._waiting:
-            request.asks_first = False
-            self._write(_GO_ON)
+        if self._task is None and not self._queued:
+            request.expects_continue = False
+            self._write(_CONTINUE_RESPONSE)
 
     def on_body(self, part: bytes) -> None:
-        """A part of the body."""
+        """Append a part of the body; refuse a body that is too large."""
         request = self._reading
         if request is None:
             return
         request.body.append(part)
         request.body_bytes += len(part)
-        if request.body_bytes > self._door.limits().body_bytes:
+        if request.body_bytes > self._callbacks.limits().body_bytes:
             self._refuse_body()
 
     def on_message_complete(self) -> None:
-        """The request has been read whole."""
+        """Queue a request that has been read completely."""
         request, self._reading = self._reading, None
-        self._unread_head = 0
+        self._head_bytes_received = 0
         if request is None:
             return
-        self._waiting.append(request)
-        if len(self._waiting) >= _WAITING_LIMIT and not self._read_paused:
+        self._queued.append(request)
+        if len(self._queued) >= _PIPELINE_LIMIT and not self._read_paused:
             self._read_paused = True
             self._open_transport().pause_reading()
 
     # Refusals.
 
     def _refuse_head(self) -> None:
-        limit = self._door.limits().header_bytes
+        limit = self._callbacks.limits().header_bytes
         self._refuse(
             _TOO_LARGE_HEAD, f'expected a head of at most {limit} bytes'
         )
 
     def _refuse_body(self) -> None:
-        limit = self._door.limits().body_bytes
+        limit = self._callbacks.limits().body_bytes
         self._refuse(_TOO_LARGE_BODY, f'expected at most {limit} bytes')
 
-    def _refuse(self, status: int, why: str) -> None:
-        """Answer with an error, after what came before; read no more."""
-        if self._ending:
+    def _refuse(self, status: int, detail: str) -> None:
+        """Queue an error reply and stop reading."""
+        if self._stops_reading:
             return
         self._metrics.add('http_errors', interface='entry', status=status)
-        self._waiting.append(_Request(keeps=False, refusal=status, why=why))
+        self._queued.append(
+            _Request(keep_alive=False, refusal=status, detail=detail)
+        )
         self._end_reading()
 
     def _end_reading(self) -> None:
-        """Take no further request; those that came whole are answered."""
-        self._ending = True
+        """Stop reading; requests that are queued are still answered."""
+        self._stops_reading = True
         self._reading = None
 
-    # Time.
+    # Time limits.
 
     def check(self, now_ms: float) -> None:
-        """End a connection that is idle, or a head that does not come.
+        """Close an idle connection; refuse a head that is overdue.
 
-        An idle limit that has just become shorter does not hold for a
-        caller that was answered before: its next request would cross the
-        close.
+        A lowered idle limit applies from the next reply on: the caller may
+        rely on the earlier one, and its next request would cross the close.
         """
-        limits = self._door.limits()
+        limits = self._callbacks.limits()
         if self._idle_since_ms is not None:
             limit_ms = max(self._idle_limit_ms, limits.idle_ms)
             if now_ms - self._idle_since_ms > limit_ms:
                 self.close_if_idle()
         elif self._head_since_ms is not None:
             if now_ms - self._head_since_ms > limits.header_ms:
-                self._refuse(_TIMED_OUT, 'the head did not come in time')
-                self._next()
+                self._refuse(
+                    _TIMED_OUT, 'the request head was not complete in time'
+                )
+                self._answer_next()
 
     def close_if_idle(self) -> None:
-        """Close the connection unless something is under way on it.
+        """Close the connection if no request or reply is in progress.
 
-        Until the caller has read an answer that did not say that it is the
-        last one, it may send its next request.  One whose last answer is on
-        its way closes by itself.
+        A connection with unsent bytes stays open: its caller has not read a
+        reply without ``Connection: close`` and may send another request.
+        One that lingers closes by itself.
         """
         transport = self._open_transport()
-        if self._lingers or transport.get_write_buffer_size():
+        if self._is_lingering or transport.get_write_buffer_size():
             return
         if self._is_idle():
             transport.close()
 
     def abort(self) -> bool:
-        """Close the connection, and with it what runs on it.
+        """Abort the connection and the request that runs on it.
 
-        Returns whether anything is lost: a request without an answer, or an
-        answer that is not out yet.
+        Returns whether a request had no reply yet, or a reply was not sent
+        completely.
         """
         transport = self._open_transport()
-        loses = not self._is_idle() or transport.get_write_buffer_size() > 0
+        loses_reply = (
+            not self._is_idle() or transport.get_write_buffer_size() > 0
+        )
         transport.abort()
-        return loses
+        return loses_reply
 
-    # Answers.
+    # Replies.
 
     def _open_transport(self) -> asyncio.Transport:
         assert self._transport is not None
         return self._transport
 
-    def _next(self) -> None:
-        """Answer the next request, unless one is being answered."""
-        if self._task is not None or self._write_paused or not self._waiting:
+    def _answer_next(self) -> None:
+        """Start the next queued request, unless one is running."""
+        if self._task is not None or self._write_paused or not self._queued:
             return
-        request = self._waiting.popleft()
-        if self._read_paused and len(self._waiting) <= _RESUME_WAITING:
+        request = self._queued.popleft()
+        if self._read_paused and len(self._queued) <= _PIPELINE_RESUME:
             self._read_paused = False
             self._open_transport().resume_reading()
-        self._task = asyncio.create_task(self._answer(request))
+        self._task = asyncio.create_task(self._answer_request(request))
 
-    async def _answer(self, request: _Request) -> None:
-        reply = await self._reply_to(request)
+    async def _answer_request(self, request: _Request) -> None:
+        reply = await self._make_reply(request)
         if isinstance(reply, protocol.StreamedReply):
-            whole = await self._write_pieces(request, reply)
-            if not whole:
+            is_complete = await self._write_pieces(request, reply)
+            if not is_complete:
                 self._task = None
-                # The last chunk is missing, so that it does not look whole;
-                # a reset would take the answers before it as well.
-                self._finish()
+                # The missing last chunk shows that the reply is incomplete;
+                # a reset could also destroy earlier replies.
+                self._close_after_reply()
                 return
         self._task = None
         if self._open_transport().is_closing():
             return
-        ends = self._ends_with(request)
+        is_last = self._is_last_reply(request)
         if isinstance(reply, protocol.HttpReply):
-            self._write(_encode(request, reply, ends))
-        if ends:
-            self._finish()
+            self._write(_encode(request, reply, is_last))
+        if is_last:
+            self._close_after_reply()
             return
         if self._is_idle():
-            # Else a head that has begun would be under the idle limit.
+            # A head that has begun is subject to its own limit instead.
             self._idle_since_ms = self._clock.now_ms()
-            self._idle_limit_ms = self._door.limits().idle_ms
-        self._next()
-        self._let_go_on()
+            self._idle_limit_ms = self._callbacks.limits().idle_ms
+        self._answer_next()
+        self._send_continue()
 
-    def _ends_with(self, request: _Request) -> bool:
-        """Whether this answer is the last one of its connection.
+    def _is_last_reply(self, request: _Request) -> bool:
+        """Whether the connection ends after the reply to this request.
 
-        What waits or is half read came before the caller could learn of the
-        end, and would be left without an answer.
+        Not while another request is queued or partly read: it was sent
+        before the caller could know of the end and must be answered.
         """
-        if not request.keeps:
+        if not request.keep_alive:
             return True
-        if self._waiting or self._reading is not None:
+        if self._queued or self._reading is not None:
             return False
-        # After a change of protocol nothing more is read.
-        return self._ending or self._door.is_closing()
+        # Reading has ended after an Upgrade request.
+        return self._stops_reading or self._callbacks.is_closing()
 
     async def _write_pieces(
         self, request: _Request, reply: protocol.StreamedReply
     ) -> bool:
-        """Write an answer while it is made; False if it broke off."""
+        """Write a streamed reply piece by piece; return False if it failed."""
         self._write(_encode_stream_head(reply))
         try:
             async with contextlib.aclosing(reply.pieces) as pieces:
@@ -408,24 +417,24 @@
         self._write(_LAST_CHUNK)
         return True
 
-    async def _reply_to(
+    async def _make_reply(
         self, request: _Request
     ) -> protocol.HttpReply | protocol.StreamedReply:
         if request.refusal:
             return protocol.HttpReply(
-                request.refusal, body=request.why.encode()
+                request.refusal, body=request.detail.encode()
             )
         path = request.path.decode('latin-1')
         try:
-            return await self._door.handle(
+            return await self._callbacks.handle(
                 request.method,
                 path,
                 tuple(request.headers),
                 b''.join(request.body),
             )
         except Exception as error:
-            # One broken request must not take the daemon with it; what it
-            # had started is not known here, so nothing is promised.
+            # A failed handler must not stop the daemon.  It may have started
+            # work, so the reply does not say that the request did not run.
             self._metrics.add('http_handler_failures', interface='entry')
             _log.error('handler failed', path=path, why=repr(error))
             return protocol.HttpReply(500, body=b'internal error, see the log')
@@ -433,22 +442,22 @@
     def _write(self, data: bytes) -> None:
         self._open_transport().write(data)
 
-    def _finish(self) -> None:
-        """Close once the answer is out, and what still comes is dropped."""
-        self._waiting.clear()
-        self._ending = True
-        self._lingers = True
+    def _close_after_reply(self) -> None:
+        """End the connection after its last reply; discard what still comes."""
+        self._queued.clear()
+        self._stops_reading = True
+        self._is_lingering = True
         transport = self._open_transport()
         if self._read_paused:
             self._read_paused = False
             transport.resume_reading()
         with contextlib.suppress(OSError):
-            # The caller may have reset the connection a moment ago.
+            # The caller may have reset the connection.
             transport.write_eof()
         self._clock.after(LINGER_MS, self._end_lingering)
 
     def _end_lingering(self) -> None:
-        """Close, unless the caller still reads what was written."""
+        """Close once everything written has been sent."""
         transport = self._open_transport()
         if transport.get_write_buffer_size():
             self._clock.after(LINGER_MS, self._end_lingering)
@@ -468,14 +477,16 @@
     return '\r\n'.join(lines).encode('latin-1') + b'\r\n\r\n'
 
 
-def _encode(request: _Request, reply: protocol.HttpReply, ends: bool) -> bytes:
+def _encode(
+    request: _Request, reply: protocol.HttpReply, is_last: bool
+) -> bytes:
     lines = _head_lines(reply)
     body = reply.body
     if request.method == 'HEAD' or reply.status in _BODILESS:
         body = b''
     else:
         lines.append(f'Content-Length: {len(body)}')
-    if ends:
+    if is_last:
         lines.append('Connection: close')
     elif request.version == '1.0':
         lines.append('Connection: keep-alive')
--- a/samphiredock/transport/_entry_http.py
+++ b/samphiredock/transport/_entry_http.py
@@ -1,4 +1,4 @@
-"""The HTTP server for callers whose requests are passed on."""
+"""The HTTP server for callers whose requests are forwarded to targets."""
 
 import asyncio
 import socket
@@ -7,23 +7,22 @@
 from samphiredock import timers
 from samphiredock.transport import _entry_connection
 
-_CHECK_MS = 500.0
-"""How often connections are looked at; the limits are seconds."""
+_CHECK_INTERVAL_MS = 500.0
+"""How often connections are checked against their time limits."""
 
 CLOSE_TIMEOUT_MS = 100.0
-"""How long requests that are under way may still take when it closes, unless
-the closer knows better."""
+"""How long a server that closes waits for pending requests by default."""
 
-_LOOK_MS = 5.0
+_CLOSE_POLL_MS = 5.0
 
 
 class EntryServer:
-    """Listens at one address and has each request answered by a door.
+    """Listens at one address and passes each request to a handler.
 
     Parameters
     ----------
-    door
-        What answers.
+    callbacks
+        The handler of requests, and what connections have to know.
     counters
         The metrics of this daemon.
     clock
@@ -32,11 +31,11 @@
 
     def __init__(
         self,
-        door: _entry_connection.EntryCallbacks,
+        callbacks: _entry_connection.EntryCallbacks,
         counters: metrics.Metrics,
         clock: timers.Timers,
     ) -> None:
-        self._door = door
+        self._callbacks = callbacks
         self._metrics = counters
         self._clock = clock
         self._connections: set[_entry_connection.EntryConnection] = set()
@@ -49,9 +48,9 @@
         backlog: int,
         listening: socket.socket | None = None,
     ) -> None:
-        """Serve at ``IP:port``; raises ``OSError`` if that is not possible.
+        """Serve at ``IP:port``; raises ``OSError`` if it cannot listen there.
 
-        ``listening`` is a socket that listens there already.
+        ``listening`` is a socket that already listens at the address.
         """
         loop = asyncio.get_running_loop()
         if listening is not None:
@@ -63,49 +62,50 @@
             self._server = await loop.create_server(
                 self._connect, host, int(port), backlog=backlog
             )
-        self._checking = self._clock.every(_CHECK_MS, self._check)
+        self._checking = self._clock.every(_CHECK_INTERVAL_MS, self._check)
 
     def address(self) -> str:
-        """Return ``IP:port`` while it serves."""
+        """Return ``IP:port`` of the running server."""
         assert self._server is not None
         host, port = self._server.sockets[0].getsockname()[:2]
         return f'{host}:{port}'
 
     async def close(self, limit_ms: float = CLOSE_TIMEOUT_MS) -> None:
-        """Listen no more; end the connections, idle ones first.
+        """Stop listening, wait for pending requests, close all connections.
 
-        ``limit_ms`` is how long requests that are under way may still take;
-        :meth:`abort` ends the wait before.
+        Connections are closed as they become idle and aborted after
+        ``limit_ms``; :meth:`abort` ends the wait early.
         """
         if self._server is not None:
             self._server.close()
-        # A connection that was accepted a moment ago is open one turn later;
-        # not seen, its request would be taken by a server that counts as
-        # closed.  After another turn what had come on an idle connection has
-        # been read, and is answered instead of crossing its close.
+        # One turn of the event loop opens connections that were just
+        # accepted, so that they are seen below.  Another one reads what had
+        # arrived on idle connections, so that it is answered before they
+        # are closed.
         for _ in range(2):
             await asyncio.sleep(0)
         ends_ms = self._clock.now_ms() + limit_ms
         while self._connections and self._clock.now_ms() < ends_ms:
             for connection in list(self._connections):
                 connection.close_if_idle()
-            await asyncio.sleep(_LOOK_MS / 1000.0)
+            await asyncio.sleep(_CLOSE_POLL_MS / 1000.0)
         self.abort()
-        # Only now: a head that does not come would hold the close.
+        # Cancelled last: until here the checks refuse overdue heads, which
+        # would delay the close.
         if self._checking is not None:
             self._checking.cancel()
 
     def abort(self) -> int:
-        """Close the connections that are left.
+        """Abort the remaining connections.
 
-        Returns how many had a request without an answer, or an answer that
-        was not out yet.
+        Returns how many had a request without a reply, or a reply that was
+        not sent completely.
         """
         return sum(connection.abort() for connection in self._connections)
 
     def _connect(self) -> _entry_connection.EntryConnection:
         return _entry_connection.EntryConnection(
-            self._door, self._metrics, self._clock, self._connections
+            self._callbacks, self._metrics, self._clock, self._connections
         )
 
     def _check(self) -> None:
