--- a/samphiredock/transport/_entry_connection.py
+++ b/samphiredock/transport/_entry_connection.py
@@ -443,7 +443,7 @@
         self._open_transport().write(data)
 
     def _close_after_reply(self) -> None:
-        """End the connection after its last reply; discard what still comes."""
+        """Close after the last reply; discard what still arrives."""
         self._queued.clear()
         self._stops_reading = True
         self._is_lingering = True
--- a/samphiredock/transport/_peers.py
+++ b/samphiredock/transport/_peers.py
@@ -1,10 +1,9 @@
-"""Messages between daemons over ``pyzmq``.
+"""Messages between daemons over ZeroMQ.
 
-Each daemon binds one PULL socket and holds one PUSH socket to each peer it
-has something to say to, so that a message has one direction and a slow
-peer fills only its own queue.  The sockets are drained from the event
-loop's own reader, which costs half to three quarters of what the library's
-asyncio sockets cost (docs/design/peer-sockets.md).
+Each daemon binds one PULL socket and connects one PUSH socket to each peer
+that it sends to, so that a slow peer fills only its own queue.  Sockets are
+read by ``loop.add_reader``, which costs less CPU time than pyzmq's asyncio
+sockets (see ``docs/design/peer-sockets.md``).
 """
 
 import asyncio
@@ -20,55 +19,59 @@
 
 _HIGH_WATER_MESSAGES = 5_000
 _DRAIN_LIMIT = 100
+"""Messages read in one turn of the event loop."""
+
 _LINGER_MS = 200
 _RESET_LINGER_MS = 1_000
+"""Covers a few connection attempts to a peer that restarts."""
 
-_HELD_ANSWERS = 256
-"""Answers that may wait for the address of one member.  A daemon that has
-just started is asked by some hundred milliseconds of callers before it has
-heard of every other one."""
+_MAX_HELD_ANSWERS = 256
+"""Answers held for one member until its address is known.  A daemon that has
+just started may be sent requests by members that it does not know yet."""
 
-_HELD_MEMBERS = 64
+_MAX_HELD_MEMBERS = 64
 
 MessageHandler = typing.Callable[[str, typing.Any], None]
 
 
 class Peers(typing.Protocol):
-    """What the coordination layer may do with its peers."""
+    """Sends messages to other daemons and dispatches received ones."""
 
     def send(self, member: str, message: msgspec.Struct) -> bool:
-        """Queue a message; False if it cannot be queued."""
+        """Queue a message; return False if it cannot be queued."""
 
     def answer(self, member: str, message: msgspec.Struct) -> None:
-        """Queue an answer, also to a member whose address comes later."""
+        """Queue an answer; it waits if the member's address is not known yet."""
 
     def subscribe(self, kind: type, handler: MessageHandler) -> None:
-        """Call ``handler(sender, message)`` for each message of a type."""
+        """Call ``handler(sender, message)`` for each message of type ``kind``."""
 
 
 class Broadcaster(typing.Protocol):
-    """How a part tells every daemon something."""
+    """Sends messages to all daemons."""
 
     def broadcast(self, message: msgspec.Struct) -> None:
         """Send a message to every other live member, best effort.
 
-        What must not be missed is kept in the platform's store as well.
+        State that no daemon may miss is also written to the platform's
+        store.
         """
 
 
 class CurveKeys(msgspec.Struct, frozen=True):
-    """CURVE key pair of a daemon, and the public keys it admits."""
+    """CURVE key pair of a daemon, and the admitted public keys by member."""
 
     public: str
     secret: str
     admitted: dict[str, str]
 
 
-class _KeyCheck:
-    """Answers the library's question whether a client's key is admitted.
+class _CurveAuthenticator:
+    """Authenticates CURVE clients by their public keys.
 
-    Sockets of a context ask through its in-process ZAP address.  This
-    answers from the event loop's own reader, as :class:`PeerHub` reads.
+    The sockets of a ZeroMQ context send authentication requests (ZAP) to an
+    in-process socket, which is read by ``loop.add_reader`` as in
+    :class:`PeerHub`.
     """
 
     def __init__(
@@ -81,10 +84,10 @@
         self._admitted = {key.encode() for key in keys.admitted.values()}
         self._loop = loop
         self._metrics = counters
-        self._library = zmq.auth.base.Authenticator(context)
-        self._library.configure_curve_callback('*', self)
-        self._library.start()
-        self._socket = self._library.zap_socket
+        self._authenticator = zmq.auth.base.Authenticator(context)
+        self._authenticator.configure_curve_callback('*', self)
+        self._authenticator.start()
+        self._socket = self._authenticator.zap_socket
         self._loop.add_reader(self._socket.fd, self._drain)
 
     def callback(self, domain: str, key: bytes) -> bool:
@@ -95,40 +98,41 @@
         return admitted
 
     def close(self) -> None:
-        """Stop answering."""
+        """Stop authenticating."""
         self._loop.remove_reader(self._socket.fd)
-        self._library.stop()
+        self._authenticator.stop()
 
     def _drain(self) -> None:
         while not self._socket.closed:
             try:
-                question = self._socket.recv_multipart(zmq.NOBLOCK)
+                zap_request = self._socket.recv_multipart(zmq.NOBLOCK)
             except zmq.Again:
                 return
-            # The library's method is a coroutine that never waits with a
-            # plain callback, so one step runs it to its end.
-            step = self._library.handle_zap_message(question)
+            # With a synchronous callback this coroutine never suspends, so
+            # one send() runs it to its end.
+            coroutine = self._authenticator.handle_zap_message(zap_request)
             try:
-                step.send(None)
+                coroutine.send(None)
             except StopIteration:
                 continue
 
 
 class PeerHub:
-    """The peer sockets of one daemon.
+    """The peer sockets of one daemon; implements :class:`Peers`.
 
     Parameters
     ----------
     name
         This daemon's member name, sent with each message.
     bind_address
-        For example ``tcp://127.0.0.1:7301``.
+        For example ``tcp://127.0.0.1:7301``; ``zmq.ZMQError`` is raised if
+        it cannot be bound.
     codec
-        The closed table of message types.
+        Encodes and decodes the known message types.
     counters
-        Where unreadable and dropped messages are counted.
+        Counts sent, dropped and unreadable messages.
     keys
-        CURVE keys, or None for plain sockets.
+        CURVE keys, or None for sockets without encryption.
     """
 
     def __init__(
@@ -153,13 +157,13 @@
         self._held: dict[str, collections.deque[msgspec.Struct]] = {}
         self._loop = asyncio.get_running_loop()
         self._closed = False
-        self._key_check: _KeyCheck | None = None
+        self._curve_authenticator: _CurveAuthenticator | None = None
         if keys is not None:
-            self._key_check = _KeyCheck(
+            self._curve_authenticator = _CurveAuthenticator(
                 self._context, self._loop, keys, counters
             )
         self._incoming = self._make_socket(zmq.PULL)
-        self._make_server(self._incoming)
+        self._set_server_keys(self._incoming)
         try:
             self._incoming.bind(bind_address)
         except zmq.ZMQError:
@@ -168,7 +172,10 @@
         self._loop.add_reader(self._incoming.fd, self._drain)
 
     def set_address(self, member: str, address: str) -> None:
-        """Say where a member listens; a change re-creates its socket."""
+        """Set where a member listens, and send the answers held for it.
+
+        A changed address replaces the member's socket.
+        """
         if self._addresses.get(member) == address:
             return
         self.reset(member)
@@ -177,12 +184,12 @@
             self.send(member, message)
 
     def reset(self, member: str) -> None:
-        """Drop the socket to a member; the next send makes a new one.
+        """Close the socket to a member; the next send opens a new one.
 
-        An open connection can go silent for good while new ones work.  It
-        may also only be slow, as with a peer that is starting again: what
-        is queued then gets the time of a few connection attempts, since an
-        order that is dropped here leaves its caller without an outcome.
+        A connection can stay open but silent while new ones work.  It may
+        also belong to a peer that restarts, so queued messages are kept for
+        a few connection attempts: a dropped order would leave its caller
+        without an outcome.
         """
         socket = self._outgoing.pop(member, None)
         if socket is not None:
@@ -191,26 +198,25 @@
     def close_idle(self) -> None:
         """Close the sockets that were not used since the last call.
 
-        An open connection costs both ends memory; among hundreds of
-        daemons most are used seldom.
+        Each open connection takes memory at both ends, and among hundreds
+        of daemons most are rarely used.
         """
         for member in self._outgoing.keys() - self._used:
             self._outgoing.pop(member).close(linger=_LINGER_MS)
         self._used.clear()
 
     def subscribe(self, kind: type, handler: MessageHandler) -> None:
-        """Call ``handler(sender, message)`` for each message of a type."""
+        """Call ``handler(sender, message)`` for each message of type ``kind``."""
         self._handlers.setdefault(kind, []).append(handler)
 
     def send(self, member: str, message: msgspec.Struct) -> bool:
-        """Queue a message; False if the member's address is unknown.
+        """Queue a message; return False if the member's address is unknown.
 
-        With CURVE keys, a member whose key is not admitted is not known
-        either: what is sent to it is counted and dropped.
+        With CURVE keys, messages to a member without an admitted key are
+        dropped and counted, although True is returned.
 
-        Messages queued for one member in one turn of the event loop leave
-        together: eight in one multipart cost a quarter each of what they
-        cost alone.
+        Messages queued for one member in one turn of the event loop are
+        sent as one multipart message, which costs less for each.
         """
         if member == self._name:
             self._loop.call_soon(self._deliver, member, message)
@@ -225,21 +231,21 @@
         return True
 
     def answer(self, member: str, message: msgspec.Struct) -> None:
-        """Queue an answer; it waits for the member's address if need be.
+        """Queue an answer; hold it until the member's address is known.
 
-        A daemon that has just started while the store is down may be asked
-        by one that it has not heard of yet.  Dropped, its answer would be
-        waited for until the search's deadline, and the search ends with
-        nothing.  Only answers wait: what begins something is either sent
-        at once, or said not to have been.
+        A daemon that has just started while the store is unreachable may
+        get requests from a member that it does not know yet.  If it dropped
+        the answer, that member would wait until its search's deadline.
+        Messages that start something are never held: :meth:`send` reports
+        at once whether they were queued.
         """
         if member == self._name or member in self._addresses:
             self.send(member, message)
             return
-        if member not in self._held and len(self._held) >= _HELD_MEMBERS:
+        if member not in self._held and len(self._held) >= _MAX_HELD_MEMBERS:
             self._held.pop(next(iter(self._held)))
         held = self._held.setdefault(
-            member, collections.deque(maxlen=_HELD_ANSWERS)
+            member, collections.deque(maxlen=_MAX_HELD_ANSWERS)
         )
         held.append(message)
         self._metrics.add('peer_answers_held')
@@ -270,11 +276,11 @@
             self._metrics.add_bulk('peer_bytes_sent', len(body), kind=kind)
 
     def deliver(self, sender: str, message: msgspec.Struct) -> None:
-        """Hand a message that came within another one to its handlers."""
+        """Pass a message that arrived inside another one to its handlers."""
         self._deliver(sender, message)
 
     def close(self) -> None:
-        """Close every socket, giving queued messages a moment to leave."""
+        """Close all sockets; queued messages have a short linger time."""
         if self._closed:
             return
         self._flush()
@@ -283,18 +289,18 @@
         self._incoming.close(linger=0)
         for socket in self._outgoing.values():
             socket.close(linger=_LINGER_MS)
-        if self._key_check is not None:
-            self._key_check.close()
+        if self._curve_authenticator is not None:
+            self._curve_authenticator.close()
         self._context.term()
 
-    def _make_server(self, socket: zmq.Socket) -> None:
+    def _set_server_keys(self, socket: zmq.Socket) -> None:
         if self._keys is None:
             return
         socket.curve_secretkey = self._keys.secret.encode()
         socket.curve_publickey = self._keys.public.encode()
         socket.curve_server = True
 
-    def _make_client(self, socket: zmq.Socket, server_key: str) -> None:
+    def _set_client_keys(self, socket: zmq.Socket, server_key: str) -> None:
         if self._keys is None:
             return
         socket.curve_secretkey = self._keys.secret.encode()
@@ -319,21 +325,21 @@
         if server_key is None:
             return None
         socket = self._make_socket(zmq.PUSH)
-        self._make_client(socket, server_key)
+        self._set_client_keys(socket, server_key)
         socket.connect(address)
         self._outgoing[member] = socket
         return socket
 
     def _server_key(self, member: str) -> str | None:
-        # With keys, nothing is sent to a member whose key is not known:
-        # a plain socket would show the message to anybody who listens.
+        # With keys, nothing is sent to a member whose key is unknown: its
+        # socket would not be encrypted.
         if self._keys is None:
             return ''
         return self._keys.admitted.get(member)
 
     def _drain(self) -> None:
-        # The descriptor is edge-triggered: a reader that stops early must
-        # come back by itself, or the rest would wait for the next message.
+        # ZeroMQ's descriptor is edge-triggered: if reading stops early, it
+        # must be scheduled again, or the rest waits for the next message.
         for _ in range(_DRAIN_LIMIT):
             if self._closed:
                 return
@@ -346,11 +352,11 @@
         self._loop.call_soon(self._drain)
 
     def _receive(self) -> list[bytes] | None:
-        """Return the next message, None if its sender is not who it says.
+        """Return the next message, None if its sender does not match its key.
 
-        A connection is admitted by its key, but the sender is a frame of
-        the message: without a check, any admitted daemon could speak for
-        another, for example say that it never sent a claimed request.
+        A connection is authenticated by its key, but the sender's name is a
+        frame of the message.  Without this check, an admitted daemon could
+        send messages in another one's name.
         """
         if self._keys is None:
             return self._incoming.recv_multipart(zmq.NOBLOCK)
