--- a/samphiredock/transport/_peers.py
+++ b/samphiredock/transport/_peers.py
@@ -41,10 +41,10 @@
         """Queue a message; return False if it cannot be queued."""
 
     def answer(self, member: str, message: msgspec.Struct) -> None:
-        """Queue an answer; it waits if the member's address is not known yet."""
+        """Queue an answer; hold it until the member's address is known."""
 
     def subscribe(self, kind: type, handler: MessageHandler) -> None:
-        """Call ``handler(sender, message)`` for each message of type ``kind``."""
+        """Call ``handler(sender, message)`` for messages of type ``kind``."""
 
 
 class Broadcaster(typing.Protocol):
@@ -206,7 +206,7 @@
         self._used.clear()
 
     def subscribe(self, kind: type, handler: MessageHandler) -> None:
-        """Call ``handler(sender, message)`` for each message of type ``kind``."""
+        """Call ``handler(sender, message)`` for messages of type ``kind``."""
         self._handlers.setdefault(kind, []).append(handler)
 
     def send(self, member: str, message: msgspec.Struct) -> bool:
