--- a/samphiredock/transport/_caller_http.py
+++ b/samphiredock/transport/_caller_http.py
@@ -11,14 +11,14 @@
 from samphiredock.transport import _http_guard
 
 IDEMPOTENCY_KEY_HEADER = 'Idempotency-Key'
-_SHOWN_CHARS = 64
-"""Characters of an idempotency key."""
+_SHOWN_KEY_CHARS = 64
+"""How much of an invalid idempotency key an error message shows."""
 
-_UNKNOWN_RETRY_MS = 1_000
+_UNKNOWN_RETRY_AFTER_MS = 1_000
 _INTERNAL_STATUS = 500
 
-_SEARCH = msgspec.json.Decoder(protocol.SearchRequest)
-_RUN = msgspec.json.Decoder(protocol.RunBody)
+_SEARCH_DECODER = msgspec.json.Decoder(protocol.SearchRequest)
+_RUN_DECODER = msgspec.json.Decoder(protocol.RunBody)
 
 _REASON_STATUS = {
     protocol.NotRunReason.BAD_REQUEST: 400,
@@ -39,7 +39,7 @@
     protocol.NotRunReason.UNKNOWN_ROUTE: 404,
 }
 
-_TYPE_STATUS = {
+_OUTCOME_STATUS = {
     protocol.Answered: 200,
     protocol.Partial: 200,
     protocol.Completed: 200,
@@ -48,59 +48,60 @@
 
 
 class RequestExecutor(typing.Protocol):
-    """What the interface asks of the daemon."""
+    """The part of the daemon that executes the requests of callers."""
 
     async def search(
         self, request: protocol.SearchRequest
     ) -> protocol.SearchOutcome:
-        """Run one search."""
+        """Run one search and return its outcome."""
 
     async def run(
         self, request: protocol.RunRequest, idempotency_key: str
     ) -> protocol.RunOutcome:
-        """Run one unrepeatable request."""
+        """Run a request at most once for its idempotency key."""
 
     def is_ready(self) -> bool:
-        """Whether the balancer should send requests here."""
+        """Return whether the load balancer should send requests here."""
 
     def is_closing(self) -> bool:
-        """Whether connections should end after the current answer."""
+        """Return whether connections should end after the current response."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Refusal:
-    """A request that was refused before anything was started."""
+    """Why a request was refused before anything was started."""
 
     status: int
     detail: str
 
     def response(self) -> web.Response:
-        """Return the refusal as a typed body."""
-        return _respond(_bad(self.detail), self.status)
+        """Return the refusal as a response with a ``NotRun`` body."""
+        return _respond(_bad_request(self.detail), self.status)
 
 
 def caller_application(
-    service: RequestExecutor,
+    executor: RequestExecutor,
     body_limit_bytes: int,
     counters: metrics.Metrics | None = None,
     limit_in_force: typing.Callable[[], int] | None = None,
 ) -> web.Application:
-    """Return the application that serves callers and the balancer.
+    """Return the application that serves callers and the load balancer.
 
-    ``body_limit_bytes`` is never passed; ``limit_in_force`` may give a
-    lower limit that changes with the configuration.
+    A body may have at most ``body_limit_bytes``, and at most what
+    ``limit_in_force`` returns, which may be lower and change with the
+    configuration.
 
-    Every request is read whole before anything is started.  A failure of
-    a handler is answered as unknown, for it may have started something.
+    A request is read completely before anything is started.  If a handler
+    fails, the outcome is ``Unknown``: it may have started something.
     """
     limit = limit_in_force or (lambda: body_limit_bytes)
-    handlers = _Handlers(service, limit)
+    handlers = _Handlers(executor, limit)
     counters = counters or metrics.Metrics('callers')
     app = web.Application(
         client_max_size=body_limit_bytes,
         middlewares=[
-            _closing(service),
-            _http_guard.guard(counters, 'callers', _error_body),
+            _close_connections(executor),
+            _http_guard.error_middleware(counters, 'callers', _error_body),
         ],
     )
     app.router.add_post('/v1/search', handlers.search)
@@ -110,11 +111,11 @@
     return app
 
 
-def _closing(service: RequestExecutor) -> typing.Callable:
-    """Return a middleware that ends connections of a daemon that stops.
+def _close_connections(executor: RequestExecutor) -> typing.Callable:
+    """Return a middleware that closes connections while the daemon stops.
 
-    Only the answer to the last request that was read ends one: those that
-    wait behind it would be dropped, with neither answer nor refusal.
+    A connection ends with the response to the last request that was read
+    from it: aiohttp would drop pipelined requests without a response.
     """
 
     @web.middleware
@@ -122,7 +123,7 @@
         request: web.Request, handler: typing.Callable
     ) -> web.StreamResponse:
         response = await handler(request)
-        if service.is_closing() and not _http_guard.waits_behind(
+        if executor.is_closing() and not _http_guard.has_queued_request(
             request.protocol
         ):
             response.force_close()
@@ -132,43 +133,43 @@
 
 
 class _Handlers:
-    """One method a route."""
+    """The request handlers, one for each route."""
 
     def __init__(
         self,
-        service: RequestExecutor,
+        executor: RequestExecutor,
         body_limit_bytes: typing.Callable[[], int],
     ) -> None:
-        self._service = service
+        self._executor = executor
         self._body_limit_bytes = body_limit_bytes
 
     async def search(self, request: web.Request) -> web.Response:
-        body = await _read(request, _SEARCH, self._body_limit_bytes())
+        body = await _read(request, _SEARCH_DECODER, self._body_limit_bytes())
         if isinstance(body, _Refusal):
             return body.response()
-        return _respond(await self._service.search(body))
+        return _respond(await self._executor.search(body))
 
     async def run(self, request: web.Request) -> web.Response:
-        body = await _read(request, _RUN, self._body_limit_bytes())
+        body = await _read(request, _RUN_DECODER, self._body_limit_bytes())
         if isinstance(body, _Refusal):
             return body.response()
         key = _idempotency_key(request)
         if isinstance(key, _Refusal):
             return key.response()
-        order = protocol.RunRequest(
+        run_request = protocol.RunRequest(
             body.service,
             body.operation,
             body.body,
             protocol.issue_time_ms(key),
             body.deadline_ms,
         )
-        return _respond(await self._service.run(order, key))
+        return _respond(await self._executor.run(run_request, key))
 
     async def live(self, request: web.Request) -> web.Response:
         return web.Response(text='live\n')
 
     async def ready(self, request: web.Request) -> web.Response:
-        if self._service.is_ready():
+        if self._executor.is_ready():
             return web.Response(text='ready\n')
         return web.Response(status=503, text='not ready\n')
 
@@ -216,21 +217,23 @@
         return _Refusal(400, f'got {len(keys)}, {expected}')
     key = protocol.canonical_key(keys[0])
     if key is None:
-        got = ascii(keys[0][:_SHOWN_CHARS])
+        got = ascii(keys[0][:_SHOWN_KEY_CHARS])
         return _Refusal(400, f'got {got}, {expected}')
     return key
 
 
-def _bad(detail: str) -> protocol.NotRun:
+def _bad_request(detail: str) -> protocol.NotRun:
     return protocol.NotRun(protocol.NotRunReason.BAD_REQUEST, detail, 0)
 
 
 def _error_body(status: int, detail: str) -> bytes:
     if status >= _INTERNAL_STATUS:
-        # The handler may have sent work before it failed: "not run" would
-        # invite the caller to have it done a second time.
-        return msgspec.json.encode(protocol.Unknown(detail, _UNKNOWN_RETRY_MS))
-    return msgspec.json.encode(_bad(detail))
+        # The handler may have started work before it failed; after "not
+        # run" the caller might have it done a second time.
+        return msgspec.json.encode(
+            protocol.Unknown(detail, _UNKNOWN_RETRY_AFTER_MS)
+        )
+    return msgspec.json.encode(_bad_request(detail))
 
 
 def _respond(
@@ -253,4 +256,4 @@
 def _status_of(outcome: protocol.Outcome) -> int:
     if isinstance(outcome, protocol.NotRun):
         return _REASON_STATUS[outcome.reason]
-    return _TYPE_STATUS[type(outcome)]
+    return _OUTCOME_STATUS[type(outcome)]
--- a/samphiredock/transport/_http_guard.py
+++ b/samphiredock/transport/_http_guard.py
@@ -1,4 +1,4 @@
-"""What the HTTP interfaces share: typed bodies for every failure."""
+"""Error handling and checks that both aiohttp interfaces share."""
 
 import typing
 
@@ -10,7 +10,7 @@
 JSON_TYPE = 'application/json'
 
 _JSON_TYPES = (JSON_TYPE, 'application/octet-stream')
-"""``application/octet-stream`` stands for a type that was not stated."""
+"""aiohttp reports ``application/octet-stream`` if no type is stated."""
 
 _DISCONNECTS = (ConnectionError, web.RequestPayloadError)
 _CLIENT_CLOSED_STATUS = 400
@@ -22,22 +22,22 @@
 _Handler = typing.Callable[[web.Request], typing.Awaitable[web.StreamResponse]]
 
 
-def guard(
+def error_middleware(
     counters: metrics.Metrics, interface: str, error_body: ErrorBody
 ) -> typing.Callable:
-    """Return a middleware that gives each failure a typed body.
+    """Return a middleware that answers each error with a JSON body.
 
     Parameters
     ----------
     counters
-        Where failures are counted, by interface and status.
+        Counts errors by interface and status.
     interface
         ``callers`` or ``operators``.
     error_body
-        Makes the body from a status and a detail.
+        Returns the body for a status and a detail.
     """
 
-    def answer(status: int, detail: str) -> web.Response:
+    def error_response(status: int, detail: str) -> web.Response:
         counters.add('http_errors', interface=interface, status=status)
         return web.Response(
             status=status,
@@ -46,35 +46,38 @@
         )
 
     @web.middleware
-    async def guarded(
+    async def handle_errors(
         request: web.Request, handler: _Handler
     ) -> web.StreamResponse:
         try:
             return await handler(request)
         except web.HTTPException as error:
-            return answer(error.status, _detail(request, error))
+            return error_response(error.status, _detail(request, error))
         except _DISCONNECTS:
-            # The body never came whole, so nothing was started; there is
-            # nobody left to read this answer.
+            # The body is incomplete, so nothing was started.  The caller is
+            # gone and will not read this response.
             counters.add('http_disconnects', interface=interface)
-            return answer(_CLIENT_CLOSED_STATUS, 'the body came cut short')
+            return error_response(
+                _CLIENT_CLOSED_STATUS, 'the body ended early'
+            )
         except Exception as error:
-            # One broken request must not take the daemon with it; what
-            # it had started is not known here.
+            # A failed handler must not stop the daemon.
             counters.add('http_handler_failures', interface=interface)
             _log.error('handler failed', path=request.path, why=repr(error))
-            return answer(_INTERNAL_STATUS, 'internal error, see the log')
+            return error_response(
+                _INTERNAL_STATUS, 'internal error, see the log'
+            )
 
-    return guarded
+    return handle_errors
 
 
 def is_busy(connection: web.RequestHandler) -> bool:
-    """Whether a request was read and its answer has not left.
+    """Return whether a connection has a request without a full response.
 
-    A caller that reads slowly leaves part of the answer in this process,
-    where it would end with it.
+    Part of a response to a caller that reads slowly is still in this
+    process and would be lost with it.
     """
-    if connection._request_in_progress or waits_behind(connection):
+    if connection._request_in_progress or has_queued_request(connection):
         return True
     open_transport = connection.transport
     return (
@@ -83,17 +86,17 @@
     )
 
 
-def waits_behind(connection: web.RequestHandler) -> bool:
-    """Whether another request was read behind the one that is served.
+def has_queued_request(connection: web.RequestHandler) -> bool:
+    """Return whether a pipelined request waits behind the one being served.
 
-    The library has no public word for it, and drops what waits as soon as
-    the answer before it closes the connection.
+    aiohttp has no public attribute for it, and drops such requests once a
+    response closes the connection.
     """
     return bool(connection._messages)
 
 
 def has_json_type(request: web.Request) -> bool:
-    """Whether the body is, or may be, JSON by its stated type."""
+    """Return whether the content type is JSON or not stated."""
     return request.content_type in _JSON_TYPES
 
 
--- a/samphiredock/transport/_operator_http.py
+++ b/samphiredock/transport/_operator_http.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for operators, on an address of its own."""
+"""The HTTP interface for operators, served on a separate address."""
 
 import asyncio
 import hmac
@@ -38,49 +38,49 @@
     protocol.ChangeUnknown: 504,
 }
 
-_CHANGE = msgspec.json.Decoder(protocol.ConfigurationChange)
+_CHANGE_DECODER = msgspec.json.Decoder(protocol.ConfigurationChange)
 
 
 class Operations(typing.Protocol):
-    """What the interface asks of the daemon."""
+    """The part of the daemon that executes the calls of operators."""
 
     def status(self) -> dict[str, typing.Any]:
-        """Return the daemon's view of members, sites and targets."""
+        """Return this daemon's view of members, sites and targets."""
 
     def configuration_source(self) -> state.ConfigurationSource | None:
-        """Return what is in force here, as operators wrote it."""
+        """Return the configuration in force here, as operators wrote it."""
 
     async def apply(
         self, change: protocol.ConfigurationChange
     ) -> protocol.ChangeOutcome:
-        """Bring a configuration into force everywhere."""
+        """Apply a configuration change to all daemons."""
 
     async def history(
         self,
     ) -> result.Result[
         typing.Sequence[protocol.ChangeSummary], protocol.OperatorError
     ]:
-        """Return the accepted changes, the newest first."""
+        """Return the accepted configuration changes, newest first."""
 
     def confirmations(self) -> protocol.Confirmations:
-        """Return the revision that each live daemon reported."""
+        """Return the configuration revision that each live daemon reported."""
 
     async def set_leaving(
         self, target: str, leaving: bool
     ) -> result.Result[None, protocol.OperatorError]:
-        """Say that a target gets no new work, or gets it again."""
+        """Set whether a target is draining, that is, gets no new work."""
 
     def quarantined(
         self,
     ) -> result.Result[
         typing.Sequence[protocol.QuarantineEntry], protocol.OperatorError
     ]:
-        """Return the request contents that are refused."""
+        """Return the quarantined request contents."""
 
     async def release(
         self, fingerprint: str
     ) -> result.Result[None, protocol.OperatorError]:
-        """Take one request content out of quarantine."""
+        """Remove one request content from the quarantine."""
 
 
 def operator_application(
@@ -88,13 +88,14 @@
 ) -> web.Application:
     """Return the application that serves operators.
 
-    With a token, every call needs ``Authorization: Bearer TOKEN``.
+    If a token is given, each call must state ``Authorization: Bearer
+    TOKEN``.
     """
     handlers = _Handlers(operations, counters)
     app = web.Application(
         client_max_size=_BODY_LIMIT_BYTES,
         middlewares=[
-            _http_guard.guard(counters, 'operators', _error_body),
+            _http_guard.error_middleware(counters, 'operators', _error_body),
             _token_check(token, counters),
         ],
     )
@@ -125,7 +126,7 @@
         request: web.Request, handler: typing.Callable
     ) -> web.StreamResponse:
         given = request.headers.get('Authorization', '')
-        # Constant time, so that a wrong guess tells nothing of the token.
+        # Constant time, so that timing does not reveal parts of the token.
         if token is not None and not hmac.compare_digest(
             given.encode('utf-8', 'surrogateescape'), expected
         ):
@@ -141,7 +142,7 @@
 
 
 class _Handlers:
-    """One method a route."""
+    """The request handlers, one for each route."""
 
     def __init__(
         self, operations: Operations, counters: metrics.Metrics
@@ -165,7 +166,7 @@
                 f'got {request.content_type}, expected application/json',
             )
         try:
-            change = _CHANGE.decode(await request.read())
+            change = _CHANGE_DECODER.decode(await request.read())
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             return _failure(_Kind.BAD_REQUEST, str(error))
         outcome = await self._operations.apply(change)
@@ -197,8 +198,8 @@
         return _from_result(await self._operations.release(fingerprint))
 
     async def metrics(self, request: web.Request) -> web.Response:
-        # A page of a hundred services takes longer to write than a search
-        # may take; in a thread it holds up the event loop by slices only.
+        # With many services the text takes long to format; in a thread it
+        # does not block the event loop for all that time.
         self._metrics.flush()
         body = await asyncio.to_thread(self._metrics.text)
         return web.Response(body=body, content_type='text/plain')
--- a/samphiredock/transport/_target_http.py
+++ b/samphiredock/transport/_target_http.py
@@ -1,4 +1,4 @@
-"""The adapter to targets: the HTTP protocol of one target."""
+"""Calls to a target by its HTTP protocol."""
 
 import asyncio
 import collections
@@ -13,8 +13,8 @@
 from samphiredock.transport import _link_errors
 
 _KEEPALIVE_S = 30.0
-_SLACK_MS = 20.0
-_CONNECT_LIMIT_MS = 1_000.0
+_TIMEOUT_SLACK_MS = 20.0
+_CONNECT_TIMEOUT_MS = 1_000.0
 
 _BATCH_ANSWER = msgspec.json.Decoder(protocol.TargetBatchAnswer)
 _RUN_ANSWER = msgspec.json.Decoder(protocol.TargetRunAnswer)
@@ -23,40 +23,48 @@
 
 
 class TargetLink(typing.Protocol):
-    """One target's protocol, as the dispatcher uses it."""
+    """The calls that the dispatcher makes to one target.
+
+    Each returns ``Failure`` with a :class:`LinkError` if there is no usable
+    answer.
+    """
 
     async def batch(
         self, body: protocol.TargetBatch, timeout_ms: float
     ) -> result.Result[protocol.TargetBatchAnswer, _link_errors.LinkError]:
-        """Run sub-queries; they take one slot.
+        """Run the sub-queries of a batch, which together take one slot.
 
-        An empty batch takes none and shows whether the target drains.
+        An empty batch takes no slot and shows whether the target drains.
         """
 
     async def run(
         self, body: protocol.TargetRun, timeout_ms: float
     ) -> result.Result[protocol.TargetRunAnswer, _link_errors.LinkError]:
-        """Run an unrepeatable request; never sent twice."""
+        """Run a request that must not be repeated; it is sent at most once."""
 
     async def cancel(
         self, body: protocol.TargetCancel, timeout_ms: float
     ) -> result.Result[protocol.TargetCancelAnswer, _link_errors.LinkError]:
-        """Cancel attempts; the answer names those that never began."""
+        """Cancel attempts; the answer lists those that had not begun."""
 
     async def health(
         self, timeout_ms: float
     ) -> result.Result[protocol.TargetHealth, _link_errors.LinkError]:
-        """Read the target's own view, on a new connection."""
+        """Return the target's report on itself, read on a new connection."""
 
     async def resize(self, connections: int) -> None:
-        """Apply another limit to the connections."""
+        """Set the limit of connections."""
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
 
 
 class _Connection:
-    """One HTTP connection; it exists from its first use to its close."""
+    """One HTTP connection, as a session of its own.
+
+    ``generation`` is that of the link when the connection was created; a
+    connection of an earlier generation is not reused.
+    """
 
     def __init__(self, generation: int) -> None:
         self.generation = generation
@@ -70,8 +78,8 @@
 
     async def close(self) -> None:
         await self.session.close()
-        # The transport closes its socket in a later turn of the loop; until
-        # then the target still counts the connection.
+        # The transport closes its socket in a later turn of the event loop;
+        # until then the target still counts the connection.
         await asyncio.sleep(0)
         await asyncio.sleep(0)
 
@@ -79,8 +87,8 @@
 class HttpTargetLink:
     """HTTP connections to one target, never more than it allows.
 
-    The library's pool bounds one session, but a session that went silent
-    has to be replaced while its other exchanges still run; so each
+    aiohttp limits the connections of one session, but after a timeout all
+    idle connections are replaced while other exchanges still run.  So each
     connection is a session of its own, counted here until it is closed.
     """
 
@@ -94,7 +102,7 @@
 
     @property
     def open_connections(self) -> int:
-        """Return how many connections count against the target's limit."""
+        """Return how many connections count towards the target's limit."""
         return self._open
 
     async def batch(
@@ -102,9 +110,9 @@
     ) -> result.Result[protocol.TargetBatchAnswer, _link_errors.LinkError]:
         """Run sub-queries; the answers must match them one by one.
 
-        The target answers in the order it was asked and echoes attempt and
-        fingerprint.  Others in a place mean that answers were crossed: none
-        of them is used, nor the connection again.
+        The target answers in the order of the items and echoes each one's
+        attempt and fingerprint.  On any mismatch, all answers are rejected
+        and the connection is closed, since its replies are mixed up.
         """
         expected = [(row.attempt_id, row.fingerprint) for row in body.items]
 
@@ -112,17 +120,17 @@
             got = [(row.attempt_id, row.fingerprint) for row in answer.answers]
             return _mismatch(got, expected)
 
-        return await self._work(
+        return await self._call(
             '/batch', body, timeout_ms, _BATCH_ANSWER, check
         )
 
     async def run(
         self, body: protocol.TargetRun, timeout_ms: float
     ) -> result.Result[protocol.TargetRunAnswer, _link_errors.LinkError]:
-        """Run an unrepeatable request.
+        """Run a request that must not be repeated; it is sent at most once.
 
-        The library re-sends only idempotent methods after a lost
-        connection; POST is not one, so a run is never sent twice.
+        aiohttp re-sends only idempotent methods after a lost connection,
+        and POST is not one.
         """
 
         def check(answer: protocol.TargetRunAnswer) -> str:
@@ -130,27 +138,27 @@
                 [(answer.attempt_id, '')], [(body.attempt_id, '')]
             )
 
-        return await self._work('/run', body, timeout_ms, _RUN_ANSWER, check)
+        return await self._call('/run', body, timeout_ms, _RUN_ANSWER, check)
 
     async def cancel(
         self, body: protocol.TargetCancel, timeout_ms: float
     ) -> result.Result[protocol.TargetCancelAnswer, _link_errors.LinkError]:
-        """Cancel attempts; the answer names those that never began."""
+        """Cancel attempts; the answer lists those that had not begun."""
         content = msgspec.json.encode(body)
-        return await self._aside(
+        return await self._control_call(
             'POST', '/cancel', content, timeout_ms, _CANCEL_ANSWER, False
         )
 
     async def health(
         self, timeout_ms: float
     ) -> result.Result[protocol.TargetHealth, _link_errors.LinkError]:
-        """Read the target's own view, which may lag or mislead."""
-        return await self._aside(
+        """Return the target's report on itself, which may be out of date."""
+        return await self._control_call(
             'GET', '/health', None, timeout_ms, _HEALTH, True
         )
 
     async def resize(self, connections: int) -> None:
-        """Apply another limit; idle connections beyond it are closed."""
+        """Set the limit of connections; idle ones above it are closed."""
         self._set_limit(connections)
         while self._open > self._limit and self._idle:
             await self._drop(self._idle.pop(0))
@@ -158,15 +166,15 @@
 
     def _set_limit(self, connections: int) -> None:
         self._limit = max(1, connections)
-        # One connection is kept free for cancels and probes.
+        # One connection is reserved for cancels and health probes.
         self._work_limit = max(1, self._limit - 1)
 
     async def close(self) -> None:
-        """Close every idle connection; the others close as they end."""
+        """Close idle connections; the others close after their exchange."""
         self._generation += 1
-        await self._close_older()
+        await self._close_outdated()
 
-    async def _work(
+    async def _call(
         self,
         path: str,
         body: msgspec.Struct,
@@ -201,13 +209,13 @@
             not usable
             and reply.failure().kind is _link_errors.LinkErrorKind.SILENT
         ):
-            # What lost track of this connection, at some box between the
-            # two ends, has most likely lost those opened before it as well.
+            # If a middlebox dropped the state of this connection, it has
+            # probably dropped that of older ones too.
             self._generation += 1
-            await self._close_older()
+            await self._close_outdated()
         return reply
 
-    async def _aside(
+    async def _control_call(
         self,
         method: str,
         path: str,
@@ -216,7 +224,10 @@
         decoder: msgspec.json.Decoder,
         fresh: bool,
     ) -> result.Result[typing.Any, _link_errors.LinkError]:
-        """Exchange beside the work; a fresh connection is not kept."""
+        """Make a call outside of the work limit.
+
+        With ``fresh`` it gets a new connection, which is closed afterwards.
+        """
         connection = await self._acquire(self._limit, timeout_ms, fresh)
         if connection is None:
             return _failure(
@@ -259,7 +270,8 @@
             self._idle.append(connection)
             self._wake_waiters()
             return
-        # Shielded: a cancelled exchange must still be counted until closed.
+        # Shielded, since a connection counts until it is closed, also if
+        # its exchange is cancelled.
         await asyncio.shield(self._drop(connection))
 
     async def _drop(self, connection: _Connection) -> None:
@@ -267,12 +279,12 @@
         self._open -= 1
         self._wake_waiters()
 
-    async def _close_older(self) -> None:
-        older = [
+    async def _close_outdated(self) -> None:
+        outdated = [
             row for row in self._idle if row.generation < self._generation
         ]
-        self._idle = [row for row in self._idle if row not in older]
-        for connection in older:
+        self._idle = [row for row in self._idle if row not in outdated]
+        for connection in outdated:
             await self._drop(connection)
 
     def _wake_waiters(self) -> None:
@@ -290,10 +302,10 @@
         timeout_ms: float,
         decoder: msgspec.json.Decoder,
     ) -> result.Result[typing.Any, _link_errors.LinkError]:
-        total_ms = timeout_ms + _SLACK_MS
+        total_ms = timeout_ms + _TIMEOUT_SLACK_MS
         limit = aiohttp.ClientTimeout(
             total=total_ms / 1000.0,
-            sock_connect=min(total_ms * 0.9, _CONNECT_LIMIT_MS) / 1000.0,
+            sock_connect=min(total_ms * 0.9, _CONNECT_TIMEOUT_MS) / 1000.0,
         )
         try:
             async with connection.session.request(
