--- a/samphiredock/transport/_link_errors.py
+++ b/samphiredock/transport/_link_errors.py
@@ -1,15 +1,17 @@
-"""Why an exchange with a target gave no answer."""
+"""Errors of exchanges with targets."""
 
 import dataclasses
 import enum
 
 
 class LinkErrorKind(enum.Enum):
-    """Why an exchange with a target gave no answer.
+    """Why an exchange with a target gave no usable reply.
 
-    Only ``UNREACHABLE`` and ``NO_CONNECTION`` prove that the target saw
-    nothing of it; the second is this daemon's own limit, and says nothing
-    of the target.
+    After ``UNREACHABLE`` and ``NO_CONNECTION`` the request was certainly not
+    sent.  ``NO_CONNECTION`` comes from this daemon's own limit and says
+    nothing about the target.  After ``BROKEN`` (connection lost, or an error
+    status), ``SILENT`` (timeout) and ``BAD_ANSWER`` (an invalid reply, or one
+    to another request) it may have run.
     """
 
     UNREACHABLE = 'unreachable'
@@ -23,8 +25,8 @@
 class LinkError:
     """A failed exchange with a target.
 
-    ``ended`` says that the target ended the exchange itself, with an error,
-    so that nothing of it still runs there.
+    ``ended`` says that the target answered with an error, so that nothing
+    of the request still runs there.
     """
 
     kind: LinkErrorKind
--- a/samphiredock/transport/_platform.py
+++ b/samphiredock/transport/_platform.py
@@ -1,9 +1,9 @@
-"""What the system asks of the platform's object service.
+"""The interface of the platform's object store and host list.
 
-Every call returns a value: ``Success`` or ``Failure`` with a
-:class:`StoreError`.  The difference between *unavailable* (not applied) and
-*lost* (perhaps applied) matters to the claims and to ``config apply``, so
-it is part of the type.
+Calls do not raise: they return ``Success``, or ``Failure`` with a
+:class:`StoreError`.  Its kind tells whether a failed write was certainly not
+applied (``UNAVAILABLE``) or may have been (``LOST``), which claims and
+``config apply`` have to know.
 """
 
 import dataclasses
@@ -13,16 +13,19 @@
 from returns import result
 
 CREATE_ONLY = 0
-"""``expected_version`` of a put that must not find the object."""
+"""``expected_version`` of a put for an object that must not exist yet."""
 
 VALUE_LIMIT_BYTES = 1_000_000
 
 
 class StoreErrorKind(enum.Enum):
-    """Why a call gave no value.
+    """Why a call failed.
 
-    ``FORGOTTEN``: the store has dropped the changes after the position of
-    a watch; reading everything anew is the only way on.
+    ``CONFLICT``: the stored version is not the expected one.
+    ``UNAVAILABLE``: the call was not applied.  ``LOST``: it may have been
+    applied.  ``REFUSED``: the value is too large.  ``FORGOTTEN``: the store
+    no longer has the changes after the position of a watch; everything must
+    be read again from position 0.
     """
 
     NOT_FOUND = 'not-found'
@@ -35,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreError:
-    """A failed call; after ``LOST`` a write may have taken effect."""
+    """A failed call; after ``LOST`` a write may have been applied."""
 
     kind: StoreErrorKind
     detail: str
@@ -43,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredObject:
-    """An object and the version that a conditional update must name."""
+    """An object with its version, which a conditional write must state."""
 
     key: str
     version: int
@@ -52,9 +55,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WatchPage:
-    """Objects changed after ``position``; ``gone`` lists deleted keys.
+    """Result of a watch: changed objects and the keys of deleted ones.
 
-    A ``whole`` page holds everything there is: what it lacks is gone too.
+    ``position`` is where the next watch continues.  A ``whole`` page lists
+    all objects below the prefix; any other one has been deleted.
     """
 
     changed: tuple[StoredObject, ...]
@@ -65,38 +69,39 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Host:
-    """One row of the platform's lagging list."""
+    """One host in the platform's host list, which may be out of date."""
 
     name: str
     leaving: bool
 
 
 class Objects(typing.Protocol):
-    """The object service, as the coordination layer uses it."""
+    """The object store, as the coordination layer uses it."""
 
     async def get(self, key: str) -> result.Result[StoredObject, StoreError]:
-        """Read one object."""
+        """Return one object."""
 
     async def put(
         self, key: str, value: bytes, expected_version: int
     ) -> result.Result[int, StoreError]:
-        """Write if the stored version is as expected; return the new one.
+        """Write if the stored version is ``expected_version``.
 
-        ``CREATE_ONLY`` expects that there is no such object.
+        Returns the new version.  ``CREATE_ONLY`` requires that the object
+        does not exist.
         """
 
     async def delete(
         self, key: str, expected_version: int
     ) -> result.Result[int, StoreError]:
-        """Delete if the stored version is as expected."""
+        """Delete if the stored version is ``expected_version``."""
 
     async def scan(
         self, prefix: str, may_be_stale: bool = False
     ) -> result.Result[tuple[StoredObject, ...], StoreError]:
-        """Read all objects below a prefix.
+        """Return all objects below a prefix.
 
-        With ``may_be_stale`` the answer may be some seconds old, which
-        costs the store less.
+        With ``may_be_stale`` the result may be some seconds old, which
+        allows the store to serve it at a lower cost.
         """
 
     async def watch(
@@ -104,14 +109,14 @@
     ) -> result.Result[WatchPage, StoreError]:
         """Wait for changes below a prefix after ``position``.
 
-        Position 0 returns everything there is at once.
+        Position 0 returns all objects at once.
         """
 
 
 class Platform(Objects, typing.Protocol):
-    """The object service with the platform's list of hosts."""
+    """The object store together with the platform's host list."""
 
     async def hosts(
         self,
     ) -> result.Result[tuple[Host, ...], StoreError]:
-        """Read the lagging list of live and leaving hosts."""
+        """Return live and leaving hosts; the list may be out of date."""
--- a/samphiredock/transport/_platform_http.py
+++ b/samphiredock/transport/_platform_http.py
@@ -1,4 +1,4 @@
-"""The platform's object service over HTTP."""
+"""Client of the platform's object store over HTTP."""
 
 import urllib.parse
 
@@ -15,7 +15,7 @@
 
 
 class ObjectRow(msgspec.Struct, frozen=True):
-    """One object as the list and watch calls show it."""
+    """One object in the JSON of list and watch replies."""
 
     key: str
     version: int
@@ -23,7 +23,7 @@
 
 
 class ObjectPage(msgspec.Struct, frozen=True):
-    """Answer of the list and watch calls."""
+    """JSON body of list and watch replies."""
 
     objects: list[ObjectRow]
     gone: list[str] = []
@@ -31,18 +31,18 @@
 
 
 class HostRow(msgspec.Struct, frozen=True):
-    """One row of the host list."""
+    """One host in the JSON of the host list."""
 
     name: str
     leaving: bool = False
 
 
-_PAGE = msgspec.json.Decoder(ObjectPage)
-_HOSTS = msgspec.json.Decoder(list[HostRow])
+_PAGE_DECODER = msgspec.json.Decoder(ObjectPage)
+_HOSTS_DECODER = msgspec.json.Decoder(list[HostRow])
 
 
 class HttpPlatform:
-    """Client of the object service.
+    """Client of the object store; implements :class:`Platform`.
 
     Parameters
     ----------
@@ -51,7 +51,7 @@
     base_url
         For example ``http://127.0.0.1:7100``.
     timeout_ms
-        Bound on each call but a watch.
+        Timeout of each call except a watch.
     """
 
     def __init__(
@@ -62,12 +62,12 @@
     ) -> None:
         self._calls = _store_calls.StoreCalls(session, base_url, timeout_ms)
         self._hosts: tuple[_platform.Host, ...] = ()
-        self._hosts_tag: str | None = None
+        self._hosts_etag: str | None = None
 
     async def get(
         self, key: str
     ) -> result.Result[_platform.StoredObject, _platform.StoreError]:
-        """Read one object."""
+        """Return one object."""
         reply = await self._calls.call('GET', self._path(key))
         return _store_replies.parse_store_reply(
             reply,
@@ -79,7 +79,7 @@
     async def put(
         self, key: str, value: bytes, expected_version: int
     ) -> result.Result[int, _platform.StoreError]:
-        """Write if the stored version is as expected."""
+        """Write if the stored version is ``expected_version``."""
         if len(value) > _platform.VALUE_LIMIT_BYTES:
             return result.Failure(
                 _platform.StoreError(
@@ -98,7 +98,7 @@
     async def delete(
         self, key: str, expected_version: int
     ) -> result.Result[int, _platform.StoreError]:
-        """Delete if the stored version is as expected."""
+        """Delete if the stored version is ``expected_version``."""
         reply = await self._calls.call(
             'DELETE', self._path(key), None, _if_match(expected_version)
         )
@@ -111,7 +111,7 @@
     ) -> result.Result[
         tuple[_platform.StoredObject, ...], _platform.StoreError
     ]:
-        """Read all objects below a prefix."""
+        """Return all objects below a prefix."""
         query = urllib.parse.urlencode({'prefix': prefix})
         reply = await self._calls.call('GET', f'/objects?{query}')
         return _store_replies.parse_store_reply(
@@ -137,24 +137,24 @@
     async def hosts(
         self,
     ) -> result.Result[tuple[_platform.Host, ...], _platform.StoreError]:
-        """Read the lagging list of live and leaving hosts."""
-        tag = self._hosts_tag
-        headers = {'If-None-Match': tag} if tag is not None else None
+        """Return live and leaving hosts; the list may be out of date."""
+        etag = self._hosts_etag
+        headers = {'If-None-Match': etag} if etag is not None else None
         reply = await self._calls.call('GET', '/hosts', headers=headers)
         return _store_replies.parse_store_reply(reply, self._read_hosts)
 
     def _read_hosts(
         self, got: _store_replies.StoreReply
     ) -> tuple[_platform.Host, ...]:
-        # A list of thousands of hosts each second would be more than all
-        # other control traffic, so it is sent only when it has changed.
+        # The list is polled often and may have thousands of hosts, so the
+        # store sends it only if its ETag has changed.
         status, content, headers = got
         if status != _NOT_MODIFIED:
             self._hosts = tuple(
                 _platform.Host(row.name, row.leaving)
-                for row in _HOSTS.decode(content)
+                for row in _HOSTS_DECODER.decode(content)
             )
-            self._hosts_tag = headers.get('ETag')
+            self._hosts_etag = headers.get('ETag')
         return self._hosts
 
     def _path(self, key: str) -> str:
@@ -162,7 +162,7 @@
 
 
 def _page(content: bytes, whole: bool = True) -> _platform.WatchPage:
-    page = _PAGE.decode(content)
+    page = _PAGE_DECODER.decode(content)
     objects = tuple(
         _platform.StoredObject(row.key, row.version, row.value.encode())
         for row in page.objects
--- a/samphiredock/transport/_pooled_store_calls.py
+++ b/samphiredock/transport/_pooled_store_calls.py
@@ -1,8 +1,7 @@
-"""Calls to an object service over kept connections.
+"""Calls to an object store over pooled connections.
 
-The client of the daemons that pass requests on: it shares the connections'
-code with the targets, so that such a daemon need not load the HTTP library,
-160 to 250 ms of its start and 14 MB (see ``docs/design/start.md``).
+Used by entry daemons instead of aiohttp's client, whose import would slow
+down their start (see ``docs/design/start.md``).
 """
 
 import math
@@ -19,30 +18,30 @@
 from samphiredock.transport import _store_replies
 
 _CONNECTIONS = 16
-"""A daemon waits in two watches and makes a few short calls beside them."""
+"""Covers two pending watches and a few short calls."""
 
 _Kind = _link_errors.LinkErrorKind
 
-_UNSENT = frozenset({_Kind.UNREACHABLE, _Kind.NO_CONNECTION})
-"""Ends that prove that the service saw nothing of the call."""
+_NOT_SENT = frozenset({_Kind.UNREACHABLE, _Kind.NO_CONNECTION})
+"""Errors after which the store has certainly not seen the call."""
 
 
 class PooledStoreCalls:
-    """The calls of one client; implements :class:`StoreCaller`.
+    """Makes calls over a connection pool; implements :class:`StoreCaller`.
 
     Parameters
     ----------
     clock
         The timers of this daemon.
     address
-        ``IP:port`` of the service.
+        ``IP:port`` of the store.
     """
 
     def __init__(self, clock: timers.Timers, address: str) -> None:
         self._address = address
-        self._service = state.LiveTarget(address, '', address, '', slots=1)
+        self._store = state.LiveTarget(address, '', address, '', slots=1)
         self._pool = _connection_pool.ConnectionPool(
-            clock, lambda service: _CONNECTIONS
+            clock, lambda store: _CONNECTIONS
         )
 
     async def call(
@@ -53,21 +52,21 @@
         headers: typing.Mapping[str, str] | None = None,
         timeout_ms: int | None = None,
     ) -> result.Result[_store_replies.StoreReply, _platform.StoreError]:
-        """Make one call; a write is sent once.
+        """Make one call; a write is sent at most once.
 
-        A read whose kept connection turns out to be closed is sent again
-        on a new one: else each reset connection would look like an outage
-        of the service.
+        A read whose connection breaks is sent once more on a new one, so
+        that a reset of a pooled connection does not look like an outage of
+        the store.
         """
         limit_ms = timeout_ms or _store_replies.STORE_CALL_TIMEOUT_MS
         request = self._request(method, path, body, headers)
         reply = await self._send(request, limit_ms, math.inf)
-        if method not in _store_replies.WRITES and _is_broken(reply):
+        if method not in _store_replies.WRITE_METHODS and _is_broken(reply):
             reply = await self._send(request, limit_ms, 0.0)
         if isinstance(reply, result.Failure):
             return _failure(reply.failure())
         got = reply.unwrap()
-        return _store_replies.judge(
+        return _store_replies.classify_reply(
             f'{method} {path}', (got.status, got.body, dict(got.headers))
         )
 
@@ -82,8 +81,8 @@
         body: bytes | None,
         headers: typing.Mapping[str, str] | None,
     ) -> protocol.HttpRequest:
-        stated = (('Host', self._address), *(headers or {}).items())
-        return protocol.HttpRequest(method, path, stated, body or b'')
+        all_headers = (('Host', self._address), *(headers or {}).items())
+        return protocol.HttpRequest(method, path, all_headers, body or b'')
 
     async def _send(
         self,
@@ -92,19 +91,19 @@
         max_idle_ms: float,
     ) -> result.Result[protocol.HttpReply, _link_errors.LinkError]:
         reply = await self._pool.exchange(
-            self._service, request, limit_ms, lambda got: True, max_idle_ms
+            self._store, request, limit_ms, lambda got: True, max_idle_ms
         )
         if _kind_of(reply) is _Kind.SILENT:
-            # Its siblings may have gone silent with it, and each would cost
-            # a call its whole time.
-            self._pool.forget(self._service)
+            # Other idle connections may have gone silent too, and each would
+            # cost a call its full timeout.
+            self._pool.forget(self._store)
         return reply
 
 
 def _kind_of(
     reply: result.Result[protocol.HttpReply, _link_errors.LinkError],
 ) -> _link_errors.LinkErrorKind | None:
-    """Return how a call failed, None if it was answered."""
+    """Return the kind of a failed call's error, None if it succeeded."""
     if isinstance(reply, result.Failure):
         return reply.failure().kind
     return None
@@ -120,6 +119,6 @@
     error: _link_errors.LinkError,
 ) -> result.Failure[_platform.StoreError]:
     kind = _platform.StoreErrorKind.LOST
-    if error.kind in _UNSENT:
+    if error.kind in _NOT_SENT:
         kind = _platform.StoreErrorKind.UNAVAILABLE
     return _store_replies.failure(kind, f'{error.kind.value}: {error.detail}')
--- a/samphiredock/transport/_store_calls.py
+++ b/samphiredock/transport/_store_calls.py
@@ -1,4 +1,4 @@
-"""Calls to an object service by the HTTP library's client."""
+"""Calls to an object store by aiohttp's client."""
 
 import asyncio
 import typing
@@ -10,31 +10,31 @@
 from samphiredock.transport import _store_replies
 
 
-class _AnswerLost(aiohttp.ClientError):
-    """The connection closed under a write, which may have taken effect."""
+class _ReplyLost(aiohttp.ClientError):
+    """The connection closed during a write, which may have been applied."""
 
 
 async def _send_once(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Keep the HTTP library from sending a write a second time.
+    """Prevent aiohttp from sending a write a second time.
 
-    It repeats an idempotent method once when a kept-alive connection
-    closes.  The copy of a conditional write that had taken effect is
-    answered with a conflict, and the caller would be told that its change
-    was beaten though it is in force.  The library repeats only after the
-    two errors mapped here, so another error type is enough.
+    aiohttp repeats an idempotent method once when a kept-alive connection
+    closes.  If the first copy of a conditional write was applied, the second
+    one gets a conflict, as if the write had not been applied.  aiohttp
+    repeats only after the two errors mapped here, so raising another type
+    prevents it.
     """
     try:
         return await handler(request)
     except aiohttp.ClientConnectorError:
         raise
     except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
-        raise _AnswerLost(type(error).__name__) from error
+        raise _ReplyLost(type(error).__name__) from error
 
 
 class StoreCalls:
-    """The calls of one client.
+    """Makes calls with an aiohttp session; implements :class:`StoreCaller`.
 
     Parameters
     ----------
@@ -43,7 +43,7 @@
     base_url
         For example ``http://127.0.0.1:7100``.
     timeout_ms
-        Bound on a call that states none.
+        Timeout of a call that states none.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         headers: typing.Mapping[str, str] | None = None,
         timeout_ms: int | None = None,
     ) -> result.Result[_store_replies.StoreReply, _platform.StoreError]:
-        """Make one call; a write is sent once."""
+        """Make one call; a write is sent at most once."""
         limit = aiohttp.ClientTimeout(
             total=(timeout_ms or self._timeout_ms) / 1000.0
         )
@@ -76,12 +76,12 @@
                 headers=headers,
                 timeout=limit,
                 middlewares=(_send_once,)
-                if method in _store_replies.WRITES
+                if method in _store_replies.WRITE_METHODS
                 else (),
             ) as response:
                 content = await response.read()
         except aiohttp.ClientConnectorError as error:
-            # No connection was made, so the call cannot have taken effect.
+            # No connection was made, so nothing was applied.
             return _store_replies.failure(
                 _platform.StoreErrorKind.UNAVAILABLE, str(error)
             )
@@ -89,6 +89,6 @@
             return _store_replies.failure(
                 _platform.StoreErrorKind.LOST, f'{type(error).__name__}'
             )
-        return _store_replies.judge(
+        return _store_replies.classify_reply(
             f'{method} {path}', (response.status, content, response.headers)
         )
--- a/samphiredock/transport/_store_replies.py
+++ b/samphiredock/transport/_store_replies.py
@@ -1,4 +1,4 @@
-"""What the ends of calls to an object service prove, for every client."""
+"""Interprets replies of an object store, for all of its clients."""
 
 import typing
 
@@ -9,9 +9,10 @@
 
 STORE_CALL_TIMEOUT_MS = 3_000
 STORE_WATCH_SLACK_MS = 3_000
+"""Added to the time that a watch waits at the store."""
 
-WRITES = frozenset({'POST', 'PUT', 'DELETE'})
-"""Methods whose call may have taken effect though its answer is lost."""
+WRITE_METHODS = frozenset({'POST', 'PUT', 'DELETE'})
+"""Methods that may have been applied although their reply was lost."""
 
 _SUCCESSES = (200, 201, 304)
 
@@ -25,11 +26,11 @@
 }
 
 StoreReply = tuple[int, bytes, typing.Mapping[str, str]]
-"""Status, content and headers of an answer."""
+"""Status, body and headers of a reply."""
 
 
 class StoreCaller(typing.Protocol):
-    """Makes the calls of one store client."""
+    """Makes HTTP calls to an object store."""
 
     async def call(
         self,
@@ -39,13 +40,19 @@
         headers: typing.Mapping[str, str] | None = None,
         timeout_ms: int | None = None,
     ) -> result.Result[StoreReply, _platform.StoreError]:
-        """Make one call; a write is sent once."""
+        """Make one call; a write is sent at most once.
 
+        ``timeout_ms`` replaces the caller's default timeout.
+        """
 
-def judge(
+
+def classify_reply(
     call: str, reply: StoreReply
 ) -> result.Result[StoreReply, _platform.StoreError]:
-    """Return what an answer proves; ``call`` names it in the error."""
+    """Return a reply, or the failure that its status means.
+
+    ``call`` names the call in the error.
+    """
     status, content, _ = reply
     if status in _SUCCESSES:
         return result.Success(reply)
@@ -61,10 +68,10 @@
     reply: result.Result[StoreReply, _platform.StoreError],
     read: typing.Callable[[StoreReply], _T],
 ) -> result.Result[_T, _platform.StoreError]:
-    """Read an answer; one that cannot be read counts as lost.
+    """Parse a reply with ``read``; an unreadable one counts as ``LOST``.
 
-    A raised error would end the task that polls or watches, and the daemon
-    would silently learn nothing more.
+    Raising instead would end the task that polls or watches the store, and
+    the daemon would get no further updates.
     """
     if isinstance(reply, result.Failure):
         return reply
@@ -72,12 +79,12 @@
         return result.Success(read(reply.unwrap()))
     except (msgspec.DecodeError, LookupError, ValueError) as error:
         return failure(
-            _platform.StoreErrorKind.LOST, f'unreadable answer: {error!r}'
+            _platform.StoreErrorKind.LOST, f'unreadable reply: {error!r}'
         )
 
 
 def failure(
     kind: _platform.StoreErrorKind, detail: str
 ) -> result.Failure[_platform.StoreError]:
-    """Return the failure of a call."""
+    """Return a ``Failure`` with a :class:`StoreError`."""
     return result.Failure(_platform.StoreError(kind, detail))
