--- a/samphiredock/transport/_caller_http.py
+++ b/samphiredock/transport/_caller_http.py
@@ -209,7 +209,7 @@
     keys = request.headers.getall(IDEMPOTENCY_KEY_HEADER, [])
     expected = (
         f'expected one {IDEMPOTENCY_KEY_HEADER} header with a UUID of '
-        'version 7, made once for the request and kept for its retries'
+        'version 7, generated once per request and reused for its retries'
     )
     if not keys:
         return _Refusal(428, f'got none, {expected}')
--- a/samphiredock/transport/_http_connection.py
+++ b/samphiredock/transport/_http_connection.py
@@ -79,8 +79,8 @@
     def feed(self, data: bytes) -> None:
         """Parse received bytes.
 
-        Raises ``httptools.HttpParserError`` if they are not HTTP or too
-        many.
+        Raises ``httptools.HttpParserError`` if they are not HTTP, or if
+        the reply is too large.
         """
         self._size += len(data)
         if self._size > _REPLY_LIMIT_BYTES:
