--- a/samphiredock/coordination/forwarding/_presence.py
+++ b/samphiredock/coordination/forwarding/_presence.py
@@ -23,16 +23,16 @@
 DAEMONS_PREFIX = 'samphiredock-daemons/'
 
 LIST_INTERVAL_MS = 5_000.0
-"""Interval between lists in a small system, and so the time until a new daemon
-gets its part of the budget."""
+"""Interval at which the daemons are listed in a small system, and so the time
+until a new daemon gets its part of the budget."""
 
 FIRST_INTERVAL_MS = 1_000.0
-"""Interval before the second list after a start.  It doubles for the next
-ones, while daemons that start together register."""
+"""Interval between the first and the second listing after a start.  It doubles
+for the next ones, while daemons that start together register."""
 
 _FULL_RATE_DAEMONS = 30
 """Number of daemons beyond which the interval grows.  At a constant interval
-the traffic of all lists would grow with the square of the number."""
+the traffic of all listings would grow with the square of the number."""
 
 _STARTUP_LISTS = 3
 _STARTUP_FACTOR = 2
@@ -91,7 +91,7 @@
         return self._daemons
 
     def on_introduction(self, daemons: tuple[_roles.Daemon, ...]) -> bool:
-        """Take the daemons that another one sent; return whether used.
+        """Use the list that another daemon sent; return whether it was used.
 
         They are ignored once this daemon has read the list itself, since they
         may be older.
@@ -120,7 +120,7 @@
             return
         reply = await self._store.delete(self._key, self._version)
         if isinstance(reply, result.Failure):
-            _log.info('object left behind', why=reply.failure().detail)
+            _log.info('own object not deleted', why=reply.failure().detail)
 
     async def _run(self) -> None:
         await self._join()
@@ -153,7 +153,7 @@
             await self._list(may_be_stale=False)
 
     def _interval_ms(self) -> float:
-        """Return the interval between lists, longer in a large system."""
+        """Return the interval between listings, longer in a large system."""
         return LIST_INTERVAL_MS * max(
             1.0, len(self._daemons) / _FULL_RATE_DAEMONS
         )
@@ -188,7 +188,7 @@
         if isinstance(reply, result.Failure):
             # Until the next write, requests come here that a daemon nearer
             # to the targets should get.
-            _log.info('object not written', why=reply.failure().detail)
+            _log.info('own object not updated', why=reply.failure().detail)
             return
         self._version = reply.unwrap()
 
--- a/samphiredock/coordination/forwarding/_target_client.py
+++ b/samphiredock/coordination/forwarding/_target_client.py
@@ -99,9 +99,9 @@
         """
         target = self._targets.get(target_id)
         if target is None:
-            return ExchangeResult(_Status.UNREACHABLE, 'gone')
+            return ExchangeResult(_Status.UNREACHABLE, 'target not registered')
         if hedge and not self._links.has_room(target):
-            return ExchangeResult(_Status.NO_IDLE_SLOT, 'no connection')
+            return ExchangeResult(_Status.NO_IDLE_SLOT, 'no free connection')
         sent_ms = self._clock.now_ms()
         reply = await self._links.exchange(
             target,
@@ -125,7 +125,7 @@
     def record_result(
         self, target_id: str, status: _Status, took_ms: float
     ) -> None:
-        """Record the result of an exchange as the health of its target."""
+        """Record the result of an exchange in the health of its target."""
         if self._targets.get(target_id) is None:
             return
         now_ms = self._clock.now_ms()
