--- a/samphiredock/coordination/forwarding/_attempt_sender.py
+++ b/samphiredock/coordination/forwarding/_attempt_sender.py
@@ -122,6 +122,12 @@
         pending: _pending_requests.PendingRequest,
         effect: _scatter_types.SendAttempts,
     ) -> None:
+        """Send attempts to their targets or as an order to their dispatcher.
+
+        The dispatcher is the target itself or the merger of its site.  A hedge
+        or retry is sent directly if the merger already has an order for the
+        shard.
+        """
         are_first = [
             self._record_sent(pending, item, effect.dispatcher)
             for item in effect.items
--- a/samphiredock/coordination/forwarding/_caller_time.py
+++ b/samphiredock/coordination/forwarding/_caller_time.py
@@ -21,7 +21,7 @@
 
 
 class CallerTimeEstimator:
-    """The times stated by recent callers, by route."""
+    """Estimates the time spent from the times left that callers state."""
 
     def __init__(self) -> None:
         self._samples: dict[str, collections.deque[float]] = {}
--- a/samphiredock/coordination/forwarding/_collected_parts.py
+++ b/samphiredock/coordination/forwarding/_collected_parts.py
@@ -1,4 +1,10 @@
-"""Collects the parts of one search and keeps their greatest records."""
+"""Collects the parts of one search and keeps their greatest records.
+
+A part is the answer of one target for its shard: a receipt, which is the
+target's proof that it ran the request, and records of ``RECORD_BYTES`` bytes.
+A merged part, from a daemon of another site, has the receipts of several
+shards and the greatest of their records.
+"""
 
 import typing
 
@@ -9,10 +15,10 @@
 class CollectedParts:
     """Receipts by shard, and the greatest records.
 
-    A merged part covers several shards and cannot be taken apart.  While one
-    may still come for a shard, another part of that shard may have to be
-    discarded in its favour.  Until then it is kept separately, because its
-    records could not be removed from the greatest records again.
+    A merged part cannot be taken apart, so it replaces any other part of its
+    shards, such as that of a hedge.  While a merged part may still come for a
+    shard, another part of the shard is kept separately: its records could not
+    be removed from the greatest records again.
 
     Parameters
     ----------
@@ -58,7 +64,7 @@
             self._merge({shard: receipt}, body)
 
     def floor(self) -> bytes:
-        """Return a record such that smaller ones cannot be in the answer.
+        """Return the least of the greatest records; others must exceed it.
 
         Empty while too few records are known.  Replaceable parts do not count,
         since their records may not be in the answer.
--- a/samphiredock/coordination/forwarding/_crash_guard.py
+++ b/samphiredock/coordination/forwarding/_crash_guard.py
@@ -1,10 +1,11 @@
 """Refuses requests whose content crashes the targets that run it.
 
-If a content crashes targets, its caller retries it at any daemon, and each
-search takes down one target of every shard.  There is no time to try a suspect
-content on a single target first, so it is quarantined after targets were lost
-while running it in two separate requests.  One outage counts as one request,
-however many targets it takes down.
+A request's content is its method, host, path and body.  If it crashes targets,
+its caller retries it at any daemon, and each search takes down one target of
+every shard.  There is no time to try a suspect content on a single target
+first, so it is quarantined after targets were lost while running it in two
+separate requests.  One outage counts as one request, however many targets it
+takes down.
 """
 
 import collections
@@ -27,8 +28,8 @@
 
 MIN_GAP_MS = 250.0
 """Losses closer together than this count as one request.  A retry sent at once
-meets targets that are already down; those that it crashes itself are lost a
-service time later at the earliest."""
+meets targets that are already down; those that it crashes itself are lost
+later, since they work on it first."""
 
 EXPIRY_MS = 60_000.0
 """How long a content is remembered after its last loss."""
@@ -50,7 +51,10 @@
 
 @dataclasses.dataclass(slots=True)
 class _ContentLosses:
-    """The losses under one content; ``requests`` are those that count."""
+    """Targets lost while they ran one content.
+
+    ``requests`` are the requests that count, ``last_ms`` is the last loss.
+    """
 
     targets: set[str] = dataclasses.field(default_factory=set)
     requests: set[str] = dataclasses.field(default_factory=set)
--- a/samphiredock/coordination/forwarding/_forward_types.py
+++ b/samphiredock/coordination/forwarding/_forward_types.py
@@ -28,7 +28,7 @@
     def read_reply(
         self, request: protocol.ForwardRequest, reply: protocol.HttpReply
     ) -> protocol.TargetReply:
-        """Return a target's reply with its status as an attempt."""
+        """Return a target's reply with the status of the attempt."""
 
     def is_reply_to(
         self, request: protocol.ForwardRequest, reply: protocol.HttpReply
@@ -90,11 +90,12 @@
 class ForwardSettings:
     """Settings of the forwarder.
 
-    ``site`` is this daemon's own.  ``caller_way_ms`` is the part of a route's
-    aim taken by the network between caller and daemon, both ways, without
-    connecting.  ``max_idle_once_ms`` is the longest idle time of a connection
-    used for a request that must run at most once: if the target has closed the
-    connection meanwhile, the request is lost and may not be sent again.
+    ``site`` is this daemon's own.  ``caller_way_ms`` is the network round trip
+    between caller and daemon, without connecting; it is subtracted from a
+    route's aim, the latency up to which an answer has its full value.
+    ``max_idle_once_ms`` is the longest idle time of a connection used for a
+    request that must run at most once: if the target has closed the connection
+    meanwhile, the request is lost and may not be sent again.
     """
 
     site: str
--- a/samphiredock/coordination/forwarding/_forwarder.py
+++ b/samphiredock/coordination/forwarding/_forwarder.py
@@ -1,7 +1,7 @@
 """Runs one scatter for each forwarded request.
 
-:class:`coordination.Scatter` decides which targets to ask; an
-:class:`AttemptSender` sends the requests.
+The :class:`coordination.Scatter` decides which targets are asked, and when; an
+:class:`AttemptSender` sends the requests and returns the results to it.
 """
 
 import asyncio
@@ -29,11 +29,12 @@
 from samphiredock import timers
 
 INITIAL_HEDGE_SHARE = 0.3
-"""Share of a route's aim after which to hedge while no latencies are known."""
+"""Share of a route's aim (``Route.aim_ms``) after which to hedge while no
+latencies are known."""
 
 NO_TARGET_RETRY_MS = 300
-"""When to retry after a refusal whose cause should pass soon.  A lost target
-is tried again after 200 ms."""
+"""When a caller should retry after a refusal whose cause should pass soon.
+Longer than the 200 ms after which a lost target is tried again."""
 
 
 class Forwarder:
@@ -93,7 +94,7 @@
         self._is_stopping = False
 
     def close(self) -> None:
-        """Write the pending log lines."""
+        """Write the log lines that are still queued."""
         self._outcome_log.close()
 
     def pending_requests(self) -> list[_pending_requests.PendingSummary]:
@@ -130,7 +131,8 @@
         request
             The caller's request.
         hop_ms
-            Part of the route's aim that the hop over another daemon takes.
+            Part of the route's aim that another daemon takes to hand the
+            request over and to return the reply; 0 without a handover.
         """
         started_ms = self._clock.now_ms()
         planned = self._plan(request, started_ms, hop_ms)
--- a/samphiredock/coordination/forwarding/_freshness_check.py
+++ b/samphiredock/coordination/forwarding/_freshness_check.py
@@ -31,7 +31,11 @@
 
 
 class StoreStatus(msgspec.Struct, frozen=True):
-    """A daemon's routing version and whether it ``hears`` the store."""
+    """The status that a daemon reports to its peers.
+
+    ``version`` is that of its routing table; ``hears`` says whether it has
+    contact with the store.
+    """
 
     version: int
     hears: bool
--- a/samphiredock/coordination/forwarding/_handover.py
+++ b/samphiredock/coordination/forwarding/_handover.py
@@ -80,7 +80,7 @@
 def coordinator_reply(
     reply: protocol.HttpReply, handed: HandedOver, version: int
 ) -> protocol.HttpReply:
-    """Return the caller's reply with the handover headers added."""
+    """Return the reply for the caller with the handover headers added."""
     added = ((_ID, handed.request_id), (_VERSION, str(version)))
     return dataclasses.replace(reply, headers=reply.headers + added)
 
@@ -95,8 +95,9 @@
 def can_retry_elsewhere(outcome: protocol.ForwardOutcome) -> bool:
     """Whether another coordinator can still run a request handed over.
 
-    This one is shutting down and has sent nothing.  If its refusal were passed
-    on, it would cost the caller one of its few tries.
+    It can if this coordinator has refused because it is shutting down: nothing
+    was sent.  Passed on, the refusal would cost the caller one of its few
+    tries.
     """
     return (
         isinstance(outcome, protocol.NotRun)
@@ -136,7 +137,7 @@
 
     @property
     def table(self) -> 'HandoverRouting':
-        """Itself; it is always available."""
+        """This object: a route to the coordinators always exists."""
         return self
 
     @property
@@ -213,7 +214,7 @@
     ) -> protocol.TargetReply:
         """Return a coordinator's reply, without the handover headers."""
         if reply.header(_ID) is None:
-            # It may have forwarded the request before it failed.
+            # The coordinator may have sent the request before it failed.
             return protocol.TargetReply(
                 _Status.BROKEN, reply, detail=f'status {reply.status}'
             )
--- a/samphiredock/coordination/forwarding/_introduce.py
+++ b/samphiredock/coordination/forwarding/_introduce.py
@@ -3,8 +3,8 @@
 A daemon that starts while the store is unreachable knows no coordinators and
 would refuse every request.  Other daemons still have its address in their
 list, so each one regularly sends the coordinators to the next daemon on a
-ring.  The receiver uses them only until it has read the list from the store
-itself.
+ring.  This is an introduction; the receiver uses it only until it has read the
+list from the store itself.
 """
 
 import typing
@@ -37,8 +37,9 @@
 def successors(
     daemons: typing.Iterable[_roles.Daemon], name: str
 ) -> list[_roles.Daemon]:
-    """Return the daemons after ``name`` on the ring that are tried in turn.
+    """Return the daemons after ``name`` on the ring, the next one first.
 
+    The introduction is sent to the first of them that accepts it.
     The ring is ordered by site, so that most introductions stay within one.
     """
     ring = sorted(daemons, key=lambda row: (row.site, row.name))
--- a/samphiredock/coordination/forwarding/_live_targets.py
+++ b/samphiredock/coordination/forwarding/_live_targets.py
@@ -78,13 +78,13 @@
     def on_removed(
         self, callback: typing.Callable[[state.LiveTarget], None]
     ) -> None:
-        """Call back with each target that is removed."""
+        """Call ``callback`` with each target that is removed from now on."""
         self._on_removed.append(callback)
 
     def on_added(
         self, callback: typing.Callable[[state.LiveTarget], None]
     ) -> None:
-        """Call back with each target that is added."""
+        """Call ``callback`` with each target that is added from now on."""
         self._on_added.append(callback)
 
     def put(self, target: state.LiveTarget) -> None:
@@ -137,7 +137,7 @@
                 self._drop(target.target_id, 'started again')
 
     def _has_leaving_changed(self, target: state.LiveTarget) -> bool:
-        """Whether a known target begins to leave, or no longer does."""
+        """Whether a known target begins to leave or stops leaving."""
         before = self._targets.get(target.target_id)
         return before is not None and before.leaving != target.leaving
 
--- a/samphiredock/coordination/forwarding/_merger.py
+++ b/samphiredock/coordination/forwarding/_merger.py
@@ -64,7 +64,7 @@
             events.put_nowait(_Aborted())
 
     def close(self) -> None:
-        """Write the pending log lines."""
+        """Write the log lines that are still queued."""
         self._log.write()
 
     async def reports(
@@ -126,6 +126,7 @@
         left_ms: float,
         events: asyncio.Queue[_Event],
     ) -> None:
+        """Send one item of an order and put its result into ``events``."""
         sent_ms = self._clock.now_ms()
         target = self._target_client.target(item.target)
         if target is None or target.service != item.service or target.leaving:
@@ -170,7 +171,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Totals:
-    """What has been reported of an order."""
+    """Numbers of parts and failures reported for an order."""
 
     began_ms: float
     parts: int = 0
--- a/samphiredock/coordination/forwarding/_merger_assignments.py
+++ b/samphiredock/coordination/forwarding/_merger_assignments.py
@@ -48,7 +48,10 @@
         return self._targets.snapshot
 
     def owner(self, target: str) -> str | None:
-        """Return the daemon that asks a target, or the target if direct."""
+        """Return the daemon that asks a target, None if it is not registered.
+
+        For a target that is asked directly this is the target itself.
+        """
         found = self._targets.get(target)
         if found is None:
             return None
--- a/samphiredock/coordination/forwarding/_order_client.py
+++ b/samphiredock/coordination/forwarding/_order_client.py
@@ -94,7 +94,8 @@
         def handle_chunk(chunk: bytes) -> None:
             nonlocal first_report_ms, broken
             if broken:
-                # Later parts are cut against the report that was unreadable.
+                # Later parts leave out the records that are smaller than those
+                # of the unreadable report.
                 return
             first_report_ms = min(first_report_ms, self._clock.now_ms())
             read = protocol.decode_report(chunk)
--- a/samphiredock/coordination/forwarding/_order_tracker.py
+++ b/samphiredock/coordination/forwarding/_order_tracker.py
@@ -20,6 +20,7 @@
 another search's order ahead of it."""
 
 _MIN_GATHER_MS = 1.0
+"""A gather time of 0 would tell the merger not to gather."""
 
 HEDGE_DELAY_MS = 1.0
 """Delay between dropping a silent daemon and hedging its shards.  Other
@@ -79,7 +80,7 @@
         items: list[protocol.SubQuery],
         is_gathering: bool,
     ) -> None:
-        """Order a daemon to send these attempts.
+        """Order ``merger`` to send the attempts ``items``.
 
         ``is_gathering`` is true for first attempts, the only ones whose
         results may come back merged: see :class:`ReportBatcher`.
@@ -219,7 +220,7 @@
         if unknown or len(set(numbers)) < len(numbers):
             # The merged part may hold records of an attempt that was not
             # ordered or was reported before.  They cannot be taken out, and
-            # later reports are cut against them, so the order is dropped.
+            # later reports leave out smaller ones, so the order is dropped.
             sent_order.is_broken = True
             _log.error(
                 'order report invalid',
@@ -306,7 +307,10 @@
     def drop(
         self, pending: _pending_requests.PendingRequest, attempt_id: str
     ) -> None:
-        """Cancel an order once none of its open attempts is needed."""
+        """Note that an attempt is not needed any more.
+
+        Its order is cancelled once none of the order's open attempts is.
+        """
         sent_order = pending.sent_orders[attempt_id]
         sent_order.unwanted.add(_number_of(attempt_id))
         if sent_order.task is not None and sent_order.unwanted >= set(
--- a/samphiredock/coordination/forwarding/_outcome_log.py
+++ b/samphiredock/coordination/forwarding/_outcome_log.py
@@ -27,7 +27,7 @@
         self._log = _request_log.RequestLog(clock, counters)
 
     def close(self) -> None:
-        """Write the pending log lines."""
+        """Write the log lines that are still queued."""
         self._log.write()
 
     def log_refused(
--- a/samphiredock/coordination/forwarding/_pending_requests.py
+++ b/samphiredock/coordination/forwarding/_pending_requests.py
@@ -67,6 +67,10 @@
     all of them.  ``parts`` collects the results of a search; ``replies`` holds
     whole replies by attempt, one of which may be passed on.  ``failure`` is a
     target's own error reply, passed on if nothing better comes.
+
+    ``shard_of``, ``sent_orders`` and ``exchanges`` have attempt ids as keys;
+    an attempt is in ``sent_orders`` if another daemon sends it, otherwise in
+    ``exchanges`` until it ends.  ``asked`` and ``answered`` are shards.
     """
 
     plan: _route_plans.ForwardPlan
@@ -144,7 +148,8 @@
     pending, finish
         The request, and how its scatter ended.
     now_ms
-        A request that is unanswered at its deadline has timed out.
+        The current time; at or after the deadline, an unanswered request has
+        timed out.
     """
     plan = pending.plan
     outcome = finish.outcome
--- a/samphiredock/coordination/forwarding/_report_batcher.py
+++ b/samphiredock/coordination/forwarding/_report_batcher.py
@@ -21,7 +21,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Part:
-    """The result of one attempt: its receipt and records."""
+    """The answer of one target: its receipt and records.
+
+    ``number`` is that of the ordered item.
+    """
 
     number: int
     receipt: str
@@ -65,7 +68,10 @@
         return self._report((ended,), is_late=False)
 
     def on_gather_timeout(self) -> protocol.MergeReport | None:
-        """Return the merged part so far; None if all has been reported."""
+        """End the gathering; return the report of the parts so far.
+
+        None if the order does not gather or all has been reported.
+        """
         if not self._is_gathering or self.is_done():
             return None
         self._is_gathering = False
--- a/samphiredock/coordination/forwarding/_roles.py
+++ b/samphiredock/coordination/forwarding/_roles.py
@@ -30,10 +30,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Daemon:
-    """A daemon as the others know it; ``address`` is for its peers.
+    """A daemon as the others know it.
 
-    ``cores`` is its host's capacity in cores, ``near`` whether its site has
-    enough targets to coordinate.
+    ``address`` is where its peers connect, ``cores`` its host's capacity in
+    cores, ``near`` whether its site has enough targets to coordinate.
     """
 
     name: str
@@ -92,7 +92,7 @@
     Parameters
     ----------
     target_limit
-        How many the target accepts in total.
+        How many connections the target accepts in total.
     daemons
         How many daemons share them.
     """
@@ -107,6 +107,12 @@
 class Role:
     """Whether this daemon coordinates, and since when.
 
+    ``coordinates`` is true until a list of daemons says otherwise;
+    ``since_ms`` is when it last changed.  ``is_candidate`` says that this
+    daemon is one of the largest of its site, which coordinate if the site is
+    near the targets.  ``coordinators`` are the names of the daemons that
+    coordinate.
+
     Parameters
     ----------
     name
--- a/samphiredock/coordination/forwarding/_route_plans.py
+++ b/samphiredock/coordination/forwarding/_route_plans.py
@@ -56,7 +56,7 @@
 
 def least_shards(route: state.Route) -> int:
     """Return the least number of shards that an answer needs."""
-    # 0.85 * 20 is 17.000000000000004 in floating point.
+    # 0.55 * 100 is 55.00000000000001 in floating point.
     return max(1, math.ceil(route.least_share * len(route.shards) - 1e-6))
 
 
@@ -79,8 +79,9 @@
     services, targets
         The services to ask, and the targets of each.
     outside_ms
-        The part of the route's aim that the caller has already spent and
-        that the way back to it will take.
+        The part of the route's aim spent outside of this daemon: by the
+        caller before its request came, on the network, and by a daemon that
+        hands the request over.
     initial_hedge_delay_ms
         When to hedge while no latencies are known.
     """
--- a/samphiredock/coordination/forwarding/_routing.py
+++ b/samphiredock/coordination/forwarding/_routing.py
@@ -30,7 +30,7 @@
     def subscribe(
         self, callback: typing.Callable[[state.RoutingTable], None]
     ) -> None:
-        """Call back with each table that is put in force."""
+        """Call ``callback`` with each table that is put in force."""
         self._subscribers.append(callback)
 
     def offer(self, table: state.RoutingTable) -> bool:
--- a/samphiredock/coordination/forwarding/_splitter.py
+++ b/samphiredock/coordination/forwarding/_splitter.py
@@ -7,6 +7,8 @@
 
 @dataclasses.dataclass(slots=True)
 class _Credit:
+    """A service's weight, and how far its count lags behind its share."""
+
     service: str
     weight: float
     credit: float = 0.0
--- a/samphiredock/coordination/forwarding/_window_budget.py
+++ b/samphiredock/coordination/forwarding/_window_budget.py
@@ -39,6 +39,8 @@
 class WindowBudget:
     """Counts first and extra requests by shard in a sliding window.
 
+    Implements the ``Budget`` of a scatter.  A shard is a service here.
+
     Parameters
     ----------
     clock
@@ -84,7 +86,10 @@
     def record_first_attempts(
         self, shards: typing.Sequence[str], share: float
     ) -> None:
-        """Count the first request to each shard; ``share`` is ignored."""
+        """Count the first request to each shard.
+
+        ``share`` is for budgets that earn tokens; it is ignored.
+        """
         now_ms = self._clock.now_ms()
         for shard in shards:
             self._windows[shard].first.append(now_ms)
--- a/tests/failure/test_cold_start.py
+++ b/tests/failure/test_cold_start.py
@@ -28,7 +28,10 @@
     """
 
     async def _run_searches(self) -> tuple[list[float], int, int]:
-        """Return the time of each answer, the requests and the handshakes."""
+        """Return the time of each answer, in milliseconds, and two counts.
+
+        These are the requests and the handshakes.
+        """
         clock = timers.ManualTimers()
         rng = random.Random(memory_links.SEED)
         targets = cold_links.SlotTargets(clock, rng, work_ms=_WORK_MS)
--- a/tests/failure/test_cross_site_orders.py
+++ b/tests/failure/test_cross_site_orders.py
@@ -70,7 +70,10 @@
         await self.desk.advance(300.0)
 
     def check_consistent(self, outcome: protocol.ForwardOutcome) -> None:
-        """Check the records, and that each shard counts once or is missing."""
+        """Check that receipts, records and the number missing agree.
+
+        Each shard must count once or be missing.
+        """
         self.assertIsInstance(outcome, protocol.Gathered)
         shards = [row.split('-')[1] for row in outcome.receipts]
         self.assertEqual(len(set(shards)), len(shards))
@@ -207,7 +210,7 @@
         await memory_links.settle()
 
     async def test_unreachable_merger_costs_nothing(self) -> None:
-        """Its targets are asked directly at once, and none twice."""
+        """The merger's targets are asked directly at once, and none twice."""
         self.links.dead = set(self.desk.mergers)
         await self._ask()
         self.assertEqual(36, len(self.desk.links.open))
@@ -316,10 +319,11 @@
         self.check_target_limit()
 
     async def test_unreadable_merged_part(self) -> None:
-        """Its later parts are cut against a merged part that was not read.
+        """A merger's first report, with a merged part, cannot be read.
 
-        They may lack records of the answer, so nothing more of that order may
-        be used.
+        The merger leaves out later records that are smaller than those of the
+        merged part.  They may belong in the answer, so nothing more of that
+        order may be used.
         """
         desk = memory_orders.OrderDesk(far_only=True)
         desk.offer(2, least_share=0.02)
--- a/tests/failure/test_finish_all.py
+++ b/tests/failure/test_finish_all.py
@@ -19,7 +19,7 @@
     """
 
     def setUp(self) -> None:
-        """Set up ten shards, eight required, and one service of three."""
+        """Set up ten shards, eight required, and a service of 3 targets."""
         self.desk = memory_links.ForwardDesk()
 
     async def _ask(self, path: str) -> asyncio.Task[protocol.ForwardOutcome]:
--- a/tests/unit/test_merger_assignments.py
+++ b/tests/unit/test_merger_assignments.py
@@ -11,10 +11,10 @@
 
 
 class MergerAssignmentsTest(unittest.TestCase):
-    """Targets at four sites, daemons at three of them."""
+    """Targets at sites ``a`` to ``d``; this daemon is at ``a``."""
 
     def setUp(self) -> None:
-        """Two daemons each at ``b`` and ``c``, none at ``d``."""
+        """Register two daemons each at ``b`` and ``c``, and none at ``d``."""
         self.clock = timers.ManualTimers()
         self.targets = forwarding.LiveTargets(self.clock)
         self.peers = forwarding.LiveTargets(self.clock)
--- a/tests/unit/test_roles.py
+++ b/tests/unit/test_roles.py
@@ -114,7 +114,7 @@
         return forwarding.read_handed_over(sent.headers)
 
     def test_handover_round_trip(self) -> None:
-        """Its own headers are kept, those of the hop are removed."""
+        """The caller's headers are kept, those of the hop are removed."""
         handed = self._handed()
         self.assertEqual((('X', 'y'),), handed.headers)
         self.assertEqual('id', handed.request_id)
@@ -150,7 +150,7 @@
         self.assertEqual(4, handed.least_version)
 
     def test_refusal_is_not_passed_on(self) -> None:
-        """Nothing has run, so another one is asked."""
+        """Nothing has run, so another coordinator is asked."""
         reply = forwarding.refusal_reply(self._handed(), 'behind')
         read = self.dialect.read_reply(self.request, reply)
         self.assertIs(protocol.SubStatus.SHED, read.status)
--- a/tests/unit/test_route_plans.py
+++ b/tests/unit/test_route_plans.py
@@ -43,7 +43,7 @@
         )  # fmt: skip
 
     def test_least_shards_are_rounded_up(self) -> None:
-        """0.85 of 20 is 17, though ``0.85 * 20`` is slightly more."""
+        """Fewer would be below the least share; one is always needed."""
         for share, count, expected in (
             (0.89, 20, 18),
             (0.85, 20, 17),
