--- a/samphiredock/coordination/forwarding/_attempt_sender.py
+++ b/samphiredock/coordination/forwarding/_attempt_sender.py
@@ -276,7 +276,7 @@
     def _hedge_late(
         self, pending: _pending_requests.PendingRequest, attempt_ids: list[str]
     ) -> None:
-        """Hedge attempts that a merging daemon reports as late."""
+        """Hedge attempts that a merger reports as late."""
         if not pending.done.done():
             now_ms = self._clock.now_ms()
             effects = pending.scatter.on_late(attempt_ids, now_ms)
@@ -285,7 +285,7 @@
     def _hedge_silent(
         self, pending: _pending_requests.PendingRequest, attempt_ids: list[str]
     ) -> None:
-        """Hedge attempts ordered from a daemon that has not reported."""
+        """Hedge attempts ordered from a merger that has not reported."""
         now_ms = self._clock.now_ms()
         effects = pending.scatter.on_silent(attempt_ids, now_ms)
         self.apply(pending, effects)
@@ -323,9 +323,9 @@
 def _was_ordered(
     pending: _pending_requests.PendingRequest, shard: str, merger: str
 ) -> bool:
-    """Whether a daemon already has an order for a target of this shard.
+    """Whether a merger already has an order for a target of this shard.
 
-    If that daemon hangs, a hedge through it would hang as well.
+    If that merger hangs, a hedge through it would hang as well.
     """
     return any(
         pending.shard_of[attempt_id] == shard
--- a/samphiredock/coordination/forwarding/_merger_assignments.py
+++ b/samphiredock/coordination/forwarding/_merger_assignments.py
@@ -28,8 +28,8 @@
     targets
         The registered targets.
     mergers
-        By site, the daemon that asks its targets; other sites' targets are
-        asked directly.
+        By site, the daemon that asks its targets (the merger); other sites'
+        targets are asked directly.
     """
 
     def __init__(
@@ -60,11 +60,11 @@
         return self._mergers.get(found.site, target)
 
     def ask_directly(self, target: str) -> None:
-        """Ask a target directly, since its daemon has refused to."""
+        """Ask a target directly, since its merger has refused to."""
         self._direct.add(target)
 
     def drop_merger(self, merger: str) -> None:
-        """Ask the targets of a daemon directly from now on."""
+        """Ask the targets assigned to a merger directly from now on."""
         self._mergers = {
             site: name
             for site, name in self._mergers.items()
--- a/samphiredock/coordination/forwarding/_order_client.py
+++ b/samphiredock/coordination/forwarding/_order_client.py
@@ -27,7 +27,7 @@
 
 
 class OrderClient:
-    """Sends merge orders.
+    """Sends merge orders to mergers, which are daemons of other sites.
 
     Parameters
     ----------
@@ -149,13 +149,13 @@
         return _Status.ORDER_LOST
 
     def _on_success(self, merger: str) -> None:
-        """Mark a peer as reachable again, if it was lost."""
+        """Mark a merger as reachable again, if it was lost."""
         if self._peers.get(merger):
             record = self._peers.record(merger)
             record.on_answer(1, 0.0, self._clock.now_ms())
 
     def on_late(self, merger: str) -> None:
-        """Count a daemon that has not reported in time as failed."""
+        """Count a merger that has not reported in time as failed."""
         self._metrics.add('orders_late')
         self._loads.record_failure(merger)
 
--- a/samphiredock/coordination/forwarding/_order_tracker.py
+++ b/samphiredock/coordination/forwarding/_order_tracker.py
@@ -15,7 +15,7 @@
 
 REPORT_GRACE_MS = 15.0
 """How long after its due time an order's first report is waited for.  After
-that its daemon gets no more of the search, and its shards are hedged.  Covers
+that the merger gets no more of the search, and the shards are hedged.  Covers
 the round trip between sites, sending the requests and merging the parts, with
 another search's order ahead of it."""
 
@@ -23,8 +23,8 @@
 """A gather time of 0 would tell the merger not to gather."""
 
 HEDGE_DELAY_MS = 1.0
-"""Delay between dropping a silent daemon and hedging its shards.  Other
-daemons that are silent as well are dropped by then, so no hedge goes through
+"""Delay between dropping a silent merger and hedging its shards.  Other
+mergers that are silent as well are dropped by then, so no hedge goes through
 them."""
 
 _Status = protocol.SubStatus
@@ -46,9 +46,9 @@
     on_results
         Called with the results of a request's attempts.
     on_late
-        Called with attempts that the ordered daemon reports as late.
+        Called with attempts that a merger reports as late.
     on_silent
-        Called with attempts of a daemon that has not reported in time.
+        Called with attempts of a merger that has not reported in time.
     """
 
     def __init__(
@@ -106,7 +106,7 @@
         pending: _pending_requests.PendingRequest,
         sent_order: _pending_requests.SentOrder,
     ) -> None:
-        """Drop a daemon that has not reported in time from the search.
+        """Drop a merger that has not reported in time from the search.
 
         It may hang, and hedges sent through it would hang as well.
         """
--- a/samphiredock/coordination/forwarding/_presence.py
+++ b/samphiredock/coordination/forwarding/_presence.py
@@ -93,8 +93,8 @@
     def on_introduction(self, daemons: tuple[_roles.Daemon, ...]) -> bool:
         """Use the list that another daemon sent; return whether it was used.
 
-        They are ignored once this daemon has read the list itself, since they
-        may be older.
+        It is ignored once this daemon has read the list from the store, since
+        it may be older.
         """
         if self._has_read_list:
             return False
@@ -109,7 +109,7 @@
         self._task = background.start(self._run(), 'presence')
 
     async def wait_listed(self) -> None:
-        """Wait until the first list was attempted, successfully or not."""
+        """Wait until the daemons were listed, or a first try failed."""
         await self._first_list_done.wait()
 
     async def leave(self) -> None:
@@ -138,6 +138,7 @@
     async def _join(self) -> None:
         """List the other daemons and register this one, until both succeed.
 
+        A conflict counts as success: this daemon's object exists already.
         A stale read is cheaper and usually complete.  Only if it shows no
         other daemon is the newest list read, since daemons that start together
         would each take themselves for the only one.
