--- a/samphiredock/coordination/search/_scatter_round.py
+++ b/samphiredock/coordination/search/_scatter_round.py
@@ -26,9 +26,9 @@
 class Attempt:
     """A pending sub-query to one target.
 
-    ``alone`` says that it runs in an exchange of its own.  ``is_ordered``
-    says that another daemon queries the target, and has not reported the
-    attempt as late.
+    ``alone`` says that no other request is in the same HTTP exchange with
+    the target.  ``is_ordered`` says that another daemon queries the target by
+    a merge order, and has not reported the attempt as late.
     """
 
     shard: 'ShardState'
@@ -57,13 +57,15 @@
     outstanding
         How many attempts are pending.
     passes
-        How many times the replicas were candidates, including now.
+        How many passes over the replicas have begun; another one begins when
+        replicas that refused become candidates again.
     pause_ms
         The longest pause that a refusing replica asked for.
     retry_at_ms
         When to query the retryable replicas, 0 if no pause is running.
     hedged
-        Whether no further hedge is wanted.
+        Whether no hedge may be sent: one was sent already, or the budget
+        denied it.
     hedge_refusals, next_hedge_ms
         How many hedges found no idle slot, and when the next may be sent.
     snapshot_gone
@@ -134,19 +136,21 @@
         least = least_keys(self.plan.search.least_coverage)
         return self._answered_shards > 0 and self.covered_keys() >= least
 
-    def is_least_unreachable(self) -> bool:
+    def is_least_coverage_unreachable(self) -> bool:
         """Return whether the least coverage cannot be reached any more."""
         least = least_keys(self.plan.search.least_coverage)
         return state.KEY_SPACE_SIZE - self._uncovered_keys < least
 
     def accepted(self) -> tuple[protocol.SubAnswer, ...]:
         """Return the answers whose records may be merged."""
-        return tuple(row for shard in self.shards for row in shard.answers)
+        return tuple(
+            answer for shard in self.shards for answer in shard.answers
+        )
 
     def covered_ranges(self) -> list[protocol.KeyRange]:
         """Return the key ranges that the accepted answers searched."""
         return _merge.union_of(
-            row for shard in self.shards for row in shard.ranges
+            key_range for shard in self.shards for key_range in shard.ranges
         )
 
     def covered_keys(self) -> int:
