--- a/samphiredock/coordination/forwarding/_attempt_sender.py
+++ b/samphiredock/coordination/forwarding/_attempt_sender.py
@@ -122,6 +122,12 @@
         pending: _pending_requests.PendingRequest,
         effect: _scatter_types.SendAttempts,
     ) -> None:
+        """Send attempts to their targets or as an order to their dispatcher.
+
+        The dispatcher is the target itself or the merger of its site.  A hedge
+        or retry is sent directly if the merger already has an order for the
+        shard.
+        """
         are_first = [
             self._record_sent(pending, item, effect.dispatcher)
             for item in effect.items
@@ -270,7 +276,7 @@
     def _hedge_late(
         self, pending: _pending_requests.PendingRequest, attempt_ids: list[str]
     ) -> None:
-        """Hedge attempts that a merging daemon reports as late."""
+        """Hedge attempts that a merger reports as late."""
         if not pending.done.done():
             now_ms = self._clock.now_ms()
             effects = pending.scatter.on_late(attempt_ids, now_ms)
@@ -279,7 +285,7 @@
     def _hedge_silent(
         self, pending: _pending_requests.PendingRequest, attempt_ids: list[str]
     ) -> None:
-        """Hedge attempts ordered from a daemon that has not reported."""
+        """Hedge attempts ordered from a merger that has not reported."""
         now_ms = self._clock.now_ms()
         effects = pending.scatter.on_silent(attempt_ids, now_ms)
         self.apply(pending, effects)
@@ -317,9 +323,9 @@
 def _was_ordered(
     pending: _pending_requests.PendingRequest, shard: str, merger: str
 ) -> bool:
-    """Whether a daemon already has an order for a target of this shard.
+    """Whether a merger already has an order for a target of this shard.
 
-    If that daemon hangs, a hedge through it would hang as well.
+    If that merger hangs, a hedge through it would hang as well.
     """
     return any(
         pending.shard_of[attempt_id] == shard
--- a/samphiredock/coordination/forwarding/_order_tracker.py
+++ b/samphiredock/coordination/forwarding/_order_tracker.py
@@ -15,15 +15,16 @@
 
 REPORT_GRACE_MS = 15.0
 """How long after its due time an order's first report is waited for.  After
-that its daemon gets no more of the search, and its shards are hedged.  Covers
+that the merger gets no more of the search, and the shards are hedged.  Covers
 the round trip between sites, sending the requests and merging the parts, with
 another search's order ahead of it."""
 
 _MIN_GATHER_MS = 1.0
+"""A gather time of 0 would tell the merger not to gather."""
 
 HEDGE_DELAY_MS = 1.0
-"""Delay between dropping a silent daemon and hedging its shards.  Other
-daemons that are silent as well are dropped by then, so no hedge goes through
+"""Delay between dropping a silent merger and hedging its shards.  Other
+mergers that are silent as well are dropped by then, so no hedge goes through
 them."""
 
 _Status = protocol.SubStatus
@@ -45,9 +46,9 @@
     on_results
         Called with the results of a request's attempts.
     on_late
-        Called with attempts that the ordered daemon reports as late.
+        Called with attempts that a merger reports as late.
     on_silent
-        Called with attempts of a daemon that has not reported in time.
+        Called with attempts of a merger that has not reported in time.
     """
 
     def __init__(
@@ -79,7 +80,7 @@
         items: list[protocol.SubQuery],
         is_gathering: bool,
     ) -> None:
-        """Order a daemon to send these attempts.
+        """Order ``merger`` to send the attempts ``items``.
 
         ``is_gathering`` is true for first attempts, the only ones whose
         results may come back merged: see :class:`ReportBatcher`.
@@ -105,7 +106,7 @@
         pending: _pending_requests.PendingRequest,
         sent_order: _pending_requests.SentOrder,
     ) -> None:
-        """Drop a daemon that has not reported in time from the search.
+        """Drop a merger that has not reported in time from the search.
 
         It may hang, and hedges sent through it would hang as well.
         """
@@ -219,7 +220,7 @@
         if unknown or len(set(numbers)) < len(numbers):
             # The merged part may hold records of an attempt that was not
             # ordered or was reported before.  They cannot be taken out, and
-            # later reports are cut against them, so the order is dropped.
+            # later reports leave out smaller ones, so the order is dropped.
             sent_order.is_broken = True
             _log.error(
                 'order report invalid',
@@ -306,7 +307,10 @@
     def drop(
         self, pending: _pending_requests.PendingRequest, attempt_id: str
     ) -> None:
-        """Cancel an order once none of its open attempts is needed."""
+        """Note that an attempt is not needed any more.
+
+        Its order is cancelled once none of the order's open attempts is.
+        """
         sent_order = pending.sent_orders[attempt_id]
         sent_order.unwanted.add(_number_of(attempt_id))
         if sent_order.task is not None and sent_order.unwanted >= set(
