--- a/tests/unit/test_caller_http.py
+++ b/tests/unit/test_caller_http.py
@@ -1,4 +1,4 @@
-"""Bad input of callers: a status and a typed body for each."""
+"""The HTTP interface for callers: statuses, bodies and limits."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 
 
 class CallerHttpTest(unittest.IsolatedAsyncioTestCase):
-    """The real application over loopback."""
+    """The real application, called over loopback."""
 
     async def asyncSetUp(self) -> None:
         """Start the application."""
@@ -42,12 +42,8 @@
         async with self.client.post(path, data=data, headers=names) as got:
             return got.status, await got.json(), got.headers
 
-    async def test_a_closing_daemon_answers_what_waits(self) -> None:
-        """Two requests come on one connection, and both are answered.
-
-        The connection ends with the answer to the last one that was read:
-        ended by the first, it would take the second with it.
-        """
+    async def test_a_stopping_daemon_answers_pipelined_requests(self) -> None:
+        """Closing after the first response would drop the second request."""
         self.service.closing = True
         body = msgspec.json.encode(SEARCH)
         request = (
@@ -70,7 +66,7 @@
     async def test_bad_input_has_its_own_status_and_starts_nothing(
         self,
     ) -> None:
-        """The daemon is not asked, so "not run" is true."""
+        """The request does not reach the daemon, so "not run" is correct."""
         key = {'Idempotency_Key': KEY}
         cases = (
             ('/v1/search', b'{', {}, 400),
@@ -104,7 +100,7 @@
         self.assertEqual([], self.service.asked)
 
     async def test_a_failed_handler_is_unknown_and_counted(self) -> None:
-        """It may have sent work before it failed."""
+        """It may have started work, so "not run" would be wrong."""
         self.service.error = RuntimeError('broken')
         status, answer, _ = await self._post(
             '/v1/run', RUN, Idempotency_Key=KEY
@@ -116,11 +112,10 @@
         self.assertEqual((200, 'answered'), (status, answer['type']))
 
     async def test_a_key_has_one_spelling_and_its_own_time(self) -> None:
-        """A retry runs nothing twice, however it writes its key.
+        """A retry that spells its key differently must not run again.
 
-        The same key in other letters would be claimed as another one, and
-        a time sent beside the key could be set anew by each retry, so that
-        a claim long dropped would not be missed.
+        The issue time is taken from the key, since a retry could send a
+        newer one after the claim has expired.
         """
         self.service.outcome = protocol.Completed({}, True, False)
         for text in (KEY, KEY.upper(), KEY.replace('-', ''), f'{{{KEY}}}'):
@@ -128,8 +123,8 @@
         self.assertEqual([KEY] * 4, self.service.asked)
         self.assertEqual({1_700_000_000_000}, self.service.issued_at_ms)
 
-    async def test_the_limit_in_force_may_be_lower(self) -> None:
-        """It changes with the configuration, not with a restart."""
+    async def test_the_body_limit_follows_the_configuration(self) -> None:
+        """A change applies without a restart."""
         limit = [10]
         app = transport.caller_application(
             self.service, BODY_LIMIT_BYTES, self.counters, lambda: limit[0]
@@ -139,7 +134,7 @@
                 async with client.post('/v1/search', json=SEARCH) as got:
                     self.assertEqual(expected, got.status)
 
-    async def test_each_reason_has_a_status_and_a_retry(self) -> None:
+    async def test_each_reason_has_a_status_and_a_retry_time(self) -> None:
         """``Retry-After`` is in whole seconds, rounded up."""
         for reason in protocol.NotRunReason:
             self.service.outcome = protocol.NotRun(reason, 'why', 1_200)
@@ -148,8 +143,8 @@
             self.assertEqual(reason.value, answer['reason'])
             self.assertEqual('2', headers['Retry-After'])
 
-    async def test_a_caller_that_leaves_early_is_no_failure(self) -> None:
-        """The body never came whole, so nothing was started."""
+    async def test_a_disconnect_within_a_body_is_no_failure(self) -> None:
+        """The body is incomplete, so nothing was started."""
         port = self.client.server.port
         reader, writer = await asyncio.open_connection('127.0.0.1', port)
         writer.write(
--- a/tests/unit/test_connection_pool.py
+++ b/tests/unit/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to targets: whole answers, each to its own request."""
+"""Pooled connections: complete replies, each to its own request."""
 
 import asyncio
 import math
@@ -17,11 +17,11 @@
 Kind = transport.LinkErrorKind
 
 
-class ChannelTest(unittest.IsolatedAsyncioTestCase):
-    """One pool and one target that answers by a script."""
+class ConnectionPoolTest(unittest.IsolatedAsyncioTestCase):
+    """One pool and one target with scripted replies."""
 
     async def asyncSetUp(self) -> None:
-        """Listen and make a pool."""
+        """Start the target and create the pool."""
         self.clock = timers.LoopTimers()
         self.pool = transport.ConnectionPool(self.clock, lambda target: 4)
         self.target = scripted_target.ScriptedTarget(self._plain)
@@ -29,7 +29,7 @@
         self.entry = state.LiveTarget('t', 's', address, 'here', 2)
 
     async def asyncTearDown(self) -> None:
-        """Close what was opened."""
+        """Close the pool and stop the target."""
         self.pool.close()
         await self.target.stop()
         self.clock.close()
@@ -46,8 +46,8 @@
         await asyncio.sleep(0.02)
         await self._plain(seen, writer)
 
-    def _take_time_in_hand(self, limit: int = 4) -> timers.ManualTimers:
-        """Use a pool whose idle times the test moves."""
+    def _use_manual_clock(self, limit: int = 4) -> timers.ManualTimers:
+        """Replace the pool by one whose clock the test advances."""
         clock = timers.ManualTimers()
         self.pool = transport.ConnectionPool(clock, lambda target: limit)
         return clock
@@ -66,29 +66,29 @@
             max_idle_ms,
         )
 
-    async def test_a_connection_is_used_again(self) -> None:
-        """A new one would hold a slot of the target for some ms."""
+    async def test_a_connection_is_reused(self) -> None:
+        """Opening a new connection would occupy a slot of the target."""
         for number in range(5):
             reply = (await self._ask(f'r{number}')).unwrap()
             self.assertEqual(f'r{number}'.encode(), reply.body)
         self.assertEqual(1, self.target.connections)
 
-    async def test_what_nobody_wants_any_more_is_not_sent(self) -> None:
-        """It would take a slot of the target, for an answer to nobody.
+    async def test_an_unwanted_request_is_not_sent(self) -> None:
+        """A search ends while its request waits for a connection.
 
-        Its search ends while it waits for a connection; the connection goes
-        to the next one that waits.
+        The request would take a slot of the target for nothing; the
+        connection goes to the next waiting request instead.
         """
         self.pool = transport.ConnectionPool(self.clock, lambda target: 1)
-        go_on = asyncio.Event()
+        may_reply = asyncio.Event()
 
-        async def slowly(
+        async def reply_when_allowed(
             seen: scripted_target.Seen, writer: asyncio.StreamWriter
         ) -> None:
-            await go_on.wait()
+            await may_reply.wait()
             await self._plain(seen, writer)
 
-        self.target.script = slowly
+        self.target.script = reply_when_allowed
         first = asyncio.create_task(self._ask('a'))
         await asyncio.sleep(0.02)
         self.assertFalse(self.pool.has_room(self.entry))
@@ -105,7 +105,7 @@
         third = asyncio.create_task(self._ask('c'))
         await asyncio.sleep(0.02)
         wanted = False
-        go_on.set()
+        may_reply.set()
         self.assertEqual(b'a', (await first).unwrap().body)
         self.assertIs(Kind.NO_CONNECTION, (await second).failure().kind)
         self.assertEqual(b'c', (await third).unwrap().body)
@@ -114,8 +114,8 @@
         self.assertEqual(1, self.target.connections)
         self.assertTrue(self.pool.has_room(self.entry))
 
-    async def test_a_turn_that_is_cancelled_goes_to_the_next(self) -> None:
-        """Else a free connection would lie idle while requests wait."""
+    async def test_a_cancelled_waiter_wakes_the_next(self) -> None:
+        """Otherwise a connection would stay idle while requests wait."""
         self.pool = transport.ConnectionPool(self.clock, lambda target: 1)
         first = asyncio.create_task(self._ask('a'))
         await asyncio.sleep(0)
@@ -125,25 +125,25 @@
         first.add_done_callback(lambda task: second.cancel())
         self.assertEqual(b'c', (await third).unwrap().body)
 
-    async def test_a_target_is_warmed_once(self) -> None:
-        """The first request finds a connection that is open."""
+    async def test_warm_opens_one_connection(self) -> None:
+        """The first request uses the connection that was opened in advance."""
         await self.pool.warm(self.entry)
         await self.pool.warm(self.entry)
         await self._ask('a')
         self.assertEqual(1, self.target.connections)
 
-    async def test_a_target_that_forgets_connections_is_understood(
+    async def test_the_idle_limit_of_a_target_is_learned(
         self,
     ) -> None:
-        """Every request on a kept connection would be lost, and retried.
+        """Each request on a connection idle for so long would be lost.
 
-        The target forgets connections that are idle for 300 ms, without a
-        word, and resets what is sent on them next.  The first loss shows
-        it: the next request after such a time goes on a new connection.
+        The target silently drops connections that are idle for 300 ms and
+        resets them on the next request.  After the first loss, a request
+        after such an idle time gets a new connection.
         """
         used = set()
 
-        async def forgets(
+        async def reset_if_reused(
             seen: scripted_target.Seen, writer: asyncio.StreamWriter
         ) -> None:
             if writer in used:
@@ -152,8 +152,8 @@
             used.add(writer)
             await self._plain(seen, writer)
 
-        clock = self._take_time_in_hand()
-        self.target.script = forgets
+        clock = self._use_manual_clock()
+        self.target.script = reset_if_reused
         (await self._ask('a')).unwrap()
         clock.advance(300.0)
         self.assertIs(Kind.BROKEN, (await self._ask('b')).failure().kind)
@@ -161,28 +161,28 @@
         clock.advance(300.0)
         self.assertEqual(b'd', (await self._ask('d')).unwrap().body)
 
-    async def test_a_lost_answer_teaches_nothing_of_idle_connections(
+    async def test_a_lost_reply_does_not_lower_the_idle_limit(
         self,
     ) -> None:
-        """Each later request would open a connection of its own.
+        """Good connections would be replaced by new ones after each loss.
 
-        The target runs the request and its connection breaks: the reset
-        comes after the work, or on a connection that was in use just now.
+        The reset comes after the target has worked on the request, or on a
+        connection that was idle for a short time only.
         """
-        clock = self._take_time_in_hand()
+        clock = self._use_manual_clock()
         for idle_ms, work_ms in ((300.0, 16.0), (20.0, 0.0)):
             with self.subTest(idle_ms=idle_ms):
                 self.target.script = self._plain
                 await self._ask('a')
                 clock.advance(idle_ms)
 
-                async def loses(
+                async def reset_after_work(
                     seen: scripted_target.Seen, writer: asyncio.StreamWriter
                 ) -> None:
                     clock.advance(work_ms)
                     scripted_target.reset(writer)
 
-                self.target.script = loses
+                self.target.script = reset_after_work
                 lost = (await self._ask('b')).failure()
                 self.assertIs(Kind.BROKEN, lost.kind)
                 self.target.script = self._plain
@@ -192,14 +192,14 @@
                 await self._ask('d')
                 self.assertEqual(opened, self.target.connections)
 
-    async def test_what_runs_once_does_not_trust_an_idle_connection(
+    async def test_max_idle_ms_excludes_idle_connections(
         self,
     ) -> None:
-        """Lost on a forgotten connection it could not be sent again.
+        """A request that must run once could not be repeated if it was lost.
 
-        Other requests still use the connection that was idle for long.
+        Other requests still reuse connections that were idle for longer.
         """
-        clock = self._take_time_in_hand()
+        clock = self._use_manual_clock()
         await self._ask('a')
         clock.advance(300.0)
         await self._ask('b', max_idle_ms=100.0)
@@ -209,11 +209,11 @@
         await self._ask('d')
         self.assertEqual(2, self.target.connections)
 
-    async def test_a_new_connection_takes_the_place_of_an_idle_one(
+    async def test_a_new_connection_replaces_an_idle_one_at_the_limit(
         self,
     ) -> None:
-        """The target's limit holds, and the request need not wait."""
-        clock = self._take_time_in_hand(limit=1)
+        """The limit is kept, and the request does not wait."""
+        clock = self._use_manual_clock(limit=1)
         await self._ask('a')
         clock.advance(300.0)
         self.assertEqual(
@@ -222,22 +222,20 @@
         self.assertEqual(1, self.pool._pools['t'].open_count)
 
     async def _open(self, count: int) -> None:
-        """Have so many connections open, all idle."""
+        """Open a number of connections and leave them idle."""
         self.target.script = self._slow
         await asyncio.gather(*(self._ask(f'{n}') for n in range(count)))
         self.assertEqual(count, self.target.connections)
         self.target.script = self._plain
 
-    async def test_a_request_that_runs_once_finds_room_as_the_limit_falls(
+    async def test_a_lowered_limit_still_allows_a_new_connection(
         self,
     ) -> None:
-        """Its caller waits its whole time, and no target ever sees it.
+        """A request could wait for a connection until its timeout.
 
-        A daemon that was restarted is back, and takes its part of a
-        target's connections: this one's limit falls by one.  All of its
-        connections are idle, for too long to be trusted with a request that
-        must run once.  One was closed for it, which left no room below the
-        new limit, and with nothing under way no turn ever came.
+        All connections have been idle for too long for this request, and
+        one more is open than the new limit allows.  Closing only one would
+        leave no room, and no exchange is running that would wake it.
         """
         clock = timers.ManualTimers()
         limit = 5
@@ -249,23 +247,19 @@
         self.assertEqual(b'x', reply.unwrap().body)
         self.assertEqual(4, self.pool._pools['t'].open_count)
 
-    async def test_a_request_that_waits_finds_room_as_the_limit_rises(
+    async def test_a_raised_limit_lets_a_waiting_request_connect(
         self,
     ) -> None:
-        """Another daemon has left, and its part falls to this one.
+        """The request would otherwise wait until the silent exchange ends."""
 
-        The one connection that there was room for is at a target that is
-        silent; its end would be the first turn to come.
-        """
-
-        async def first_is_silent(
+        async def silent_to_first(
             seen: scripted_target.Seen, writer: asyncio.StreamWriter
         ) -> None:
             if seen.headers['request-id'] == 'a':
                 await asyncio.sleep(30.0)
             await self._plain(seen, writer)
 
-        self.target.script = first_is_silent
+        self.target.script = silent_to_first
         limit = 1
         self.pool = transport.ConnectionPool(self.clock, lambda target: limit)
         first = asyncio.create_task(self._ask('a', 20_000.0))
@@ -277,10 +271,10 @@
         first.cancel()
         await asyncio.gather(first, return_exceptions=True)
 
-    async def test_waiting_for_a_connection_says_nothing_of_the_target(
+    async def test_a_timeout_while_waiting_is_not_blamed_on_the_target(
         self,
     ) -> None:
-        """It would be taken for lost, and get no work for a while."""
+        """Otherwise the target would be considered lost and get no work."""
 
         async def silent(
             seen: scripted_target.Seen, writer: asyncio.StreamWriter
@@ -296,16 +290,16 @@
         first.cancel()
         await asyncio.gather(first, return_exceptions=True)
 
-    async def test_a_late_answer_to_another_request_is_passed_over(
+    async def test_a_late_reply_to_another_request_is_skipped(
         self,
     ) -> None:
-        """The caller would get another caller's records.
+        """A caller would get another caller's records.
 
-        The target answers the first request twice; the copy comes when the
-        second request is out, in front of its own answer.
+        The target sends a second copy of its first reply ahead of the reply
+        to the second request.
         """
 
-        async def twice(
+        async def stale_reply_first(
             seen: scripted_target.Seen, writer: asyncio.StreamWriter
         ) -> None:
             request_id = seen.headers['request-id']
@@ -313,16 +307,18 @@
                 writer.write(scripted_target.answer('first', b'wrong'))
             await self._plain(seen, writer)
 
-        self.target.script = twice
+        self.target.script = stale_reply_first
         await self._ask('first')
         reply = (await self._ask('second')).unwrap()
         self.assertEqual(b'second', reply.body)
         self.assertEqual(1, self.target.connections)
 
-    async def test_bytes_after_an_answer_belong_to_no_request(self) -> None:
-        """The answer stands; its connection is not used again."""
+    async def test_a_connection_with_a_second_reply_is_not_reused(
+        self,
+    ) -> None:
+        """The first reply is valid; the second could reach a later request."""
 
-        async def more(
+        async def two_replies(
             seen: scripted_target.Seen, writer: asyncio.StreamWriter
         ) -> None:
             request_id = seen.headers['request-id']
@@ -331,17 +327,17 @@
                 + scripted_target.answer(request_id, b'two')
             )
 
-        self.target.script = more
+        self.target.script = two_replies
         self.assertEqual(b'one', (await self._ask('a')).unwrap().body)
         self.assertEqual(b'one', (await self._ask('b')).unwrap().body)
         self.assertEqual(2, self.target.connections)
 
-    async def test_bytes_that_nobody_asked_for_close_the_connection(
+    async def test_unsolicited_bytes_close_the_connection(
         self,
     ) -> None:
-        """They would be read as the answer to the next request."""
+        """They would be read as the reply to the next request."""
 
-        async def later(
+        async def reply_and_extra(
             seen: scripted_target.Seen, writer: asyncio.StreamWriter
         ) -> None:
             await self._plain(seen, writer)
@@ -349,16 +345,16 @@
             await asyncio.sleep(0.02)
             writer.write(b'rest of something')
 
-        self.target.script = later
+        self.target.script = reply_and_extra
         await self._ask('a')
         await asyncio.sleep(0.1)
         await self._ask('b')
         self.assertEqual(2, self.target.connections)
 
-    async def test_an_answer_without_a_length_ends_with_its_connection(
+    async def test_a_reply_without_a_length_ends_with_its_connection(
         self,
     ) -> None:
-        """It is whole if the connection was closed in order."""
+        """It is complete if the connection was closed without a reset."""
 
         async def unframed(
             seen: scripted_target.Seen, writer: asyncio.StreamWriter
@@ -373,11 +369,10 @@
         self.target.script = unframed
         self.assertEqual(b'all', (await self._ask('a')).unwrap().body)
 
-    async def test_a_reset_body_without_a_length_is_not_whole(self) -> None:
-        """The caller would take half of the records for all of them.
+    async def test_a_reset_body_without_a_length_is_incomplete(self) -> None:
+        """The caller would take a part of the records for all of them.
 
-        The target sends a part of the body and its connection is reset;
-        nothing in the bytes shows that more was to come.
+        Only the reset shows that the body is incomplete.
         """
 
         async def cut(
@@ -399,8 +394,8 @@
         error = (await self._ask('a')).failure()
         self.assertIs(Kind.BROKEN, error.kind)
 
-    async def test_a_cut_body_is_not_whole(self) -> None:
-        """The length says that more was to come."""
+    async def test_a_truncated_body_is_incomplete(self) -> None:
+        """The stated length was not reached."""
 
         async def cut(
             seen: scripted_target.Seen, writer: asyncio.StreamWriter
@@ -414,8 +409,8 @@
         error = (await self._ask('a')).failure()
         self.assertIs(Kind.BROKEN, error.kind)
 
-    async def test_bytes_that_are_no_answer(self) -> None:
-        """A typed error, and the connection is not used again."""
+    async def test_a_reply_that_is_not_http(self) -> None:
+        """It is an error value, and the connection is not reused."""
 
         async def garbage(
             seen: scripted_target.Seen, writer: asyncio.StreamWriter
@@ -429,8 +424,8 @@
         await self._ask('b')
         self.assertEqual(2, self.target.connections)
 
-    async def test_a_silent_target_costs_its_connection(self) -> None:
-        """Its answer may still come, and would meet the next request."""
+    async def test_a_timeout_closes_the_connection(self) -> None:
+        """Its late reply could be read as the reply to the next request."""
 
         async def silent(
             seen: scripted_target.Seen, writer: asyncio.StreamWriter
@@ -445,7 +440,7 @@
         self.assertEqual(2, self.target.connections)
 
     async def test_cancelling_closes_the_connection(self) -> None:
-        """The target learns that nobody waits any more."""
+        """The close tells the target to stop working on the request."""
 
         async def silent(
             seen: scripted_target.Seen, writer: asyncio.StreamWriter
@@ -461,22 +456,24 @@
             await asyncio.sleep(0.005)
 
     async def test_a_refused_connection_proves_that_nothing_ran(self) -> None:
-        """So that even an unrepeatable request may go elsewhere."""
+        """Even a request that must not run twice may then go elsewhere."""
         await self.target.stop()
         error = (await self._ask('a')).failure()
         self.assertIs(Kind.UNREACHABLE, error.kind)
 
-    async def test_the_limit_of_connections_holds(self) -> None:
-        """The target resets those beyond its own limit."""
+    async def test_the_connection_limit_is_not_exceeded(self) -> None:
+        """The target resets connections above its limit."""
         self.target.script = self._slow
         replies = await asyncio.gather(*(self._ask(f'{n}') for n in range(20)))
         self.assertTrue(all(isinstance(r, result.Success) for r in replies))
         self.assertEqual(4, self.target.connections)
 
-    async def test_a_connection_about_to_be_closed_is_not_used(self) -> None:
-        """The request would cross the close and be lost."""
+    async def test_a_connection_near_its_idle_timeout_is_not_reused(
+        self,
+    ) -> None:
+        """The target may be closing it, and the request would be lost."""
 
-        async def short(
+        async def no_keepalive(
             seen: scripted_target.Seen, writer: asyncio.StreamWriter
         ) -> None:
             request_id = seen.headers['request-id']
@@ -486,7 +483,7 @@
                 )
             )
 
-        self.target.script = short
+        self.target.script = no_keepalive
         await self._ask('a')
         await self._ask('b')
         self.assertEqual(2, self.target.connections)
--- a/tests/unit/test_http_guard.py
+++ b/tests/unit/test_http_guard.py
@@ -1,4 +1,4 @@
-"""Which connections a daemon that stops has yet to answer."""
+"""Which connections a stopping daemon must not close yet."""
 
 import types
 import unittest
@@ -7,26 +7,26 @@
 
 
 class BusyTest(unittest.TestCase):
-    """One row for each state of a connection."""
+    """Each state of a connection."""
 
     def test_busy(self) -> None:
-        """Closed now, each busy one would cut an answer."""
-        for what, in_progress, behind, unsent, expected in (
+        """Closing a busy connection would lose a response."""
+        for name, in_progress, queued, unsent, expected in (
             ('idle', False, [], 0, False),
             ('being served', True, [], 0, True),
-            ('one waits behind', False, ['request'], 0, True),
-            ('its caller reads slowly', False, [], 1, True),
-            ('gone', False, [], None, False),
+            ('request queued', False, ['request'], 0, True),
+            ('response not sent', False, [], 1, True),
+            ('closed', False, [], None, False),
         ):
-            carrier = None
+            fake_transport = None
             if unsent is not None:
-                carrier = types.SimpleNamespace(
+                fake_transport = types.SimpleNamespace(
                     get_write_buffer_size=lambda unsent=unsent: unsent
                 )
             connection = types.SimpleNamespace(
                 _request_in_progress=in_progress,
-                _messages=behind,
-                transport=carrier,
+                _messages=queued,
+                transport=fake_transport,
             )
-            with self.subTest(what):
+            with self.subTest(name):
                 self.assertIs(expected, transport.is_busy(connection))
--- a/tests/unit/test_object_store.py
+++ b/tests/unit/test_object_store.py
@@ -1,4 +1,4 @@
-"""The store client of the users' platform, against its stand-in."""
+"""The object store client of ``platform/``, against a stand-in store."""
 
 import pathlib
 import sys
@@ -21,7 +21,7 @@
     """One client and one store."""
 
     async def asyncSetUp(self) -> None:
-        """Start the store."""
+        """Start the store and create its client."""
         self.store = prepared_store.PreparedStore()
         address = await self.store.start()
         self.addAsyncCleanup(self.store.stop)
@@ -31,8 +31,8 @@
         self.addCleanup(calls.close)
         self.client = prepared_hosts.ObjectStore(calls)
 
-    async def test_a_kind_of_many_pages_is_read_whole(self) -> None:
-        """The store gives 50 objects a page."""
+    async def test_all_pages_are_read(self) -> None:
+        """The store returns 50 objects a page."""
         for number in range(120):
             self.store.put('servers', f'i-{number:03}', {'N': number})
         page = (await self.client.watch('servers/', 0, 0)).unwrap()
@@ -40,58 +40,54 @@
         self.assertEqual(120, len(page.changed))
         self.assertEqual('servers/i-000', page.changed[0].key)
 
-    async def test_a_watch_tells_changes_and_removals(self) -> None:
-        """Of one object only the newest state counts."""
+    async def test_a_watch_returns_changes_and_deletions(self) -> None:
+        """Only the latest version of an object is returned."""
         page = (await self.client.watch('servers/', 0, 0)).unwrap()
         self.store.put('servers', 'a', {'N': 1})
         self.store.put('servers', 'a', {'N': 2})
         self.store.put('servers', 'b', {'N': 1})
         self.store.remove('servers', 'b')
-        told = await self.client.watch('servers/', page.position, 1_000)
-        page = told.unwrap()
+        reply = await self.client.watch('servers/', page.position, 1_000)
+        page = reply.unwrap()
         self.assertEqual(['servers/a'], [row.key for row in page.changed])
         self.assertEqual(b'{"N": 2}', page.changed[0].value)
         self.assertEqual(('servers/b',), page.gone)
         self.assertFalse(page.whole)
 
-    async def test_rows_of_another_writer_hide_no_others(self) -> None:
-        """One row that cannot be read must not cost the whole list."""
+    async def test_malformed_rows_are_skipped(self) -> None:
+        """One unreadable row must not make the others unavailable."""
         page = (await self.client.watch('servers/', 0, 0)).unwrap()
         self.store.put('servers', 'a', {'N': 1})
         self.store.put_row('servers', 'b', {'meta': 'nothing'})
         self.store.put_row('servers', 'c', [1, 2])
         self.store.put('servers', 'd', {'N': 1})
-        told = await self.client.watch('servers/', page.position, 1_000)
+        reply = await self.client.watch('servers/', page.position, 1_000)
         listed = await self.client.watch('servers/', 0, 0)
-        for seen in (told.unwrap(), listed.unwrap()):
+        for seen in (reply.unwrap(), listed.unwrap()):
             self.assertEqual(
                 ['servers/a', 'servers/d'], [row.key for row in seen.changed]
             )
 
-    async def test_a_reset_connection_is_no_outage(self) -> None:
-        """A read goes again on a new connection, a write does not.
-
-        The write may have taken effect; a second one would be answered with
-        a conflict.
-        """
+    async def test_only_reads_are_retried_after_a_reset(self) -> None:
+        """A write may have been applied; a second one would get a conflict."""
         await self.client.scan('own/')
         self.store.faults.resets = 1
-        told = await self.client.scan('own/')
-        self.assertIsInstance(told, result.Success)
+        reply = await self.client.scan('own/')
+        self.assertIsInstance(reply, result.Success)
         self.store.faults.resets = 1
         lost = await self.client.put('own/a', b'{}', 0)
         self.assertIs(Kind.LOST, lost.failure().kind)
 
-    async def test_lost_history_is_told_apart(self) -> None:
-        """Only reading everything anew helps."""
+    async def test_a_forgotten_watch_position(self) -> None:
+        """The caller has to read everything again."""
         page = (await self.client.watch('servers/', 0, 0)).unwrap()
         self.store.put('servers', 'a', {})
         self.store.forget_history()
-        told = await self.client.watch('servers/', page.position, 100)
-        self.assertIs(Kind.FORGOTTEN, told.failure().kind)
+        reply = await self.client.watch('servers/', page.position, 100)
+        self.assertIs(Kind.FORGOTTEN, reply.failure().kind)
 
     async def test_conditions_and_lost_answers(self) -> None:
-        """A write without an answer may have taken effect."""
+        """A write without a reply may have been applied."""
         version = (await self.client.put('own/a', b'{}', 0)).unwrap()
         again = await self.client.put('own/a', b'{}', 0)
         self.assertIs(Kind.CONFLICT, again.failure().kind)
@@ -107,13 +103,13 @@
         missing = await self.client.get('own/a')
         self.assertIs(Kind.NOT_FOUND, missing.failure().kind)
 
-    async def test_a_store_that_turns_this_host_away(self) -> None:
-        """Busy, limited and silent are values, each in bounded time."""
+    async def test_an_unavailable_store(self) -> None:
+        """Overload, rate limits and timeouts are error values."""
         for status in (503, 429):
             self.store.faults.status = status
-            told = await self.client.scan('own/', may_be_stale=True)
-            self.assertIs(Kind.UNAVAILABLE, told.failure().kind)
+            reply = await self.client.scan('own/', may_be_stale=True)
+            self.assertIs(Kind.UNAVAILABLE, reply.failure().kind)
         self.store.faults.status = 0
         self.store.faults.silent = True
-        told = await self.client.watch('own/', 5, 10)
-        self.assertIs(Kind.LOST, told.failure().kind)
+        reply = await self.client.watch('own/', 5, 10)
+        self.assertIs(Kind.LOST, reply.failure().kind)
--- a/tests/unit/test_operator_http.py
+++ b/tests/unit/test_operator_http.py
@@ -1,4 +1,4 @@
-"""The operators' interface: token, statuses, typed errors."""
+"""The HTTP interface for operators: token, statuses, error bodies."""
 
 import typing
 import unittest
@@ -25,7 +25,7 @@
 
 
 class OperatorHttpTest(unittest.IsolatedAsyncioTestCase):
-    """The real application over loopback."""
+    """The real application, called over loopback."""
 
     async def asyncSetUp(self) -> None:
         """Start the application with a token."""
@@ -54,7 +54,7 @@
             return got.status, msgspec.json.decode(await got.read())
 
     async def test_a_wrong_token_is_refused_and_counted(self) -> None:
-        """Every path is closed, also those that do not exist."""
+        """Every path needs the token, also paths that do not exist."""
         wrong = ('', 'Bearer', f'Bearer {TOKEN}x', TOKEN, 'Bearer \u00f8')
         for given in wrong:
             for method, path in (('GET', '/metrics'), ('PUT', '/v1/x')):
@@ -68,8 +68,8 @@
             2 * len(wrong), self.counters.total('operator_calls_refused')
         )
 
-    async def test_a_change_is_read_whole_or_refused(self) -> None:
-        """A wrong body reaches nobody; each outcome has its status."""
+    async def test_an_invalid_change_is_refused(self) -> None:
+        """An invalid body is not applied; each outcome has its status."""
         path = '/v1/configuration'
         for body in (b'{', {}, {**_CHANGE, 'base_revision': '1'}):
             status, answer = await self._call('PUT', path, body)
@@ -95,7 +95,7 @@
             self.assertEqual(msgspec.to_builtins(outcome), answer)
 
     async def test_targets_and_quarantine(self) -> None:
-        """Values come as they are, errors with their status."""
+        """Results have status 200, errors their own."""
         cases = (
             ('POST', '/v1/targets/desk-1/drain', 200),
             ('POST', '/v1/targets/desk-9/drain', 404),
@@ -110,8 +110,8 @@
             self.assertEqual(expected, status, path)
         self.assertEqual({'desk-1': True}, self.operations.leaving)
 
-    async def test_a_failed_handler_has_a_typed_body(self) -> None:
-        """The daemon lives on."""
+    async def test_a_failed_handler_is_reported(self) -> None:
+        """Later calls are served."""
         self.operations.error = RuntimeError('broken')
         status, answer = await self._call('GET', '/v1/status')
         self.assertEqual((500, 'internal'), (status, answer['kind']))
--- a/tests/unit/test_peers_idle.py
+++ b/tests/unit/test_peers_idle.py
@@ -1,4 +1,4 @@
-"""Sockets to peers that are not used."""
+"""Sockets between daemons: idle close, reset and held answers."""
 
 import asyncio
 import unittest
@@ -13,12 +13,12 @@
 
 class _Counters(memory_daemons.Counters):
     def add_bulk(self, name: str, amount: float, **labels: object) -> None:
-        """Count as the real one does."""
+        """Count like ``Metrics.add_bulk``."""
         self.add(name, amount)
 
 
 class PeerSocketsTest(unittest.IsolatedAsyncioTestCase):
-    """Two hubs on loopback."""
+    """Two peer hubs on loopback."""
 
     async def asyncSetUp(self) -> None:
         self.addresses = [
@@ -45,8 +45,8 @@
     async def _receive(self) -> int:
         return await asyncio.wait_for(self.got.get(), 10)
 
-    async def test_idle_socket_is_closed_and_made_anew(self) -> None:
-        """An idle connection costs both ends memory; the next send works."""
+    async def test_an_idle_socket_is_closed_and_reopened(self) -> None:
+        """Idle connections take memory at both ends; a send reopens one."""
         self._hub(1)
         open_sockets = []
         for revision in (1, 2):
@@ -57,15 +57,13 @@
                 open_sockets.append(len(self.sender._outgoing))
         self.assertEqual([1, 0, 1, 0], open_sockets)
 
-    async def test_an_answer_waits_for_the_address_of_who_asked(
+    async def test_an_answer_waits_for_an_unknown_address(
         self,
     ) -> None:
-        """A search would end with nothing, though its targets answered.
+        """A search would lose the results of a daemon that just started.
 
-        Two daemons start afresh while the store is down.  A third one, of
-        which one of them has not heard yet, sends it a search's shards; the
-        answer is ready before the address of the third one is known.  What
-        is no answer is not kept: its sender is told that it was not sent.
+        The answer is ready before that daemon knows the address of the one
+        that asked.  Other messages are not held: ``send`` returns False.
         """
         other = self._hub(1)
         held = protocol.RevisionHeld(7)
@@ -75,12 +73,10 @@
         other.answer('entry-0', protocol.RevisionHeld(8))
         self.assertEqual([7, 8], [await self._receive() for _ in range(2)])
 
-    async def test_reset_loses_nothing_that_was_queued(self) -> None:
-        """A peer starts again while its connection is taken for silent.
+    async def test_reset_keeps_queued_messages(self) -> None:
+        """The socket to a restarting peer is reset while an order is queued.
 
-        An order waits in the socket until the peer listens; the socket is
-        replaced meanwhile.  If the order went with it, its caller would
-        learn at its deadline that nobody knows whether it ran.
+        If the order was lost, its caller would get an unknown outcome.
         """
         self._send(1)
         await asyncio.sleep(0)
--- a/tests/unit/test_platform_http.py
+++ b/tests/unit/test_platform_http.py
@@ -1,4 +1,4 @@
-"""The client of the platform's object service."""
+"""The client of the platform's object store."""
 
 import unittest
 
@@ -11,12 +11,12 @@
 
 
 class HostListTest(unittest.IsolatedAsyncioTestCase):
-    """The host list crosses the network only when it has changed."""
+    """The host list is transferred only when it has changed."""
 
     async def asyncSetUp(self) -> None:
         self.sent: list[tuple[int, int]] = []
         application = store.Store().application()
-        application.on_response_prepare.append(self._note)
+        application.on_response_prepare.append(self._record)
         self.server = test_utils.TestServer(application)
         await self.server.start_server()
         self.session = aiohttp.ClientSession()
@@ -27,7 +27,7 @@
         await self.session.close()
         await self.server.close()
 
-    async def _note(
+    async def _record(
         self, request: web.Request, response: web.Response
     ) -> None:
         if request.path == '/hosts':
@@ -103,10 +103,8 @@
     async def test_lost_write_is_not_sent_again(self) -> None:
         """An applied write is reported as lost, not as a conflict.
 
-        The HTTP library sends an idempotent method a second time when a
-        kept-alive connection closes under it.  The second copy of a
-        conditional write meets its own first one, and the conflict would
-        say that this write did not take effect.
+        aiohttp would repeat it on a new connection, and the second copy
+        would conflict with the first.
         """
         calls = {
             'PUT': lambda: self.platform.put('k', b'{}', 7),
@@ -119,23 +117,23 @@
         self.assertEqual(list(calls), self.writes)
 
     async def test_lost_read_is_sent_again(self) -> None:
-        """A read may be repeated, which hides a connection closed idle."""
+        """Repeating a read hides the close of an idle connection."""
         await self.platform.get('k')
         self.lose_get = True
         self.assertEqual(7, (await self.platform.get('k')).unwrap().version)
 
 
 class UnreadableAnswerTest(unittest.IsolatedAsyncioTestCase):
-    """A store that answers every call with 200 and nonsense."""
+    """A store that answers every call with 200 and garbage."""
 
-    async def test_nonsense_is_an_error_value(self) -> None:
-        """The polling and watching tasks go on; a write may be there."""
+    async def test_garbage_is_an_error_value(self) -> None:
+        """An exception would end the polling tasks; a write may be applied."""
 
-        async def nonsense(request: web.Request) -> web.Response:
+        async def reply_garbage(request: web.Request) -> web.Response:
             return web.Response(body=b'\xff{')
 
         app = web.Application()
-        app.router.add_route('*', '/{tail:.*}', nonsense)
+        app.router.add_route('*', '/{tail:.*}', reply_garbage)
         async with (
             test_utils.TestServer(app) as server,
             aiohttp.ClientSession() as session,
--- a/tests/unit/test_target_http.py
+++ b/tests/unit/test_target_http.py
@@ -1,4 +1,4 @@
-"""Connections to a target: how many, and which are used again."""
+"""Connections to a target: their limit and their reuse."""
 
 import asyncio
 import unittest
@@ -15,16 +15,16 @@
 
 
 class HttpTargetLinkTest(unittest.IsolatedAsyncioTestCase):
-    """A link against a small server on loopback."""
+    """A link to a small server on loopback."""
 
     async def asyncSetUp(self) -> None:
         self.ports: list[int] = []
         self.peak = 0
-        self.hold = asyncio.Event()
-        self.hold.set()
-        self.swallow = 0
+        self.may_reply = asyncio.Event()
+        self.may_reply.set()
+        self.silent_requests = 0
         self.stopped = asyncio.Event()
-        self.echo = self.echo_content = lambda name: name
+        self.echo_attempt = self.echo_fingerprint = lambda name: name
         app = web.Application()
         app.router.add_post('/batch', self._batch)
         app.router.add_get('/health', self._health)
@@ -39,7 +39,7 @@
 
     async def asyncTearDown(self) -> None:
         self.stopped.set()
-        self.hold.set()
+        self.may_reply.set()
         await self.link.close()
         await self.runner.cleanup()
 
@@ -57,15 +57,15 @@
         body = msgspec.json.decode(
             await request.read(), type=protocol.TargetBatch
         )
-        if self.swallow:
-            self.swallow -= 1
+        if self.silent_requests:
+            self.silent_requests -= 1
             await self.stopped.wait()
-        await self.hold.wait()
+        await self.may_reply.wait()
         answers = [
             protocol.TargetAnswer(
-                self.echo(item.attempt_id),
+                self.echo_attempt(item.attempt_id),
                 protocol.TargetStatus.OK,
-                fingerprint=self.echo_content(item.fingerprint),
+                fingerprint=self.echo_fingerprint(item.fingerprint),
             )
             for item in body.items
         ]
@@ -77,7 +77,7 @@
         reply = protocol.TargetHealth(True, False, 0, 0.0)
         return web.Response(body=msgspec.json.encode(reply))
 
-    async def _seen(self, requests: int) -> None:
+    async def _wait_for_requests(self, requests: int) -> None:
         while len(self.ports) < requests:
             await asyncio.sleep(0.005)
 
@@ -90,87 +90,87 @@
         return await self.link.batch(protocol.TargetBatch(items), timeout_ms)
 
     async def _assert_fails(
-        self, kind: str, *names: str, **how: float
+        self, kind: str, *names: str, **options: float
     ) -> None:
-        reply = await self._ask(*names, **how)
+        reply = await self._ask(*names, **options)
         self.assertIsInstance(reply, result.Failure)
         self.assertEqual(kind, reply.failure().kind.value)
 
-    async def test_connections_are_kept(self) -> None:
+    async def test_connections_are_reused(self) -> None:
         for name in '123':
             (await self._ask(name)).unwrap()
         self.assertEqual(1, len(set(self.ports)))
 
-    async def test_never_more_connections_than_allowed(self) -> None:
-        """Many exchanges at once and probes beside them, limit 4."""
-        self.hold.clear()
+    async def test_the_connection_limit_is_not_exceeded(self) -> None:
+        """Many exchanges and a health probe at once, with a limit of 4."""
+        self.may_reply.clear()
         asked = [asyncio.create_task(self._ask(str(n))) for n in range(12)]
-        await self._seen(3)
+        await self._wait_for_requests(3)
         (await self.link.health(1_000.0)).unwrap()
-        self.hold.set()
+        self.may_reply.set()
         replies = await asyncio.gather(*asked)
         self.assertTrue(all(isinstance(r, result.Success) for r in replies))
         self.assertEqual(4, self.peak)
 
     async def test_lower_limit_closes_idle_connections(self) -> None:
-        self.hold.clear()
+        self.may_reply.clear()
         asked = [asyncio.create_task(self._ask(str(n))) for n in range(3)]
-        await self._seen(3)
-        self.hold.set()
+        await self._wait_for_requests(3)
+        self.may_reply.set()
         await asyncio.gather(*asked)
         await self.link.resize(2)
         self.assertEqual(2, self.link.open_connections)
 
-    async def test_silence_closes_the_connection_and_its_siblings(
+    async def test_a_timeout_closes_all_idle_connections(
         self,
     ) -> None:
-        self.hold.clear()
+        self.may_reply.clear()
         pair = [asyncio.create_task(self._ask(name)) for name in '12']
-        await self._seen(2)
-        self.hold.set()
+        await self._wait_for_requests(2)
+        self.may_reply.set()
         await asyncio.gather(*pair)
         self.assertEqual(2, self.link.open_connections)
-        self.swallow = 1
+        self.silent_requests = 1
         await self._assert_fails('silent', '3', timeout_ms=50.0)
         self.assertEqual(0, self.link.open_connections)
         old = set(self.ports)
         (await self._ask('4')).unwrap()
         self.assertNotIn(self.ports[-1], old)
 
-    async def test_exchange_on_an_older_connection_may_still_end(
+    async def test_a_timeout_does_not_abort_other_exchanges(
         self,
     ) -> None:
-        """It is not cut by the silence of another, but not used again."""
-        self.hold.clear()
+        """It completes, but its connection is not reused."""
+        self.may_reply.clear()
         running = asyncio.create_task(self._ask('1'))
-        await self._seen(1)
-        self.swallow = 1
+        await self._wait_for_requests(1)
+        self.silent_requests = 1
         await self._assert_fails('silent', '2', timeout_ms=50.0)
         self.assertEqual(1, self.link.open_connections)
-        self.hold.set()
+        self.may_reply.set()
         (await running).unwrap()
         self.assertEqual(0, self.link.open_connections)
 
-    async def test_crossed_answers_are_refused_and_the_connection_closed(
+    async def test_swapped_answers_are_rejected(
         self,
     ) -> None:
-        """A rotated pair names only known attempts, in the wrong places."""
-        self.echo = {'1': '2', '2': '1', '3': 'x'}.__getitem__
+        """A caller would get the answer to another query."""
+        self.echo_attempt = {'1': '2', '2': '1', '3': 'x'}.__getitem__
         for names in (('1', '2'), ('3',)):
             await self._assert_fails('bad-answer', *names)
             self.assertEqual(0, self.link.open_connections)
 
-    async def test_answer_to_another_content_is_refused(self) -> None:
-        """The attempts are right, the requests' contents were exchanged."""
-        self.echo_content = lambda content: 'other'
+    async def test_an_answer_to_another_content_is_rejected(self) -> None:
+        """The attempt matches, but not the fingerprint."""
+        self.echo_fingerprint = lambda content: 'other'
         await self._assert_fails('bad-answer', '1')
         self.assertEqual(0, self.link.open_connections)
 
-    async def test_error_answer_ends_the_exchange(self) -> None:
+    async def test_an_error_status_ends_the_exchange(self) -> None:
         def fail(name: str) -> str:
             raise ValueError(name)
 
-        self.echo = fail
+        self.echo_attempt = fail
         reply = await self._ask('1')
         self.assertEqual('broken', reply.failure().kind.value)
         self.assertTrue(reply.failure().ended)
