--- a/tests/unit/test_entry_http.py
+++ b/tests/unit/test_entry_http.py
@@ -19,7 +19,7 @@
 """More than the socket buffers of a connection hold."""
 
 _LONG = bytes(1_000_000)
-"""Fits into the socket buffers, but not into the buffer of a reader."""
+"""Fits into socket buffers, but not into the buffer of a stream reader."""
 
 
 def _request(path: str) -> bytes:
@@ -359,7 +359,7 @@
     async def test_a_request_in_the_socket_is_answered_before_the_close(
         self,
     ) -> None:
-        """The connection looks idle until the event loop has read the request."""
+        """The connection looks idle until the event loop reads the request."""
         counters = metrics.Metrics('test')
         self.addCleanup(counters.close)
         clock = timers.LoopTimers()
