--- a/samphiredock/transport/_http_connection.py
+++ b/samphiredock/transport/_http_connection.py
@@ -266,8 +266,8 @@
             # More bytes arrived before exchange() took the result.
             return
         assert reader is not None and transport is not None
-        # The target replied before it had read the whole request; what is
-        # still unsent would precede the next request.
+        # If the target replied before it had read the whole request, the
+        # unsent rest would precede the next request.
         flushed = transport.get_write_buffer_size() == 0
         reply = reader.found
         self._waiter.set_result(
@@ -285,8 +285,10 @@
     """Connect to ``IP:port``; raises ``OSError`` if that fails."""
     host, _, port = address.rpartition(':')
     loop = asyncio.get_running_loop()
-    _, channel = await loop.create_connection(HttpConnection, host, int(port))
-    return channel
+    _, connection = await loop.create_connection(
+        HttpConnection, host, int(port)
+    )
+    return connection
 
 
 def _set_keepalive(connection: socket.socket) -> None:
--- a/samphiredock/transport/_peers.py
+++ b/samphiredock/transport/_peers.py
@@ -153,8 +153,8 @@
         self._addresses: dict[str, str] = {}
         self._outgoing: dict[str, zmq.Socket] = {}
         self._used: set[str] = set()
-        self._pending: dict[str, list[bytes]] = {}
-        self._held: dict[str, collections.deque[msgspec.Struct]] = {}
+        self._unsent_frames: dict[str, list[bytes]] = {}
+        self._held_answers: dict[str, collections.deque[msgspec.Struct]] = {}
         self._loop = asyncio.get_running_loop()
         self._closed = False
         self._curve_authenticator: _CurveAuthenticator | None = None
@@ -180,7 +180,7 @@
             return
         self.reset(member)
         self._addresses[member] = address
-        for message in self._held.pop(member, ()):
+        for message in self._held_answers.pop(member, ()):
             self.send(member, message)
 
     def reset(self, member: str) -> None:
@@ -224,9 +224,9 @@
         if member not in self._addresses:
             self._metrics.add('peer_messages_dropped', reason='no-address')
             return False
-        if not self._pending:
+        if not self._unsent_frames:
             self._loop.call_soon(self._flush)
-        frames = self._pending.setdefault(member, [self._name_frame])
+        frames = self._unsent_frames.setdefault(member, [self._name_frame])
         frames.extend(self._codec.encode(message))
         return True
 
@@ -242,19 +242,22 @@
         if member == self._name or member in self._addresses:
             self.send(member, message)
             return
-        if member not in self._held and len(self._held) >= _MAX_HELD_MEMBERS:
-            self._held.pop(next(iter(self._held)))
-        held = self._held.setdefault(
+        if (
+            member not in self._held_answers
+            and len(self._held_answers) >= _MAX_HELD_MEMBERS
+        ):
+            self._held_answers.pop(next(iter(self._held_answers)))
+        held = self._held_answers.setdefault(
             member, collections.deque(maxlen=_MAX_HELD_ANSWERS)
         )
         held.append(message)
         self._metrics.add('peer_answers_held')
 
     def _flush(self) -> None:
-        pending, self._pending = self._pending, {}
+        unsent_frames, self._unsent_frames = self._unsent_frames, {}
         if self._closed:
             return
-        for member, frames in pending.items():
+        for member, frames in unsent_frames.items():
             self._send_frames(member, frames)
 
     def _send_frames(self, member: str, frames: list[bytes]) -> None:
--- a/samphiredock/transport/_store_replies.py
+++ b/samphiredock/transport/_store_replies.py
@@ -9,7 +9,7 @@
 
 STORE_CALL_TIMEOUT_MS = 3_000
 STORE_WATCH_SLACK_MS = 3_000
-"""Added to the time that a watch waits at the store."""
+"""A watch call's timeout above the time that it waits at the store."""
 
 WRITE_METHODS = frozenset({'POST', 'PUT', 'DELETE'})
 """Methods that may have been applied although their reply was lost."""
--- a/samphiredock/transport/_target_http.py
+++ b/samphiredock/transport/_target_http.py
@@ -16,10 +16,10 @@
 _TIMEOUT_SLACK_MS = 20.0
 _CONNECT_TIMEOUT_MS = 1_000.0
 
-_BATCH_ANSWER = msgspec.json.Decoder(protocol.TargetBatchAnswer)
-_RUN_ANSWER = msgspec.json.Decoder(protocol.TargetRunAnswer)
-_CANCEL_ANSWER = msgspec.json.Decoder(protocol.TargetCancelAnswer)
-_HEALTH = msgspec.json.Decoder(protocol.TargetHealth)
+_BATCH_DECODER = msgspec.json.Decoder(protocol.TargetBatchAnswer)
+_RUN_DECODER = msgspec.json.Decoder(protocol.TargetRunAnswer)
+_CANCEL_DECODER = msgspec.json.Decoder(protocol.TargetCancelAnswer)
+_HEALTH_DECODER = msgspec.json.Decoder(protocol.TargetHealth)
 
 
 class TargetLink(typing.Protocol):
@@ -121,7 +121,7 @@
             return _mismatch(got, expected)
 
         return await self._call(
-            '/batch', body, timeout_ms, _BATCH_ANSWER, check
+            '/batch', body, timeout_ms, _BATCH_DECODER, check
         )
 
     async def run(
@@ -138,7 +138,7 @@
                 [(answer.attempt_id, '')], [(body.attempt_id, '')]
             )
 
-        return await self._call('/run', body, timeout_ms, _RUN_ANSWER, check)
+        return await self._call('/run', body, timeout_ms, _RUN_DECODER, check)
 
     async def cancel(
         self, body: protocol.TargetCancel, timeout_ms: float
@@ -146,7 +146,7 @@
         """Cancel attempts; the answer lists those that had not begun."""
         content = msgspec.json.encode(body)
         return await self._control_call(
-            'POST', '/cancel', content, timeout_ms, _CANCEL_ANSWER, False
+            'POST', '/cancel', content, timeout_ms, _CANCEL_DECODER, False
         )
 
     async def health(
@@ -154,7 +154,7 @@
     ) -> result.Result[protocol.TargetHealth, _link_errors.LinkError]:
         """Return the target's report on itself, which may be out of date."""
         return await self._control_call(
-            'GET', '/health', None, timeout_ms, _HEALTH, True
+            'GET', '/health', None, timeout_ms, _HEALTH_DECODER, True
         )
 
     async def resize(self, connections: int) -> None:
@@ -222,13 +222,13 @@
         content: bytes | None,
         timeout_ms: float,
         decoder: msgspec.json.Decoder,
-        fresh: bool,
+        new_only: bool,
     ) -> result.Result[typing.Any, _link_errors.LinkError]:
         """Make a call outside of the work limit.
 
-        With ``fresh`` it gets a new connection, which is closed afterwards.
+        With ``new_only`` it gets a new connection, which is closed afterwards.
         """
-        connection = await self._acquire(self._limit, timeout_ms, fresh)
+        connection = await self._acquire(self._limit, timeout_ms, new_only)
         if connection is None:
             return _failure(
                 _link_errors.LinkErrorKind.UNREACHABLE, 'no free connection'
@@ -240,16 +240,16 @@
             )
             return reply
         finally:
-            keep = isinstance(reply, result.Success) and not fresh
+            keep = isinstance(reply, result.Success) and not new_only
             await self._release(connection, keep)
 
     async def _acquire(
-        self, limit: int, timeout_ms: float, fresh: bool = False
+        self, limit: int, timeout_ms: float, new_only: bool = False
     ) -> _Connection | None:
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + timeout_ms / 1000.0
+        ends_s = loop.time() + timeout_ms / 1000.0
         while True:
-            if self._idle and not fresh:
+            if self._idle and not new_only:
                 return self._idle.pop()
             if self._open >= limit and self._idle:
                 await self._drop(self._idle.pop(0))
@@ -257,7 +257,7 @@
             if self._open < limit:
                 self._open += 1
                 return _Connection(self._generation)
-            left_s = until_s - loop.time()
+            left_s = ends_s - loop.time()
             waiter = loop.create_future()
             self._waiters.append(waiter)
             try:
