--- a/tests/failure/test_truthful_coverage.py
+++ b/tests/failure/test_truthful_coverage.py
@@ -21,7 +21,7 @@
         """A gap of one key in 2**32 must not be rounded to full coverage."""
         desk = search_desk.Desk()
         first, *others = desk.waiting.values()
-        desk.give(*[desk.good(row) for row in others])
+        desk.give(*[desk.good(item) for item in others])
         whole = desk.good(first).ranges[0]
         short = [protocol.KeyRange(whole.low, whole.high - 1)]
         (again,) = desk.give(desk.good(first, ranges=short))
@@ -33,14 +33,14 @@
             desk.outcome.missing,
         )
 
-    def test_a_wider_claim_is_not_believed(self) -> None:
+    def test_a_wider_range_is_rejected(self) -> None:
         """A target's false range must not hide a shard that did not answer.
 
         One target states the whole key space; another shard has no target.
         """
         desk = search_desk.Desk()
         first, second, *others = desk.waiting.values()
-        desk.give(*[desk.good(row) for row in others])
+        desk.give(*[desk.good(item) for item in others])
         everything = [protocol.KeyRange(0, state.KEY_SPACE_SIZE)]
         (again,) = desk.give(desk.good(first, ranges=everything))
         desk.give(desk.good(again))
@@ -50,14 +50,14 @@
         self.assertEqual(0.75, desk.outcome.coverage)
         self.assertEqual(1, desk.scatter.tally.bad_answers)
 
-    def test_an_empty_answer_of_a_cold_target_is_asked_elsewhere(self) -> None:
+    def test_an_empty_answer_is_retried_elsewhere(self) -> None:
         """An answer of a target that has not loaded its shard is retried.
 
         It is well-formed, but has neither records nor ranges.
         """
         desk = search_desk.Desk()
         first, *others = desk.waiting.values()
-        desk.give(*[desk.good(row) for row in others])
+        desk.give(*[desk.good(item) for item in others])
         (again,) = desk.give(desk.good(first, ranges=[], records=[]))
         desk.give(desk.good(again))
         self.assertIsInstance(desk.outcome, protocol.Answered)
@@ -68,7 +68,7 @@
         search = memory_searches.make_search(least_coverage=0.9)
         desk = search_desk.Desk(search=search)
         first, *others = desk.waiting.values()
-        desk.give(*[desk.good(row) for row in others])
+        desk.give(*[desk.good(item) for item in others])
         desk.tick(200.0)
         self.assertIsInstance(desk.outcome, protocol.Unknown)
 
@@ -94,13 +94,13 @@
                 desk.tick(20.0)
                 continue
             item = rng.choice(list(desk.waiting.values()))
-            answer, truly = _faulty(desk, item, rng)
-            was_open = desk.outcome is None
+            answer, completed = _faulty(desk, item, rng)
+            was_pending = desk.outcome is None
             desk.give(answer)
             if rng.random() < 0.3:
                 desk.give(answer)
-            if was_open:
-                searched += truly
+            if was_pending:
+                searched += completed
         _check(self, desk.outcome, searched, least)
 
 
@@ -125,7 +125,9 @@
     if kind == 4:
         return desk.good(item, ranges=[], records=[]), []
     if kind == 5:
-        status = rng.choice([row for row in Status if row.value != 'answered'])
+        status = rng.choice(
+            [status for status in Status if status.value != 'answered']
+        )
         lost = status is Status.BROKEN and rng.random() < 0.5
         alone = item.attempt_id in desk.alone
         return (
@@ -161,7 +163,7 @@
         case.assertGreater(missing, 0)
         case.assertEqual(covered / state.KEY_SPACE_SIZE, outcome.coverage)
         case.assertEqual(
-            missing, sum(row.high - row.low for row in outcome.missing)
+            missing, sum(gap.high - gap.low for gap in outcome.missing)
         )
         case.assertGreaterEqual(outcome.coverage, least)
     elif isinstance(outcome, protocol.NotRun):
@@ -170,5 +172,5 @@
         case.assertTrue(not searched or covered / 2**32 < least)
     if isinstance(outcome, protocol.Answered | protocol.Partial):
         case.assertEqual(1, outcome.snapshot_id)
-        keys = [row.key for row in outcome.records]
+        keys = [record.key for record in outcome.records]
         case.assertEqual(len(keys), len(set(keys)))
