--- a/samphiredock/daemon/_entry_knowledge.py
+++ b/samphiredock/daemon/_entry_knowledge.py
@@ -84,7 +84,7 @@
         self.routing = forwarding.RoutingState()
         self.targets = forwarding.LiveTargets(clock)
         self.peers = forwarding.LiveTargets(clock)
-        self.vouching = forwarding.FreshnessCheck()
+        self.freshness_check = forwarding.FreshnessCheck()
         self._role = forwarding.Role(
             settings.name, settings.coordinators_per_site
         )
@@ -263,7 +263,7 @@
             return False
         if not stale_ok and not self.hears_store():
             now_ms = self._clock.now_ms()
-            if not self.vouching.may_serve(self.version(), now_ms):
+            if not self.freshness_check.may_serve(self.version(), now_ms):
                 return False
         if self.version() >= least_version:
             return True
--- a/tests/unit/test_entry_knowledge.py
+++ b/tests/unit/test_entry_knowledge.py
@@ -188,7 +188,7 @@
         self.assertTrue(self.knowledge.hears_store())
 
     def _answer(self, *answers: forwarding.StoreStatus) -> None:
-        self.knowledge.vouching.record_round(answers, self.clock.now_ms())
+        self.knowledge.freshness_check.record_round(answers, self.clock.now_ms())
 
     async def test_it_serves_when_all_have_lost_the_store(self) -> None:
         """Else an outage of the store would be one of everything."""
