--- a/samphiredock/daemon/_entry_knowledge.py
+++ b/samphiredock/daemon/_entry_knowledge.py
@@ -191,7 +191,7 @@
         fresh_ms = self._settings.watch_ms + _WATCH_SLACK_MS
         return self._watcher.has_heard_within(fresh_ms)
 
-    def needs_vouching(self) -> bool:
+    def needs_freshness_check(self) -> bool:
         """Whether others are to be asked what they know of the store.
 
         Early enough that their answers are there when what is known here
--- a/tests/unit/test_entry_knowledge.py
+++ b/tests/unit/test_entry_knowledge.py
@@ -148,7 +148,7 @@
         """
         self.store.is_lost = True
         await self._advance(4_500.0)
-        self.assertTrue(self.knowledge.needs_vouching())
+        self.assertTrue(self.knowledge.needs_freshness_check())
         self._answer(
             forwarding.StoreStatus(7, False), forwarding.StoreStatus(0, False)
         )
