--- a/samphiredock/daemon/_entry_knowledge.py
+++ b/samphiredock/daemon/_entry_knowledge.py
@@ -186,7 +186,7 @@
             return not self.targets.is_empty()
         return not self.peers.is_empty()
 
-    def hears_store(self) -> bool:
+    def has_store_contact(self) -> bool:
         """Whether the store has answered this daemon's watches lately."""
         fresh_ms = self._settings.watch_ms + _WATCH_SLACK_MS
         return self._watcher.has_heard_within(fresh_ms)
@@ -261,7 +261,7 @@
             self.stand_in()
         if not self.coordinates():
             return False
-        if not stale_ok and not self.hears_store():
+        if not stale_ok and not self.has_store_contact():
             now_ms = self._clock.now_ms()
             if not self.freshness_check.may_serve(self.version(), now_ms):
                 return False
--- a/tests/unit/test_entry_knowledge.py
+++ b/tests/unit/test_entry_knowledge.py
@@ -185,7 +185,7 @@
         self.assertLessEqual(self.store.watches, 2 * 26)
         self.store.refuses = False
         await self._advance(1_000.0)
-        self.assertTrue(self.knowledge.hears_store())
+        self.assertTrue(self.knowledge.has_store_contact())
 
     def _answer(self, *answers: forwarding.StoreStatus) -> None:
         self.knowledge.freshness_check.record_round(answers, self.clock.now_ms())
