--- a/samphiredock/daemon/_entry_knowledge.py
+++ b/samphiredock/daemon/_entry_knowledge.py
@@ -243,7 +243,7 @@
         """Take what another daemon tells; True if it is of use."""
         return self._presence.on_introduction(daemons)
 
-    def stand_in(self) -> None:
+    def coordinate_temporarily(self) -> None:
         """Coordinate for a time."""
         self._role.coordinate_temporarily(self._clock.now_ms(), _STAND_IN_MS)
 
@@ -258,7 +258,7 @@
         if not self._role.coordinates:
             # Another daemon takes this one for a coordinator; lists differ
             # for some seconds after a change.
-            self.stand_in()
+            self.coordinate_temporarily()
         if not self.coordinates():
             return False
         if not stale_ok and not self.has_store_contact():
