--- a/samphiredock/daemon/_entry_knowledge.py
+++ b/samphiredock/daemon/_entry_knowledge.py
@@ -239,7 +239,7 @@
             if row.name in self._role.coordinators
         )
 
-    def introduced(self, daemons: tuple[forwarding.Daemon, ...]) -> bool:
+    def on_introduction(self, daemons: tuple[forwarding.Daemon, ...]) -> bool:
         """Take what another daemon tells; True if it is of use."""
         return self._presence.on_introduction(daemons)
 
