--- a/samphiredock/daemon/_entry_knowledge.py
+++ b/samphiredock/daemon/_entry_knowledge.py
@@ -134,7 +134,7 @@
         """Remove this daemon's object from the store."""
         await self._presence.leave()
 
-    def give_up(self) -> None:
+    def stop_waiting(self) -> None:
         """Have nobody wait for the store any longer: this daemon stops."""
         self._given_up.set()
 
--- a/tests/unit/test_entry_knowledge.py
+++ b/tests/unit/test_entry_knowledge.py
@@ -115,7 +115,7 @@
         knowing = asyncio.create_task(self.knowledge.knows(9, False))
         await memory_links.settle()
         self.assertFalse(knowing.done())
-        self.knowledge.give_up()
+        self.knowledge.stop_waiting()
         await memory_links.settle()
         self.assertTrue(knowing.done())
         self.assertFalse(await knowing)
