--- a/samphiredock/daemon/_entry_knowledge.py
+++ b/samphiredock/daemon/_entry_knowledge.py
@@ -158,14 +158,14 @@
         peer = self.peers.get(name)
         return peer is not None and peer.site == self._settings.site
 
-    def budget_parts(self) -> int | None:
+    def coordinator_count(self) -> int | None:
         """Return how many daemons share budget and connections."""
         return len(self._role.coordinators) or None
 
     def connections_to(self, target: state.LiveTarget) -> int:
         """Return this daemon's part of the connections a target takes."""
         table = self.routing.table
-        parts = self.budget_parts()
+        parts = self.coordinator_count()
         if table is None or parts is None:
             return 1
         most = table.connections.get(target.service, 1)
