--- a/samphiredock/daemon/_entry_knowledge.py
+++ b/samphiredock/daemon/_entry_knowledge.py
@@ -171,7 +171,7 @@
         most = table.connections.get(target.service, 1)
         return forwarding.connections_per_daemon(most, parts)
 
-    def version(self) -> int:
+    def routing_version(self) -> int:
         """Return the version of the routing table in force, 0 for none."""
         return self.routing.table.version if self.routing.table else 0
 
@@ -247,7 +247,7 @@
         """Coordinate for a time."""
         self._role.coordinate_temporarily(self._clock.now_ms(), _STAND_IN_MS)
 
-    async def knows(self, least_version: int, stale_ok: bool) -> bool:
+    async def can_serve_handed_over(self, least_version: int, stale_ok: bool) -> bool:
         """Whether this daemon can serve others with a table that new.
 
         One that lost the store while others did not would refuse a route
@@ -263,12 +263,12 @@
             return False
         if not stale_ok and not self.has_store_contact():
             now_ms = self._clock.now_ms()
-            if not self.freshness_check.may_serve(self.version(), now_ms):
+            if not self.freshness_check.may_serve(self.routing_version(), now_ms):
                 return False
-        if self.version() >= least_version:
+        if self.routing_version() >= least_version:
             return True
         await self._read_routing()
-        return self.version() >= least_version
+        return self.routing_version() >= least_version
 
     async def _read_routing(self) -> None:
         """Ask the store for the routing table, until this daemon stops."""
--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -112,7 +112,7 @@
         """Whether the balancer should send requests here."""
         return (
             not self.is_closing()
-            and self._knowledge.version() > 0
+            and self._knowledge.routing_version() > 0
             and self._knowledge.can_serve()
         )
 
@@ -183,7 +183,7 @@
                 'readiness',
                 ready=ready,
                 phase=self._shutdown.phase.value,
-                table=self._knowledge.version() or None,
+                table=self._knowledge.routing_version() or None,
                 targets=len(self._knowledge.targets.all()),
             )
         return protocol.HttpReply(200 if ready else 503)
--- a/samphiredock/daemon/_entry_peers.py
+++ b/samphiredock/daemon/_entry_peers.py
@@ -72,7 +72,7 @@
         """Answer another daemon's notice or question, None if it is none."""
         if path == forwarding.STORE_STATUS_PATH:
             return forwarding.store_status_reply(
-                self._knowledge.version(), self._knowledge.hears_store()
+                self._knowledge.routing_version(), self._knowledge.has_store_contact()
             )
         reader = self._readers.get(path)
         if reader is None:
@@ -90,7 +90,7 @@
     def _take_introduction(self, body: bytes) -> bool:
         daemons = forwarding.read_introduction(body)
         if daemons is not None:
-            self._knowledge.introduced(daemons)
+            self._knowledge.on_introduction(daemons)
         return daemons is not None
 
     # To others.
@@ -102,7 +102,7 @@
             background.start(self._tell(peer, request), 'tell of a loss')
 
     def _ask_if_alone(self) -> None:
-        if self._knowledge.needs_vouching():
+        if self._knowledge.needs_freshness_check():
             background.start(self._ask_others(), 'ask who hears the store')
 
     async def _ask_others(self) -> None:
@@ -115,13 +115,13 @@
         )
         replies = await asyncio.gather(*map(self._ask, asked))
         answers = [row for row in replies if row is not None]
-        standing = self._knowledge.vouching.record_round(answers, asked_ms)
+        standing = self._knowledge.freshness_check.record_round(answers, asked_ms)
         _log.info(
             'store not heard',
             asked=len(asked),
             answered=len(answers),
             hear_it=sum(row.hears for row in answers),
-            version=self._knowledge.version(),
+            version=self._knowledge.routing_version(),
             newest=standing.newest if standing else None,
         )
 
--- a/samphiredock/daemon/_entry_service.py
+++ b/samphiredock/daemon/_entry_service.py
@@ -84,7 +84,7 @@
             settings.retry_ratio,
             settings.retry_slack,
             settings.retry_window_s * 1000.0,
-            knowledge.budget_parts,
+            knowledge.coordinator_count,
         )
         self._forwarder = self._make_forwarder()
         self._merger = forwarding.Merger(
@@ -129,7 +129,7 @@
         have run elsewhere.
         """
         self._has_given_up = True
-        self._knowledge.give_up()
+        self._knowledge.stop_waiting()
         self._merger.finish_all()
         for forwarder in self._forwarders:
             forwarder.finish_all()
@@ -268,7 +268,7 @@
         ):
             # No coordinator can be reached: this daemon becomes one until
             # they are back.
-            self._knowledge.stand_in()
+            self._knowledge.coordinate_temporarily()
         return outcome
 
     async def handle_peer(
@@ -292,7 +292,7 @@
         read = self._adapter.read_request(method, path, handed.headers, body)
         if isinstance(read, result.Failure):
             return forwarding.refusal_reply(handed, read.failure())
-        if not await self._knowledge.knows(
+        if not await self._knowledge.can_serve_handed_over(
             handed.least_version, handed.stale_ok
         ):
             return forwarding.refusal_reply(
@@ -311,7 +311,7 @@
         return forwarding.coordinator_reply(
             self._adapter.caller_reply(outcome),
             handed,
-            self._knowledge.version(),
+            self._knowledge.routing_version(),
         )
 
     def _take_order(
@@ -328,7 +328,7 @@
         if not self._knowledge.follows_targets():
             # Lists of daemons differ for some seconds after a change: one
             # that is taken for a coordinator becomes one.
-            self._knowledge.stand_in()
+            self._knowledge.coordinate_temporarily()
         return protocol.StreamedReply(200, (), self._reports(read.unwrap()))
 
     async def _reports(
