--- a/samphiredock/daemon/_entry_knowledge.py
+++ b/samphiredock/daemon/_entry_knowledge.py
@@ -48,7 +48,7 @@
 _log = logs.logger('entry')
 
 
-class EntryKnowledge:
+class EntryState:
     """Routes, targets and the other daemons, as the store shows them.
 
     Parameters
--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -83,7 +83,7 @@
         self._store_calls = transport.ChannelCalls(
             self._clock, settings.platform_address
         )
-        self._knowledge = _entry_knowledge.EntryKnowledge(
+        self._knowledge = _entry_knowledge.EntryState(
             settings,
             adapter,
             adapter.store(self._store_calls),
--- a/samphiredock/daemon/_entry_peers.py
+++ b/samphiredock/daemon/_entry_peers.py
@@ -43,7 +43,7 @@
     def __init__(
         self,
         name: str,
-        knowledge: _entry_knowledge.EntryKnowledge,
+        knowledge: _entry_knowledge.EntryState,
         links: transport.ChannelPool,
         crashes: forwarding.CrashGuard,
         clock: timers.Timers,
--- a/samphiredock/daemon/_entry_service.py
+++ b/samphiredock/daemon/_entry_service.py
@@ -59,7 +59,7 @@
         self,
         settings: state.EntrySettings,
         adapter: _entry_adapter.Adapter,
-        knowledge: _entry_knowledge.EntryKnowledge,
+        knowledge: _entry_knowledge.EntryState,
         clock: timers.Timers,
         counters: metrics.Metrics,
     ) -> None:
--- a/tests/unit/test_entry_knowledge.py
+++ b/tests/unit/test_entry_knowledge.py
@@ -73,7 +73,7 @@
         self.counters = metrics.Metrics('test')
         self.addCleanup(self.counters.close)
         address = '127.0.0.1:1'
-        self.knowledge = _entry_knowledge.EntryKnowledge(
+        self.knowledge = _entry_knowledge.EntryState(
             state.EntrySettings('me', 'a', address, address, address, address),
             _Adapter(),
             self.store,
