--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -7,7 +7,7 @@
 from samphiredock.coordination import background
 from samphiredock.daemon import _doors
 from samphiredock.daemon import _entry_adapter
-from samphiredock.daemon import _entry_knowledge
+from samphiredock.daemon import _entry_state
 from samphiredock.daemon import _entry_service
 from samphiredock.daemon import _shutdown
 from samphiredock.daemon import early
@@ -83,7 +83,7 @@
         self._store_calls = transport.ChannelCalls(
             self._clock, settings.platform_address
         )
-        self._knowledge = _entry_knowledge.EntryState(
+        self._knowledge = _entry_state.EntryState(
             settings,
             adapter,
             adapter.store(self._store_calls),
--- a/samphiredock/daemon/_entry_peers.py
+++ b/samphiredock/daemon/_entry_peers.py
@@ -7,7 +7,7 @@
 
 from samphiredock.coordination import background
 from samphiredock.coordination import forwarding
-from samphiredock.daemon import _entry_knowledge
+from samphiredock.daemon import _entry_state
 from samphiredock import logs
 from samphiredock import protocol
 from samphiredock import state
@@ -43,7 +43,7 @@
     def __init__(
         self,
         name: str,
-        knowledge: _entry_knowledge.EntryState,
+        knowledge: _entry_state.EntryState,
         links: transport.ChannelPool,
         crashes: forwarding.CrashGuard,
         clock: timers.Timers,
--- a/samphiredock/daemon/_entry_service.py
+++ b/samphiredock/daemon/_entry_service.py
@@ -11,7 +11,7 @@
 from samphiredock.coordination import background
 from samphiredock.coordination import forwarding
 from samphiredock.daemon import _entry_adapter
-from samphiredock.daemon import _entry_knowledge
+from samphiredock.daemon import _entry_state
 from samphiredock.daemon import _entry_peers
 from samphiredock import logs
 from samphiredock import metrics
@@ -59,7 +59,7 @@
         self,
         settings: state.EntrySettings,
         adapter: _entry_adapter.Adapter,
-        knowledge: _entry_knowledge.EntryState,
+        knowledge: _entry_state.EntryState,
         clock: timers.Timers,
         counters: metrics.Metrics,
     ) -> None:
--- a/tests/unit/test_entry_knowledge.py
+++ b/tests/unit/test_entry_knowledge.py
@@ -6,7 +6,7 @@
 from returns import result
 
 from samphiredock.coordination import forwarding
-from samphiredock.daemon import _entry_knowledge
+from samphiredock.daemon import _entry_state
 from samphiredock import metrics
 from samphiredock import state
 from samphiredock import timers
@@ -73,7 +73,7 @@
         self.counters = metrics.Metrics('test')
         self.addCleanup(self.counters.close)
         address = '127.0.0.1:1'
-        self.knowledge = _entry_knowledge.EntryState(
+        self.knowledge = _entry_state.EntryState(
             state.EntrySettings('me', 'a', address, address, address, address),
             _Adapter(),
             self.store,
