--- a/samphiredock/daemon/_entry_peers.py
+++ b/samphiredock/daemon/_entry_peers.py
@@ -95,7 +95,7 @@
 
     # To others.
 
-    def tell_loss(self, loss: forwarding.Loss) -> None:
+    def announce_loss(self, loss: forwarding.Loss) -> None:
         """Tell the other coordinators; the content may come to any next."""
         request = forwarding.loss_notice(loss)
         for peer in self._knowledge.peers.all():
--- a/samphiredock/daemon/_entry_service.py
+++ b/samphiredock/daemon/_entry_service.py
@@ -74,7 +74,7 @@
             clock, lambda target: _PEER_CONNECTIONS
         )
         self._crashes = forwarding.CrashGuard(
-            clock, counters, lambda loss: self._notices.tell_loss(loss)
+            clock, counters, lambda loss: self._notices.announce_loss(loss)
         )
         self._notices = _entry_peers.PeerNotices(
             settings.name, knowledge, self._peer_links, self._crashes, clock
