--- a/samphiredock/daemon/_entry_peers.py
+++ b/samphiredock/daemon/_entry_peers.py
@@ -68,7 +68,7 @@
 
     # From others.
 
-    def read(self, path: str, body: bytes) -> protocol.HttpReply | None:
+    def handle(self, path: str, body: bytes) -> protocol.HttpReply | None:
         """Answer another daemon's notice or question, None if it is none."""
         if path == forwarding.STORE_STATUS_PATH:
             return forwarding.store_status_reply(
--- a/samphiredock/daemon/_entry_service.py
+++ b/samphiredock/daemon/_entry_service.py
@@ -281,7 +281,7 @@
         """Answer what another daemon hands over, orders or tells."""
         if path == forwarding.ORDER_PATH:
             return self._take_order(body)
-        notice = self._notices.read(path, body)
+        notice = self._notices.handle(path, body)
         if notice is not None:
             return notice
         handed = forwarding.read_handed_over(headers)
