--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -243,7 +243,7 @@
     def _give_up(self) -> None:
         left = self._service.open_requests()
         oldest = self._oldest()
-        self._service.give_up()
+        self._service.finish_all()
         if left:
             _log.warning('requests given up', left=left, oldest=oldest)
             self._metrics.add('requests_given_up', left)
--- a/samphiredock/daemon/_entry_service.py
+++ b/samphiredock/daemon/_entry_service.py
@@ -122,7 +122,7 @@
             for row in forwarder.pending_requests()
         ]
 
-    def give_up(self) -> None:
+    def finish_all(self) -> None:
         """Answer every request now, with what is true of it now.
 
         Those of other daemons as well: what was not begun they can still
