--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -90,7 +90,7 @@
             self._clock,
             self._metrics,
         )
-        self._service = _entry_service.EntryService(
+        self._service = _entry_service.EntryHandler(
             settings, adapter, self._knowledge, self._clock, self._metrics
         )
         self._shutdown = _shutdown.Shutdown(
--- a/samphiredock/daemon/_entry_service.py
+++ b/samphiredock/daemon/_entry_service.py
@@ -40,7 +40,7 @@
 _log = logs.logger('entry')
 
 
-class EntryService:
+class EntryHandler:
     """Callers' requests, and those that other daemons hand over.
 
     Parameters
