--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -8,7 +8,7 @@
 from samphiredock.daemon import _doors
 from samphiredock.daemon import _entry_adapter
 from samphiredock.daemon import _entry_state
-from samphiredock.daemon import _entry_service
+from samphiredock.daemon import _entry_handler
 from samphiredock.daemon import _shutdown
 from samphiredock.daemon import early
 from samphiredock import logs
@@ -90,7 +90,7 @@
             self._clock,
             self._metrics,
         )
-        self._service = _entry_service.EntryHandler(
+        self._service = _entry_handler.EntryHandler(
             settings, adapter, self._knowledge, self._clock, self._metrics
         )
         self._shutdown = _shutdown.Shutdown(
