--- a/samphiredock/daemon/_node.py
+++ b/samphiredock/daemon/_node.py
@@ -251,7 +251,7 @@
         left = self.in_flight()
         self._parts.coordinator.finish_all()
         self._parts.runner.finish_all()
-        self._desk.end()
+        self._desk.finish_all()
         if left:
             _log.warning('requests given up', left=left)
             self._parts.metrics.add('requests_given_up', left)
--- a/samphiredock/daemon/_operations.py
+++ b/samphiredock/daemon/_operations.py
@@ -46,7 +46,7 @@
         """Return how many calls wait for the store."""
         return len(self._calls)
 
-    def end(self) -> None:
+    def finish_all(self) -> None:
         """Answer every call that waits; the daemon's time is up."""
         self._ended = True
         for waker in self._calls:
--- a/tests/unit/test_operations.py
+++ b/tests/unit/test_operations.py
@@ -126,7 +126,7 @@
     async def test_calls_after_the_end(self) -> None:
         """They are refused, and the store is not asked."""
         desk = self._make()
-        desk.end()
+        desk.finish_all()
         changed = await desk.apply(self._change())
         self.assertIsInstance(changed, protocol.ChangeUnavailable)
         for ended in (
