--- a/samphiredock/daemon/_node.py
+++ b/samphiredock/daemon/_node.py
@@ -58,7 +58,7 @@
             settings.shutdown_limit_ms,
             self._on_phase,
         )
-        self._desk = _operations.OperatorDesk(
+        self._desk = _operations.OperatorHandler(
             self._parts, settings, self.is_ready
         )
         self._stopped = asyncio.Event()
--- a/samphiredock/daemon/_operations.py
+++ b/samphiredock/daemon/_operations.py
@@ -27,7 +27,7 @@
 _Outcome = typing.TypeVar('_Outcome')
 
 
-class OperatorDesk:
+class OperatorHandler:
     """Answers the operators' interface from the parts of the daemon."""
 
     def __init__(
--- a/tests/unit/test_operations.py
+++ b/tests/unit/test_operations.py
@@ -46,7 +46,7 @@
 class OperatorDeskTest(unittest.IsolatedAsyncioTestCase):
     """A call waits for the store, and the daemon ends."""
 
-    def _make(self, *silent: str) -> _operations.OperatorDesk:
+    def _make(self, *silent: str) -> _operations.OperatorHandler:
         self.store = _SilentStore(*silent)
         counters = metrics.Metrics('test')
         self.addCleanup(counters.close)
@@ -65,7 +65,7 @@
                 release=lambda name: self.store.put('', b'', 0),
             ),
         )
-        return _operations.OperatorDesk(
+        return _operations.OperatorHandler(
             typing.cast(typing.Any, parts),
             typing.cast(state.Settings, None),
             lambda: True,
@@ -73,7 +73,7 @@
 
     async def _ended(
         self,
-        desk: _operations.OperatorDesk,
+        desk: _operations.OperatorHandler,
         call: typing.Coroutine,
         store_call: str,
     ) -> object:
