--- a/samphiredock/daemon/_node.py
+++ b/samphiredock/daemon/_node.py
@@ -7,7 +7,7 @@
 
 from aiohttp import web
 
-from samphiredock.daemon import _operations
+from samphiredock.daemon import _operator_handler
 from samphiredock.daemon import _parts
 from samphiredock.daemon import _shutdown
 from samphiredock import logs
@@ -58,7 +58,7 @@
             settings.shutdown_limit_ms,
             self._on_phase,
         )
-        self._desk = _operations.OperatorHandler(
+        self._desk = _operator_handler.OperatorHandler(
             self._parts, settings, self.is_ready
         )
         self._stopped = asyncio.Event()
--- a/tests/unit/test_operations.py
+++ b/tests/unit/test_operations.py
@@ -8,7 +8,7 @@
 from returns import result
 
 from samphiredock.coordination.config import _accept
-from samphiredock.daemon import _operations
+from samphiredock.daemon import _operator_handler
 from samphiredock import metrics
 from samphiredock import protocol
 from samphiredock import state
@@ -46,7 +46,7 @@
 class OperatorDeskTest(unittest.IsolatedAsyncioTestCase):
     """A call waits for the store, and the daemon ends."""
 
-    def _make(self, *silent: str) -> _operations.OperatorHandler:
+    def _make(self, *silent: str) -> _operator_handler.OperatorHandler:
         self.store = _SilentStore(*silent)
         counters = metrics.Metrics('test')
         self.addCleanup(counters.close)
@@ -65,7 +65,7 @@
                 release=lambda name: self.store.put('', b'', 0),
             ),
         )
-        return _operations.OperatorHandler(
+        return _operator_handler.OperatorHandler(
             typing.cast(typing.Any, parts),
             typing.cast(state.Settings, None),
             lambda: True,
@@ -73,7 +73,7 @@
 
     async def _ended(
         self,
-        desk: _operations.OperatorHandler,
+        desk: _operator_handler.OperatorHandler,
         call: typing.Coroutine,
         store_call: str,
     ) -> object:
