--- a/samphiredock/daemon/_node.py
+++ b/samphiredock/daemon/_node.py
@@ -52,7 +52,7 @@
     ) -> None:
         self._settings = settings
         self._keys = keys or state.Keys()
-        self._parts = _parts.Parts(settings, self._keys)
+        self._parts = _parts.Components(settings, self._keys)
         self._shutdown = _shutdown.Shutdown(
             settings.balancer_lag_ms,
             settings.shutdown_limit_ms,
--- a/samphiredock/daemon/_operator_handler.py
+++ b/samphiredock/daemon/_operator_handler.py
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        parts: _parts.Parts,
+        parts: _parts.Components,
         settings: state.Settings,
         is_ready: typing.Callable[[], bool],
     ) -> None:
--- a/samphiredock/daemon/_parts.py
+++ b/samphiredock/daemon/_parts.py
@@ -35,7 +35,7 @@
 _OWNERSHIP_REFRESH_MS = 200.0
 
 
-class Parts:
+class Components:
     """Everything a daemon consists of but its HTTP interfaces.
 
     It also is the view that the coordination layer reads: what is in force
