--- a/samphiredock/daemon/_node.py
+++ b/samphiredock/daemon/_node.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from samphiredock.daemon import _operator_handler
-from samphiredock.daemon import _parts
+from samphiredock.daemon import _components
 from samphiredock.daemon import _shutdown
 from samphiredock import logs
 from samphiredock import protocol
@@ -52,7 +52,7 @@
     ) -> None:
         self._settings = settings
         self._keys = keys or state.Keys()
-        self._parts = _parts.Components(settings, self._keys)
+        self._parts = _components.Components(settings, self._keys)
         self._shutdown = _shutdown.Shutdown(
             settings.balancer_lag_ms,
             settings.shutdown_limit_ms,
--- a/samphiredock/daemon/_operator_handler.py
+++ b/samphiredock/daemon/_operator_handler.py
@@ -5,7 +5,7 @@
 
 from returns import result
 
-from samphiredock.daemon import _parts
+from samphiredock.daemon import _components
 from samphiredock import protocol
 from samphiredock import state
 from samphiredock import transport
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        parts: _parts.Components,
+        parts: _components.Components,
         settings: state.Settings,
         is_ready: typing.Callable[[], bool],
     ) -> None:
--- a/tests/unit/test_fuzz_requests.py
+++ b/tests/unit/test_fuzz_requests.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies
 import msgspec
 
-from samphiredock.daemon import _parts
+from samphiredock.daemon import _components
 from samphiredock import metrics
 from samphiredock import protocol
 from samphiredock import transport
@@ -65,7 +65,7 @@
 _KEYS = strategies.one_of(
     _TEXTS, strategies.uuids(version=4).map(str), strategies.just(_KEY)
 )
-_NAMES = [kind.__name__.encode() for kind in _parts.PEER_MESSAGES]
+_NAMES = [kind.__name__.encode() for kind in _components.PEER_MESSAGES]
 _FRAMES = strategies.lists(
     strategies.sampled_from(_NAMES)
     | strategies.binary(max_size=40)
@@ -128,11 +128,11 @@
         self.loop = asyncio.new_event_loop()
         self.addCleanup(self.loop.close)
         self.counters = metrics.Metrics('fuzz')
-        self.codec = protocol.Codec(_parts.PEER_MESSAGES)
+        self.codec = protocol.Codec(_components.PEER_MESSAGES)
         self.hub = self.loop.run_until_complete(self._make())
         self.addCleanup(self.hub.close)
         self.heard: list[object] = []
-        for kind in _parts.PEER_MESSAGES:
+        for kind in _components.PEER_MESSAGES:
             self.hub.subscribe(kind, lambda _, each: self.heard.append(each))
 
     async def _make(self) -> transport.PeerHub:
@@ -163,5 +163,5 @@
         """Decoding returns a message or a codec error, and never raises."""
         got = self.codec.decode(name, body)
         self.assertIsInstance(
-            got, (protocol.CodecError, *_parts.PEER_MESSAGES)
+            got, (protocol.CodecError, *_components.PEER_MESSAGES)
         )
--- a/tests/unit/test_wire_names.py
+++ b/tests/unit/test_wire_names.py
@@ -23,7 +23,7 @@
 from samphiredock.coordination.quarantine import _quarantine
 from samphiredock.coordination.search import _scatter_types
 from samphiredock.coordination.targets import _target_signs
-from samphiredock.daemon import _parts
+from samphiredock.daemon import _components
 from samphiredock import protocol
 from samphiredock import state
 from samphiredock.state import _checks
@@ -403,15 +403,15 @@
 
     def test_names_in_the_first_frame_are_pinned(self) -> None:
         """A message under another name is dropped by the receiver."""
-        codec = protocol.Codec(_parts.PEER_MESSAGES)
+        codec = protocol.Codec(_components.PEER_MESSAGES)
         names = {name.encode() for name in _PEER_MESSAGES.split()}
         self.assertEqual(names, set(codec._decoders))
-        for kind in _parts.PEER_MESSAGES:
+        for kind in _components.PEER_MESSAGES:
             self.assertIn(kind.__name__, {**_ARRAYS, **_MAPS})
 
     def test_peer_messages_keep_their_bytes(self) -> None:
         """Both frames of a message are unchanged, byte for byte."""
-        codec = protocol.Codec(_parts.PEER_MESSAGES)
+        codec = protocol.Codec(_components.PEER_MESSAGES)
         versions = protocol.HeldVersions(3, 4)
         row = protocol.MemberRow(
             'a', 's', 'r', 'tcp://p', 'c', 'o', 7, 1,
