--- a/samphiredock/daemon/_doors.py
+++ b/samphiredock/daemon/_doors.py
@@ -16,7 +16,7 @@
 less than is kept before the kill."""
 
 
-async def close_all(
+async def close_servers(
     servers: abc.Sequence[transport.EntryServer],
     left_ms: typing.Callable[[], float],
     give_up: typing.Callable[[], None],
--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -224,7 +224,7 @@
     async def wait_stopped(self) -> None:
         """Wait for the end of a stop, and close what is open."""
         await self._stopped.wait()
-        cut = await _doors.close_all(self._doors, self._left_ms, self._give_up)
+        cut = await _doors.close_servers(self._doors, self._left_ms, self._give_up)
         if cut:
             _log.error('requests cut', connections=cut)
             self._metrics.add('requests_cut', cut)
--- a/tests/unit/test_doors.py
+++ b/tests/unit/test_doors.py
@@ -60,7 +60,7 @@
 
     def _close(self) -> asyncio.Task[int]:
         return asyncio.create_task(
-            _doors.close_all(self.servers, lambda: self.left_ms, self._give_up)
+            _doors.close_servers(self.servers, lambda: self.left_ms, self._give_up)
         )
 
     async def _answer(self) -> bytes:
@@ -105,7 +105,7 @@
     ) -> None:
         """The process would be killed, and nothing in it closed in order."""
         self.left_ms = 0.0
-        cut = await _doors.close_all(
+        cut = await _doors.close_servers(
             self.servers, lambda: self.left_ms, lambda: None
         )
         self.assertEqual(1, cut)
