--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -5,7 +5,7 @@
 import socket
 
 from samphiredock.coordination import background
-from samphiredock.daemon import _doors
+from samphiredock.daemon import _server_closing
 from samphiredock.daemon import _entry_adapter
 from samphiredock.daemon import _entry_state
 from samphiredock.daemon import _entry_handler
@@ -224,7 +224,7 @@
     async def wait_stopped(self) -> None:
         """Wait for the end of a stop, and close what is open."""
         await self._stopped.wait()
-        cut = await _doors.close_servers(self._doors, self._left_ms, self._give_up)
+        cut = await _server_closing.close_servers(self._doors, self._left_ms, self._give_up)
         if cut:
             _log.error('requests cut', connections=cut)
             self._metrics.add('requests_cut', cut)
--- a/tests/unit/test_doors.py
+++ b/tests/unit/test_doors.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from samphiredock.daemon import _doors
+from samphiredock.daemon import _server_closing
 from samphiredock import metrics
 from samphiredock import protocol
 from samphiredock import state
@@ -60,7 +60,7 @@
 
     def _close(self) -> asyncio.Task[int]:
         return asyncio.create_task(
-            _doors.close_servers(self.servers, lambda: self.left_ms, self._give_up)
+            _server_closing.close_servers(self.servers, lambda: self.left_ms, self._give_up)
         )
 
     async def _answer(self) -> bytes:
@@ -105,7 +105,7 @@
     ) -> None:
         """The process would be killed, and nothing in it closed in order."""
         self.left_ms = 0.0
-        cut = await _doors.close_servers(
+        cut = await _server_closing.close_servers(
             self.servers, lambda: self.left_ms, lambda: None
         )
         self.assertEqual(1, cut)
