--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -10,7 +10,7 @@
 from samphiredock.daemon import _entry_state
 from samphiredock.daemon import _entry_handler
 from samphiredock.daemon import _shutdown
-from samphiredock.daemon import early
+from samphiredock.daemon import early_listener
 from samphiredock import logs
 from samphiredock import metrics
 from samphiredock import protocol
@@ -170,7 +170,7 @@
     ) -> transport.EntryServer:
         door = transport.Door(handle, self.is_closing, self._knowledge.limits)
         server = transport.EntryServer(door, self._metrics, self._clock)
-        await server.start(address, early.BACKLOG, listening)
+        await server.start(address, early_listener.BACKLOG, listening)
         return server
 
     async def _say_ready(
--- a/samphiredock/daemon/entry.py
+++ b/samphiredock/daemon/entry.py
@@ -13,7 +13,7 @@
 from samphiredock.coordination import background
 from samphiredock.daemon import _entry_adapter
 from samphiredock.daemon import _entry_node
-from samphiredock.daemon import early
+from samphiredock.daemon import early_listener
 from samphiredock import logs
 from samphiredock import state
 
@@ -105,7 +105,7 @@
 def _check_address(
     callers: socket.socket, settings: state.EntrySettings
 ) -> None:
-    got, expected = early.address_of(callers), settings.caller_address
+    got, expected = early_listener.address_of(callers), settings.caller_address
     if got != expected:
         click.echo(
             f'listens for callers on {got}, expected {expected} '
--- a/tests/unit/test_early.py
+++ b/tests/unit/test_early.py
@@ -4,7 +4,7 @@
 import sys
 import unittest
 
-from samphiredock.daemon import early
+from samphiredock.daemon import early_listener
 
 ROOT = pathlib.Path(__file__).parents[2]
 
@@ -29,7 +29,7 @@
     """Callers connect before the daemon has been imported."""
 
     def _listen(self, *arguments: str) -> socket.socket | None:
-        found = early.listen(arguments, '--callers')
+        found = early_listener.listen(arguments, '--callers')
         if found is not None:
             self.addCleanup(found.close)
         return found
@@ -37,7 +37,7 @@
     def test_callers_wait_in_the_queue(self) -> None:
         """Refused at once, they would have no attempt left for later."""
         listening = self._listen('entry', '--callers', '127.0.0.1:0')
-        host, _, port = early.address_of(listening).rpartition(':')
+        host, _, port = early_listener.address_of(listening).rpartition(':')
         with socket.create_connection((host, int(port)), 1.0) as caller:
             caller.sendall(b'GET / HTTP/1.1\r\n\r\n')
             accepted, _ = listening.accept()
@@ -48,7 +48,7 @@
         """It reads the settings and says what is wrong."""
         taken = self._listen('entry', '--callers', '127.0.0.1:0')
         for text in (
-            early.address_of(taken), 'nothing', '127.0.0.1:x', ':99999999',
+            early_listener.address_of(taken), 'nothing', '127.0.0.1:x', ':99999999',
         ):  # fmt: skip
             with self.subTest(text):
                 self.assertIsNone(self._listen('entry', '--callers', text))
