--- a/samphiredock/coordination/fleet/_membership.py
+++ b/samphiredock/coordination/fleet/_membership.py
@@ -104,7 +104,7 @@
         self._versions_callbacks: list[_VersionsCallback] = []
         self._joined = False
         self._task: asyncio.Task | None = None
-        self._timers: list[timers.Subscription] = []
+        self._timers: list[timers.TimerHandle] = []
         for kind in _gossip.GOSSIP_MESSAGES:
             peers.subscribe(kind, self._on_message)
         peers.subscribe(protocol.RevisionHeld, self._on_revision)
--- a/samphiredock/coordination/forwarding/_pending_requests.py
+++ b/samphiredock/coordination/forwarding/_pending_requests.py
@@ -73,7 +73,7 @@
     scatter: _scatter.Scatter
     done: asyncio.Future
     trace: _request_log.RequestTrace
-    timer: timers.Subscription | None = None
+    timer: timers.TimerHandle | None = None
     assignments: _merger_assignments.MergerAssignments | None = None
     timer_due_ms: float = math.inf
     parts: _collected_parts.CollectedParts = dataclasses.field(init=False)
--- a/samphiredock/coordination/search/_coordinator.py
+++ b/samphiredock/coordination/search/_coordinator.py
@@ -49,7 +49,7 @@
     scatter: _scatter.Scatter
     plan: _planner.Plan
     done: asyncio.Future
-    timer: timers.Subscription | None = None
+    timer: timers.TimerHandle | None = None
     timer_due_ms: float = math.inf
 
 
--- a/samphiredock/coordination/targets/_exchanges.py
+++ b/samphiredock/coordination/targets/_exchanges.py
@@ -35,7 +35,7 @@
     link: transport.TargetLink
     target: state.Target
     wake_at_ms: float = 0.0
-    timer: timers.Subscription | None = None
+    timer: timers.TimerHandle | None = None
 
 
 class Exchanges:
--- a/samphiredock/timers.py
+++ b/samphiredock/timers.py
@@ -16,7 +16,7 @@
 TICK_MS = 100.0
 
 
-class Subscription(typing.Protocol):
+class TimerHandle(typing.Protocol):
     """A timer that can be stopped."""
 
     def cancel(self) -> None:
@@ -34,12 +34,12 @@
 
     def after(
         self, delay_ms: float, callback: typing.Callable[[], None]
-    ) -> Subscription:
+    ) -> TimerHandle:
         """Call back once, ``delay_ms`` from now."""
 
     def every(
         self, period_ms: float, callback: typing.Callable[[], None]
-    ) -> Subscription:
+    ) -> TimerHandle:
         """Call back at each period until cancelled."""
 
     def on_gap(self, callback: typing.Callable[[float], None]) -> None:
@@ -96,7 +96,7 @@
 
     def after(
         self, delay_ms: float, callback: typing.Callable[[], None]
-    ) -> Subscription:
+    ) -> TimerHandle:
         """Call back once, ``delay_ms`` from now."""
         delay_s = max(0.0, delay_ms) / 1000.0
         return self._loop.call_later(delay_s, self._fire, callback)
@@ -107,7 +107,7 @@
 
     def every(
         self, period_ms: float, callback: typing.Callable[[], None]
-    ) -> Subscription:
+    ) -> TimerHandle:
         """Call back at each period until cancelled."""
         return _Repeating(self, period_ms, callback)
 
@@ -173,7 +173,7 @@
 
     def after(
         self, delay_ms: float, callback: typing.Callable[[], None]
-    ) -> Subscription:
+    ) -> TimerHandle:
         """Call back once when :meth:`advance` passes the delay."""
         timer = _ManualTimer(callback)
         due_ms = self._now_ms + max(0.0, delay_ms)
@@ -182,7 +182,7 @@
 
     def every(
         self, period_ms: float, callback: typing.Callable[[], None]
-    ) -> Subscription:
+    ) -> TimerHandle:
         """Call back at each period until cancelled."""
         return _Repeating(self, period_ms, callback)
 
--- a/samphiredock/transport/_entry_http.py
+++ b/samphiredock/transport/_entry_http.py
@@ -41,7 +41,7 @@
         self._clock = clock
         self._connections: set[_entry_connection.EntryConnection] = set()
         self._server: asyncio.Server | None = None
-        self._checking: timers.Subscription | None = None
+        self._checking: timers.TimerHandle | None = None
 
     async def start(
         self,
--- a/standins/memory_dispatcher.py
+++ b/standins/memory_dispatcher.py
@@ -33,7 +33,7 @@
         self._random = randomness
         self._executed = executed
         self.executions = 0
-        self._queued: dict[str, timers.Subscription] = {}
+        self._queued: dict[str, timers.TimerHandle] = {}
         self.behaviours: tuple[str, ...] = self.BEHAVIOURS
         self.orders: list[protocol.RunOrder] = []
         self.deaf_to_cancels = False
--- a/standins/memory_hosts.py
+++ b/standins/memory_hosts.py
@@ -67,7 +67,7 @@
 
     def after(
         self, delay_ms: float, callback: typing.Callable[[], None]
-    ) -> timers.Subscription:
+    ) -> timers.TimerHandle:
         """Call back once, while the host runs."""
         timer = _HostTimer(callback)
         self._base.after(delay_ms, lambda: self.run(timer.fire))
@@ -75,7 +75,7 @@
 
     def every(
         self, period_ms: float, callback: typing.Callable[[], None]
-    ) -> timers.Subscription:
+    ) -> timers.TimerHandle:
         """Call back at each period, while the host runs."""
         return timers._Repeating(self, period_ms, callback)
 
