--- a/samphiredock/logs.py
+++ b/samphiredock/logs.py
@@ -47,13 +47,13 @@
         self._limit_bytes = limit_bytes
         self._waiting = bytearray()
         self._unreported = 0
-        self.left_out = 0
+        self.dropped = 0
 
     def write(self, text: str) -> int:
         """Write as much as goes without waiting, and keep the rest."""
         data = text.encode('utf-8', 'replace')
         if len(self._waiting) + len(data) > self._limit_bytes:
-            self.left_out += 1
+            self.dropped += 1
             self._unreported += 1
             return len(text)
         if self._unreported and not self._waiting:
@@ -75,7 +75,7 @@
             return
         except OSError:
             # Nobody reads any more; there is no place left to say so.
-            self.left_out += 1
+            self.dropped += 1
             self._waiting.clear()
 
 
--- a/tests/unit/test_logs.py
+++ b/tests/unit/test_logs.py
@@ -39,16 +39,16 @@
         line = json.dumps({'event': 'x' * 90}) + '\n'
         for _ in range(5_000):
             stream.write(line)
-        self.assertGreater(stream.left_out, 0)
+        self.assertGreater(stream.dropped, 0)
         got = self._drain()
         stream.flush()
         stream.write(line)
         got += self._drain()
         rows = [json.loads(row) for row in got.splitlines()]
         counts = [row['count'] for row in rows if 'count' in row]
-        self.assertEqual([stream.left_out], counts)
+        self.assertEqual([stream.dropped], counts)
         written = len([row for row in rows if 'count' not in row])
-        self.assertEqual(5_001, written + stream.left_out)
+        self.assertEqual(5_001, written + stream.dropped)
 
     def test_closed_reader_is_no_error(self) -> None:
         """The daemon continues without its log."""
@@ -57,7 +57,7 @@
         self.addCleanup(os.close, writer)
         stream = logs.BoundedStream(writer)
         stream.write('a line\n')
-        self.assertEqual(1, stream.left_out)
+        self.assertEqual(1, stream.dropped)
 
 
 class RequestLogTest(unittest.TestCase):
