--- a/samphiredock/daemon/_entry_handler.py
+++ b/samphiredock/daemon/_entry_handler.py
@@ -1,4 +1,4 @@
-"""Requests at an entry daemon: served here, or handed over."""
+"""Requests at an entry daemon: served here, or handed_over over."""
 
 import contextlib
 import dataclasses
@@ -11,8 +11,8 @@
 from samphiredock.coordination import background
 from samphiredock.coordination import forwarding
 from samphiredock.daemon import _entry_adapter
-from samphiredock.daemon import _entry_state
 from samphiredock.daemon import _entry_peers
+from samphiredock.daemon import _entry_state
 from samphiredock import logs
 from samphiredock import metrics
 from samphiredock import protocol
@@ -24,15 +24,15 @@
 """Connections to one coordinator; 60 daemons then hold under 1,000 there,
 of 4,100 descriptors."""
 
-_HOP_MS = 4.0
+_HANDOVER_COST_MS = 4.0
 """What the way over another daemon takes of a route's aim: 1.4 ms between
 sites each way, and the work of one more program."""
 
-_ONCE_KEPT_MS = 100.0
+_RUN_ONCE_IDLE_MS = 100.0
 """Targets were seen to forget connections that were idle for 270 ms and
 more.  A new connection to a target of requests that run once takes 1 ms."""
 
-_WARM_WITHIN_MS = 1_500.0
+_WARM_UP_SPREAD_MS = 1_500.0
 """In this time after they were seen new targets get a connection of every
 coordinator, spread so that their slots are not all held at once."""
 
@@ -49,7 +49,7 @@
         The daemon's own.
     adapter
         The platform's names and wire.
-    knowledge
+    entry_state
         Routes, targets and the other daemons.
     clock, counters
         The timers and metrics of this daemon.
@@ -59,38 +59,44 @@
         self,
         settings: state.EntrySettings,
         adapter: _entry_adapter.Adapter,
-        knowledge: _entry_state.EntryState,
+        entry_state: _entry_state.EntryState,
         clock: timers.Timers,
         counters: metrics.Metrics,
     ) -> None:
         self._settings = settings
         self._adapter = adapter
-        self._knowledge = knowledge
+        self._entry_state = entry_state
         self._clock = clock
         self._metrics = counters
         self._rng = random.Random(settings.name)
-        self._links = transport.ChannelPool(clock, knowledge.connections_to)
+        self._links = transport.ChannelPool(clock, entry_state.connections_to)
         self._peer_links = transport.ChannelPool(
             clock, lambda target: _PEER_CONNECTIONS
         )
-        self._crashes = forwarding.CrashGuard(
-            clock, counters, lambda loss: self._notices.announce_loss(loss)
+        self._crash_guard = forwarding.CrashGuard(
+            clock,
+            counters,
+            lambda loss: self._peer_notices.announce_loss(loss),
         )
-        self._notices = _entry_peers.PeerNotices(
-            settings.name, knowledge, self._peer_links, self._crashes, clock
+        self._peer_notices = _entry_peers.PeerNotices(
+            settings.name,
+            entry_state,
+            self._peer_links,
+            self._crash_guard,
+            clock,
         )
         self._budget = forwarding.WindowBudget(
             clock,
             settings.retry_ratio,
             settings.retry_slack,
             settings.retry_window_s * 1000.0,
-            knowledge.coordinator_count,
+            entry_state.coordinator_count,
         )
         self._forwarder = self._make_forwarder()
         self._merger = forwarding.Merger(
             self._forwarder.target_client, clock, counters
         )
-        dialect = forwarding.HandoverDialect(knowledge.routing)
+        dialect = forwarding.HandoverDialect(entry_state.routing)
         self._handover = self._make_handover(dialect)
         self._stale_handover = self._make_handover(
             forwarding.StaleHandoverDialect(dialect)
@@ -101,14 +107,14 @@
             self._stale_handover,
         )
         self._open_requests = 0
-        self._has_given_up = False
-        knowledge.targets.on_removed(self._links.forget)
-        knowledge.targets.on_added(self._warm_later)
-        knowledge.peers.on_removed(self._peer_links.forget)
+        self._is_finished = False
+        entry_state.targets.on_removed(self._links.forget)
+        entry_state.targets.on_added(self._schedule_warm_up)
+        entry_state.peers.on_removed(self._peer_links.forget)
 
     def start(self) -> None:
         """Begin to tell the neighbour who coordinates."""
-        self._notices.start()
+        self._peer_notices.start()
 
     def open_requests(self) -> int:
         """Return how many requests have no answer yet."""
@@ -128,8 +134,8 @@
         Those of other daemons as well: what was not begun they can still
         have run elsewhere.
         """
-        self._has_given_up = True
-        self._knowledge.stop_waiting()
+        self._is_finished = True
+        self._entry_state.stop_waiting()
         self._merger.finish_all()
         for forwarder in self._forwarders:
             forwarder.finish_all()
@@ -152,18 +158,18 @@
 
     def _make_forwarder(self) -> forwarding.Forwarder:
         settings = self._settings
-        knowledge = self._knowledge
+        entry_state = self._entry_state
         replicas = coordination.ReplicaSelector(
             random.Random(settings.name),
-            knowledge.is_near,
+            entry_state.is_near,
             settings.other_site_factor,
             self._clock.now_ms,
         )
-        knowledge.targets.on_removed(
+        entry_state.targets.on_removed(
             lambda target: replicas.forget(target.target_id)
         )
         context = coordination.ScatterContext(
-            knowledge.targets,
+            entry_state.targets,
             replicas,
             coordination.Latencies(),
             self._budget,
@@ -174,25 +180,25 @@
                 settings.site,
                 settings.caller_way_ms,
                 state.Limits(hedge_quantile=settings.hedge_quantile),
-                _ONCE_KEPT_MS,
+                _RUN_ONCE_IDLE_MS,
             ),
-            knowledge.routing,
-            knowledge.targets,
+            entry_state.routing,
+            entry_state.targets,
             context,
             self._adapter,
             self._links,
             self._clock,
             self._metrics,
-            self._crashes,
-            self._make_orders(),
+            self._crash_guard,
+            self._make_order_client(),
         )
 
-    def _make_orders(self) -> forwarding.OrderClient:
+    def _make_order_client(self) -> forwarding.OrderClient:
         settings = self._settings
         return forwarding.OrderClient(
             settings.site,
-            self._knowledge.targets,
-            self._knowledge.peers,
+            self._entry_state.targets,
+            self._entry_state.peers,
             self._peer_links,
             coordination.ReplicaSelector(
                 random.Random(settings.name),
@@ -207,12 +213,12 @@
         self, dialect: forwarding.Dialect
     ) -> forwarding.Forwarder:
         settings = self._settings
-        knowledge = self._knowledge
+        entry_state = self._entry_state
         context = coordination.ScatterContext(
-            knowledge.peers,
+            entry_state.peers,
             coordination.ReplicaSelector(
                 random.Random(settings.name),
-                knowledge.is_near_peer,
+                entry_state.is_near_peer,
                 now_ms=self._clock.now_ms,
                 near_only=True,
             ),
@@ -222,8 +228,8 @@
         )
         return forwarding.Forwarder(
             forwarding.ForwardSettings(settings.site, 0.0, state.Limits()),
-            forwarding.HandoverRouting(knowledge.routing),
-            knowledge.peers,
+            forwarding.HandoverRouting(entry_state.routing),
+            entry_state.peers,
             context,
             dialect,
             self._peer_links,
@@ -245,15 +251,15 @@
             if isinstance(read, result.Failure):
                 self._metrics.add('http_errors', interface='entry', status=400)
                 return protocol.HttpReply(400, body=read.failure().encode())
-            outcome = await self._serve(read.unwrap())
+            outcome = await self._forward(read.unwrap())
             return self._adapter.caller_reply(outcome)
         finally:
             self._open_requests -= 1
 
-    async def _serve(
+    async def _forward(
         self, request: protocol.ForwardRequest
     ) -> protocol.ForwardOutcome:
-        if self._knowledge.coordinates():
+        if self._entry_state.coordinates():
             return await self._forwarder.forward(request)
         outcome = await self._handover.forward(request)
         if (
@@ -268,7 +274,7 @@
         ):
             # No coordinator can be reached: this daemon becomes one until
             # they are back.
-            self._knowledge.coordinate_temporarily()
+            self._entry_state.coordinate_temporarily()
         return outcome
 
     async def handle_peer(
@@ -280,55 +286,57 @@
     ) -> protocol.HttpReply | protocol.StreamedReply:
         """Answer what another daemon hands over, orders or tells."""
         if path == forwarding.ORDER_PATH:
-            return self._take_order(body)
-        notice = self._notices.handle(path, body)
+            return self._accept_order(body)
+        notice = self._peer_notices.handle(path, body)
         if notice is not None:
             return notice
-        handed = forwarding.read_handed_over(headers)
-        if handed is None:
+        handed_over = forwarding.read_handed_over(headers)
+        if handed_over is None:
             return forwarding.refusal_reply(
-                handed, 'headers of the hop missing'
+                handed_over, 'headers of the hop missing'
             )
-        read = self._adapter.read_request(method, path, handed.headers, body)
+        read = self._adapter.read_request(
+            method, path, handed_over.headers, body
+        )
         if isinstance(read, result.Failure):
-            return forwarding.refusal_reply(handed, read.failure())
-        if not await self._knowledge.can_serve_handed_over(
-            handed.least_version, handed.stale_ok
+            return forwarding.refusal_reply(handed_over, read.failure())
+        if not await self._entry_state.can_serve_handed_over(
+            handed_over.least_version, handed_over.stale_ok
         ):
             return forwarding.refusal_reply(
-                handed, 'behind, or no coordinator'
+                handed_over, 'behind, or no coordinator'
             )
         self._open_requests += 1
         try:
             request = dataclasses.replace(
-                read.unwrap(), deadline_ms=handed.left_ms
+                read.unwrap(), deadline_ms=handed_over.left_ms
             )
-            outcome = await self._forwarder.forward(request, _HOP_MS)
+            outcome = await self._forwarder.forward(request, _HANDOVER_COST_MS)
         finally:
             self._open_requests -= 1
         if forwarding.can_retry_elsewhere(outcome):
-            return forwarding.refusal_reply(handed, outcome.detail)
+            return forwarding.refusal_reply(handed_over, outcome.detail)
         return forwarding.coordinator_reply(
             self._adapter.caller_reply(outcome),
-            handed,
-            self._knowledge.routing_version(),
+            handed_over,
+            self._entry_state.routing_version(),
         )
 
-    def _take_order(
+    def _accept_order(
         self, body: bytes
     ) -> protocol.HttpReply | protocol.StreamedReply:
         """Begin to carry out an order, or refuse what cannot be read."""
-        if self._has_given_up:
+        if self._is_finished:
             return protocol.HttpReply(503, body=b'this daemon is stopping')
         read = protocol.decode_order(body)
         if isinstance(read, result.Failure):
             self._metrics.add('orders_unreadable')
             _log.error('order refused', why=read.failure())
             return protocol.HttpReply(400, body=read.failure().encode())
-        if not self._knowledge.follows_targets():
+        if not self._entry_state.follows_targets():
             # Lists of daemons differ for some seconds after a change: one
             # that is taken for a coordinator becomes one.
-            self._knowledge.coordinate_temporarily()
+            self._entry_state.coordinate_temporarily()
         return protocol.StreamedReply(200, (), self._reports(read.unwrap()))
 
     async def _reports(
@@ -344,7 +352,7 @@
         finally:
             self._open_requests -= 1
 
-    def _warm_later(self, target: state.LiveTarget) -> None:
+    def _schedule_warm_up(self, target: state.LiveTarget) -> None:
         """Connect to a new target before the first request needs it.
 
         The shards of a new index start some seconds before a configuration
@@ -352,8 +360,8 @@
         and each of these holds a slot for some ms.
         """
 
-        def warm() -> None:
-            if self._knowledge.asks_directly(target):
+        def warm_up() -> None:
+            if self._entry_state.asks_directly(target):
                 background.start(self._links.warm(target), 'warm')
 
-        self._clock.after(self._rng.uniform(0.0, _WARM_WITHIN_MS), warm)
+        self._clock.after(self._rng.uniform(0.0, _WARM_UP_SPREAD_MS), warm_up)
--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -5,10 +5,10 @@
 import socket
 
 from samphiredock.coordination import background
-from samphiredock.daemon import _server_closing
 from samphiredock.daemon import _entry_adapter
-from samphiredock.daemon import _entry_state
 from samphiredock.daemon import _entry_handler
+from samphiredock.daemon import _entry_state
+from samphiredock.daemon import _server_closing
 from samphiredock.daemon import _shutdown
 from samphiredock.daemon import early_listener
 from samphiredock import logs
@@ -21,33 +21,33 @@
 _SHUTDOWN_TICK_MS = 20.0
 _METRICS_FLUSH_MS = 1_000.0
 
-_METRICS_AFTER_MS = 5_000.0
+_METRICS_LOAD_DELAY_MS = 5_000.0
 """When the libraries of the metrics are loaded, if nobody asks for the page
 before.  After an outage callers come back at once; by then they are served,
 and the load of some 100 ms, in another thread, costs them little."""
 
 _LOG_FLUSH_MS = 200.0
 
-_EXIT_MS = 500.0
+_EXIT_RESERVE_MS = 500.0
 """What is kept of the time before the kill for the answers to what is still
 open, and for the exit.  Answers to callers are written in one turn of the
 loop; more would be taken from targets that still answer in time."""
 
-_LAST_CALL_MS = 1_000.0
+_EARLY_CLOSE_MS = 1_000.0
 """How long before the limit of a stop the doors close, whoever still comes:
 what was read by then takes some tens of ms, a slow one some hundred."""
 
-_RELOADED = ('retry_ratio', 'retry_slack', 'retry_window_s', 'collect_ms')
+_RELOADABLE = ('retry_ratio', 'retry_slack', 'retry_window_s', 'collect_ms')
 """Settings that take effect without a restart."""
 
-_FIRST_KNOWLEDGE_MS = 300.0
+_READY_WAIT_MS = 300.0
 """How long a fresh daemon keeps callers waiting for what the store shows:
 some 30 ms if it answers.  Refused at once, they would use their last attempt
 up on a daemon that is able to serve in the next moment."""
 
-_LOOK_MS = 5.0
+_READY_POLL_MS = 5.0
 
-_NAMED = 8
+_LOGGED_REQUESTS = 8
 """Requests under way that the line of a stop's phase names at most."""
 
 _log = logs.logger('entry')
@@ -76,33 +76,33 @@
         callers: socket.socket | None = None,
     ) -> None:
         self._settings = settings
-        self._callers = callers
+        self._caller_listener = callers
         self._log_stream = log_stream
         self._clock = timers.LoopTimers()
         self._metrics = metrics.Metrics(settings.name)
         self._store_calls = transport.ChannelCalls(
             self._clock, settings.platform_address
         )
-        self._knowledge = _entry_state.EntryState(
+        self._entry_state = _entry_state.EntryState(
             settings,
             adapter,
             adapter.store(self._store_calls),
             self._clock,
             self._metrics,
         )
-        self._service = _entry_handler.EntryHandler(
-            settings, adapter, self._knowledge, self._clock, self._metrics
+        self._handler = _entry_handler.EntryHandler(
+            settings, adapter, self._entry_state, self._clock, self._metrics
         )
         self._shutdown = _shutdown.Shutdown(
             settings.balancer_lag_ms,
-            settings.stop_limit_s * 1000.0 - _EXIT_MS,
+            settings.stop_limit_s * 1000.0 - _EXIT_RESERVE_MS,
             self._on_phase,
-            _LAST_CALL_MS,
+            _EARLY_CLOSE_MS,
         )
         self._stopped = asyncio.Event()
-        self._doors: list[transport.EntryServer] = []
-        self._pages: list[transport.EntryServer] = []
-        self._said_ready = False
+        self._request_servers: list[transport.EntryServer] = []
+        self._status_servers: list[transport.EntryServer] = []
+        self._logged_ready = False
 
     def is_closing(self) -> bool:
         """Whether connections should end after the current answer."""
@@ -112,8 +112,8 @@
         """Whether the balancer should send requests here."""
         return (
             not self.is_closing()
-            and self._knowledge.routing_version() > 0
-            and self._knowledge.can_serve()
+            and self._entry_state.routing_version() > 0
+            and self._entry_state.can_serve()
         )
 
     # Life.
@@ -124,41 +124,43 @@
         Raises ``OSError`` if an address cannot be listened on.
         """
         self._clock.after(
-            _METRICS_AFTER_MS,
-            lambda: background.start(self._begin_flushing(), 'metrics'),
+            _METRICS_LOAD_DELAY_MS,
+            lambda: background.start(self._start_flushing(), 'metrics'),
         )
         self._clock.every(_LOG_FLUSH_MS, self._log_stream.flush)
-        self._knowledge.start()
-        self._service.start()
+        self._entry_state.start()
+        self._handler.start()
         settings = self._settings
-        self._doors.append(
+        self._request_servers.append(
             await self._listen(
-                self._service.handle_peer, settings.peer_address
+                self._handler.handle_peer, settings.peer_address
             )
         )
-        self._pages.append(
-            await self._listen(self._say_ready, settings.ready_address)
+        self._status_servers.append(
+            await self._listen(self._serve_readiness, settings.ready_address)
         )
         if settings.metrics_address is not None:
-            self._pages.append(
+            self._status_servers.append(
                 await self._listen(
-                    self._show_metrics, settings.metrics_address
+                    self._serve_metrics, settings.metrics_address
                 )
             )
-        await self._wait_for_knowledge()
-        self._doors.append(
+        await self._wait_until_ready()
+        self._request_servers.append(
             await self._listen(
-                self._service.handle, settings.caller_address, self._callers
+                self._handler.handle,
+                settings.caller_address,
+                self._caller_listener,
             )
         )
         _log.notice('started', name=settings.name, site=settings.site)
 
-    async def _wait_for_knowledge(self) -> None:
-        ends_ms = self._clock.now_ms() + _FIRST_KNOWLEDGE_MS
+    async def _wait_until_ready(self) -> None:
+        ends_ms = self._clock.now_ms() + _READY_WAIT_MS
         while not self.is_ready() and self._clock.now_ms() < ends_ms:
-            await asyncio.sleep(_LOOK_MS / 1000.0)
+            await asyncio.sleep(_READY_POLL_MS / 1000.0)
 
-    async def _begin_flushing(self) -> None:
+    async def _start_flushing(self) -> None:
         await asyncio.to_thread(self._metrics.load)
         self._clock.every(_METRICS_FLUSH_MS, self._metrics.flush)
 
@@ -168,27 +170,29 @@
         address: str,
         listening: socket.socket | None = None,
     ) -> transport.EntryServer:
-        door = transport.Door(handle, self.is_closing, self._knowledge.limits)
+        door = transport.Door(
+            handle, self.is_closing, self._entry_state.limits
+        )
         server = transport.EntryServer(door, self._metrics, self._clock)
         await server.start(address, early_listener.BACKLOG, listening)
         return server
 
-    async def _say_ready(
+    async def _serve_readiness(
         self, method: str, path: str, headers: protocol.Headers, body: bytes
     ) -> protocol.HttpReply:
         ready = self.is_ready()
-        if ready != self._said_ready:
-            self._said_ready = ready
+        if ready != self._logged_ready:
+            self._logged_ready = ready
             _log.notice(
                 'readiness',
                 ready=ready,
                 phase=self._shutdown.phase.value,
-                table=self._knowledge.routing_version() or None,
-                targets=len(self._knowledge.targets.all()),
+                table=self._entry_state.routing_version() or None,
+                targets=len(self._entry_state.targets.all()),
             )
         return protocol.HttpReply(200 if ready else 503)
 
-    async def _show_metrics(
+    async def _serve_metrics(
         self, method: str, path: str, headers: protocol.Headers, body: bytes
     ) -> protocol.HttpReply:
         return protocol.HttpReply(
@@ -207,14 +211,14 @@
             for name, value in dataclasses.asdict(settings).items()
             if value != before[name]
         ]
-        taken = {name: getattr(settings, name) for name in _RELOADED}
+        taken = {name: getattr(settings, name) for name in _RELOADABLE}
         self._settings = dataclasses.replace(self._settings, **taken)
-        self._knowledge.reload(self._settings)
-        self._service.reload(self._settings)
+        self._entry_state.reload(self._settings)
+        self._handler.reload(self._settings)
         _log.notice(
             'settings read again',
             changed=changed,
-            need_restart=sorted(set(changed) - set(_RELOADED)),
+            need_restart=sorted(set(changed) - set(_RELOADABLE)),
         )
 
     def on_signal(self) -> None:
@@ -224,14 +228,16 @@
     async def wait_stopped(self) -> None:
         """Wait for the end of a stop, and close what is open."""
         await self._stopped.wait()
-        cut = await _server_closing.close_servers(self._doors, self._left_ms, self._give_up)
+        cut = await _server_closing.close_servers(
+            self._request_servers, self._left_ms, self._finish_all
+        )
         if cut:
             _log.error('requests cut', connections=cut)
             self._metrics.add('requests_cut', cut)
         # Who watches the stop sees its counters until the end.
-        await asyncio.gather(*(page.close() for page in self._pages))
-        self._knowledge.close()
-        self._service.close()
+        await asyncio.gather(*(page.close() for page in self._status_servers))
+        self._entry_state.close()
+        self._handler.close()
         self._store_calls.close()
         self._clock.close()
         _log.notice('stopped', name=self._settings.name)
@@ -240,10 +246,10 @@
     def _left_ms(self) -> float:
         return self._shutdown.left_ms(self._clock.now_ms())
 
-    def _give_up(self) -> None:
-        left = self._service.open_requests()
-        oldest = self._oldest()
-        self._service.finish_all()
+    def _finish_all(self) -> None:
+        left = self._handler.open_requests()
+        oldest = self._oldest_requests()
+        self._handler.finish_all()
         if left:
             _log.warning('requests given up', left=left, oldest=oldest)
             self._metrics.add('requests_given_up', left)
@@ -252,26 +258,26 @@
         _log.notice(
             'shutdown phase',
             phase=phase.value,
-            open=self._service.open_requests(),
-            oldest=self._oldest(),
+            open=self._handler.open_requests(),
+            oldest=self._oldest_requests(),
         )
         _PHASE_ACTIONS[phase](self)
 
-    def _oldest(self) -> list[dict[str, object]]:
+    def _oldest_requests(self) -> list[dict[str, object]]:
         """Return the requests that a stop has waited for longest."""
         rows = sorted(
-            self._service.pending_requests(),
+            self._handler.pending_requests(),
             key=lambda row: row.for_ms,
             reverse=True,
         )
-        return [dataclasses.asdict(row) for row in rows[:_NAMED]]
+        return [dataclasses.asdict(row) for row in rows[:_LOGGED_REQUESTS]]
 
     def _begin_leaving(self) -> None:
-        self._leave_task = asyncio.create_task(self._knowledge.leave())
+        self._leave_task = asyncio.create_task(self._entry_state.leave())
         self._clock.every(
             _SHUTDOWN_TICK_MS,
             lambda: self._shutdown.on_tick(
-                self._clock.now_ms(), self._service.open_requests()
+                self._clock.now_ms(), self._handler.open_requests()
             ),
         )
 
@@ -281,12 +287,12 @@
         # for seconds.  Connections end with their next answer.
         self._metrics.add('shutdowns_draining')
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         self._stopped.set()
 
 
 _PHASE_ACTIONS = {
     _shutdown.Phase.LEAVING: EntryNode._begin_leaving,
     _shutdown.Phase.DRAINING: EntryNode._begin_draining,
-    _shutdown.Phase.CLOSED: EntryNode._end,
+    _shutdown.Phase.CLOSED: EntryNode._finish,
 }
--- a/samphiredock/daemon/_entry_peers.py
+++ b/samphiredock/daemon/_entry_peers.py
@@ -14,10 +14,10 @@
 from samphiredock import timers
 from samphiredock import transport
 
-_NOTICE_LIMIT_MS = 1_000.0
+_NOTICE_TIMEOUT_MS = 1_000.0
 """A peer that takes longer is down; its callers go elsewhere as well."""
 
-_QUESTION_LIMIT_MS = 200.0
+_STATUS_TIMEOUT_MS = 200.0
 """An answer takes some 5 ms; one that is slower is asked for again soon."""
 
 _log = logs.logger('entry')
@@ -30,11 +30,11 @@
     ----------
     name
         This daemon.
-    knowledge
+    entry_state
         The other daemons, and what is believed of them.
     links
         The connections to them.
-    crashes
+    crash_guard
         Takes in the losses that others found.
     clock
         The timers of this daemon.
@@ -43,27 +43,28 @@
     def __init__(
         self,
         name: str,
-        knowledge: _entry_state.EntryState,
+        entry_state: _entry_state.EntryState,
         links: transport.ChannelPool,
-        crashes: forwarding.CrashGuard,
+        crash_guard: forwarding.CrashGuard,
         clock: timers.Timers,
     ) -> None:
         self._name = name
-        self._knowledge = knowledge
+        self._entry_state = entry_state
         self._links = links
-        self._crashes = crashes
+        self._crash_guard = crash_guard
         self._clock = clock
         self._rng = random.Random(name)
-        self._readers = {
-            forwarding.LOSS_PATH: self._take_loss,
-            forwarding.INTRODUCTION_PATH: self._take_introduction,
+        self._notice_handlers = {
+            forwarding.LOSS_PATH: self._on_loss,
+            forwarding.INTRODUCTION_PATH: self._on_introduction,
         }
 
     def start(self) -> None:
         """Begin to introduce the coordinators, and to watch for silence."""
-        self._introduce_later()
+        self._schedule_introduction()
         self._clock.every(
-            forwarding.FRESHNESS_CHECK_INTERVAL_MS, self._ask_if_alone
+            forwarding.FRESHNESS_CHECK_INTERVAL_MS,
+            self._check_freshness_if_needed,
         )
 
     # From others.
@@ -72,25 +73,26 @@
         """Answer another daemon's notice or question, None if it is none."""
         if path == forwarding.STORE_STATUS_PATH:
             return forwarding.store_status_reply(
-                self._knowledge.routing_version(), self._knowledge.has_store_contact()
+                self._entry_state.routing_version(),
+                self._entry_state.has_store_contact(),
             )
-        reader = self._readers.get(path)
-        if reader is None:
+        handler = self._notice_handlers.get(path)
+        if handler is None:
             return None
-        if reader(body):
+        if handler(body):
             return protocol.HttpReply(204)
         return protocol.HttpReply(400, body=b'the notice cannot be read')
 
-    def _take_loss(self, body: bytes) -> bool:
+    def _on_loss(self, body: bytes) -> bool:
         loss = forwarding.read_loss(body)
         if loss is not None:
-            self._crashes.record_loss(loss)
+            self._crash_guard.record_loss(loss)
         return loss is not None
 
-    def _take_introduction(self, body: bytes) -> bool:
+    def _on_introduction(self, body: bytes) -> bool:
         daemons = forwarding.read_introduction(body)
         if daemons is not None:
-            self._knowledge.on_introduction(daemons)
+            self._entry_state.on_introduction(daemons)
         return daemons is not None
 
     # To others.
@@ -98,49 +100,53 @@
     def announce_loss(self, loss: forwarding.Loss) -> None:
         """Tell the other coordinators; the content may come to any next."""
         request = forwarding.loss_notice(loss)
-        for peer in self._knowledge.peers.all():
-            background.start(self._tell(peer, request), 'tell of a loss')
+        for peer in self._entry_state.peers.all():
+            background.start(self._send(peer, request), 'tell of a loss')
 
-    def _ask_if_alone(self) -> None:
-        if self._knowledge.needs_freshness_check():
-            background.start(self._ask_others(), 'ask who hears the store')
+    def _check_freshness_if_needed(self) -> None:
+        if self._entry_state.needs_freshness_check():
+            background.start(
+                self._check_freshness(), 'ask who hears the store'
+            )
 
-    async def _ask_others(self) -> None:
+    async def _check_freshness(self) -> None:
         asked_ms = self._clock.now_ms()
-        peers = self._knowledge.peers.all()
+        peers = self._entry_state.peers.all()
         if not peers:
             return
         asked = self._rng.sample(
             peers, min(forwarding.FRESHNESS_CHECK_PEERS, len(peers))
         )
-        replies = await asyncio.gather(*map(self._ask, asked))
+        replies = await asyncio.gather(*map(self._ask_peer, asked))
         answers = [row for row in replies if row is not None]
-        standing = self._knowledge.freshness_check.record_round(answers, asked_ms)
+        last_round = self._entry_state.freshness_check.record_round(
+            answers, asked_ms
+        )
         _log.info(
             'store not heard',
             asked=len(asked),
             answered=len(answers),
             hear_it=sum(row.hears for row in answers),
-            version=self._knowledge.routing_version(),
-            newest=standing.newest if standing else None,
+            version=self._entry_state.routing_version(),
+            newest=last_round.newest if last_round else None,
         )
 
-    async def _ask(
+    async def _ask_peer(
         self, peer: state.LiveTarget
     ) -> forwarding.StoreStatus | None:
         reply = await self._links.exchange(
             peer,
             forwarding.store_status_request(),
-            _QUESTION_LIMIT_MS,
+            _STATUS_TIMEOUT_MS,
             lambda reply: True,
         )
         if isinstance(reply, result.Failure):
             return None
         return forwarding.read_store_status(reply.unwrap())
 
-    def _introduce_later(self) -> None:
+    def _schedule_introduction(self) -> None:
         wait_ms = forwarding.introduction_interval_ms(
-            len(self._knowledge.daemons())
+            len(self._entry_state.daemons())
         )
         self._clock.after(
             wait_ms,
@@ -150,23 +156,23 @@
     async def _introduce(self) -> None:
         try:
             request = forwarding.introduction_request(
-                self._knowledge.coordinators()
+                self._entry_state.coordinators()
             )
             for daemon in forwarding.successors(
-                self._knowledge.daemons(), self._name
+                self._entry_state.daemons(), self._name
             ):
                 peer = forwarding.as_target(daemon)
-                if await self._tell(peer, request):
+                if await self._send(peer, request):
                     return
         finally:
-            self._introduce_later()
+            self._schedule_introduction()
 
-    async def _tell(
+    async def _send(
         self, peer: state.LiveTarget, request: protocol.HttpRequest
     ) -> bool:
         """Send a notice; whether the peer has taken it."""
         reply = await self._links.exchange(
-            peer, request, _NOTICE_LIMIT_MS, lambda reply: True
+            peer, request, _NOTICE_TIMEOUT_MS, lambda reply: True
         )
         if isinstance(reply, result.Failure):
             _log.info(
--- a/samphiredock/daemon/_entry_state.py
+++ b/samphiredock/daemon/_entry_state.py
@@ -15,22 +15,22 @@
 from samphiredock import timers
 from samphiredock import transport
 
-_STAND_IN_MS = 20_000.0
+_TEMPORARY_ROLE_MS = 20_000.0
 """How long a daemon coordinates that found no coordinator: some of its
 lists of the daemons, so that it does not change its part at each failure."""
 
-_SETTLE_MS = 2_500.0
+_SETTLING_MS = 2_500.0
 """Targets that start together register within a second of each other."""
 
-_ROUGH_MS = 60_000.0
+_STALE_READ_INTERVAL_MS = 60_000.0
 """Between reads by a daemon that hands over.  A configuration of 350 routes
 has 100 KB; 60 daemons that read it each 20 s move 300 KB/s."""
 
-_FIRST_READ_MS = 2_000.0
+_FIRST_READ_INTERVAL_MS = 2_000.0
 """Between reads while there is no routing table yet.  The first one is
 written while the daemons start; each read of 200 daemons is paid."""
 
-_STARTING_MS = 1_000.0
+_SETTLING_COLLECT_MS = 1_000.0
 """How long changes gather while the targets register: each would end a
 watch of every daemon, 60 calls for one target."""
 
@@ -38,11 +38,11 @@
 """How much later than it should a watch may answer, as the store's client
 allows it."""
 
-_DOWN_MS = 3_000.0
+_PEER_DOWN_MS = 3_000.0
 """A coordinator that could not be reached for so long is passed over when
 the coordinators are chosen.  A restart takes about 1 s."""
 
-_UNREADABLE_LIMIT = 1_000
+_LOGGED_UNREADABLE_LIMIT = 1_000
 """Keys of objects of which it is remembered that they were logged."""
 
 _log = logs.logger('entry')
@@ -76,11 +76,11 @@
         self._store = store
         self._clock = clock
         self._metrics = counters
-        self._unreadable: set[str] = set()
-        self._given_up = asyncio.Event()
-        self._settled = False
-        self._settling_targets = 0
-        self._settling_since_ms = 0.0
+        self._logged_unreadable: set[str] = set()
+        self._stopping = asyncio.Event()
+        self._has_settled = False
+        self._last_target_count = 0
+        self._target_count_since_ms = 0.0
         self.routing = forwarding.RoutingState()
         self.targets = forwarding.LiveTargets(clock)
         self.peers = forwarding.LiveTargets(clock)
@@ -97,7 +97,7 @@
             ),
             store,
             clock,
-            self._on_daemons,
+            self._on_daemons_listed,
         )
         self._watcher = self._make_watcher()
 
@@ -110,7 +110,9 @@
             self._settings.watch_ms,
             {adapter.targets_prefix: self._collect_ms},
         )
-        watcher.watch_only_while(self._watches, lambda: 1, lambda stored: None)
+        watcher.watch_only_while(
+            self._should_watch, lambda: 1, lambda stored: None
+        )
         watcher.poll_stale(self._stale_period_ms)
         watcher.follow_pages(adapter.routing_prefix, self._on_routing)
         watcher.follow_pages(adapter.targets_prefix, self._on_targets)
@@ -136,7 +138,7 @@
 
     def stop_waiting(self) -> None:
         """Have nobody wait for the store any longer: this daemon stops."""
-        self._given_up.set()
+        self._stopping.set()
 
     def close(self) -> None:
         """Stop learning."""
@@ -234,9 +236,9 @@
     def coordinators(self) -> tuple[forwarding.Daemon, ...]:
         """Return the daemons that coordinate, as far as is known."""
         return tuple(
-            row
-            for row in self._presence.daemons()
-            if row.name in self._role.coordinators
+            daemon
+            for daemon in self._presence.daemons()
+            if daemon.name in self._role.coordinators
         )
 
     def on_introduction(self, daemons: tuple[forwarding.Daemon, ...]) -> bool:
@@ -245,9 +247,13 @@
 
     def coordinate_temporarily(self) -> None:
         """Coordinate for a time."""
-        self._role.coordinate_temporarily(self._clock.now_ms(), _STAND_IN_MS)
+        self._role.coordinate_temporarily(
+            self._clock.now_ms(), _TEMPORARY_ROLE_MS
+        )
 
-    async def can_serve_handed_over(self, least_version: int, stale_ok: bool) -> bool:
+    async def can_serve_handed_over(
+        self, least_version: int, stale_ok: bool
+    ) -> bool:
         """Whether this daemon can serve others with a table that new.
 
         One that lost the store while others did not would refuse a route
@@ -263,7 +269,9 @@
             return False
         if not stale_ok and not self.has_store_contact():
             now_ms = self._clock.now_ms()
-            if not self.freshness_check.may_serve(self.routing_version(), now_ms):
+            if not self.freshness_check.may_serve(
+                self.routing_version(), now_ms
+            ):
                 return False
         if self.routing_version() >= least_version:
             return True
@@ -275,37 +283,43 @@
         reading = asyncio.ensure_future(
             self._store.get(self._adapter.routing_key)
         )
-        ending = asyncio.ensure_future(self._given_up.wait())
+        stopping = asyncio.ensure_future(self._stopping.wait())
         try:
             await asyncio.wait(
-                (reading, ending), return_when=asyncio.FIRST_COMPLETED
+                (reading, stopping), return_when=asyncio.FIRST_COMPLETED
             )
             if reading.done() and isinstance(reading.result(), result.Success):
-                self._take_routing(reading.result().unwrap())
+                self._offer_routing(reading.result().unwrap())
         finally:
             reading.cancel()
-            ending.cancel()
+            stopping.cancel()
 
     # Which daemons coordinate.
 
-    def _on_daemons(self, daemons: tuple[forwarding.Daemon, ...]) -> None:
+    def _on_daemons_listed(
+        self, daemons: tuple[forwarding.Daemon, ...]
+    ) -> None:
         now_ms = self._clock.now_ms()
-        targets = collections.Counter(row.site for row in self.targets.all())
+        targets = collections.Counter(
+            target.site for target in self.targets.all()
+        )
         if self._role.is_candidate and self._is_settled(now_ms):
             self._presence.set_near(
                 forwarding.is_near(self._settings.site, targets)
             )
-        up = [row for row in daemons if not self._seems_down(row, now_ms)]
+        up = [
+            daemon for daemon in daemons if not self._is_down(daemon, now_ms)
+        ]
         if self._role.update(up, now_ms):
             _log.notice('role', coordinates=self._role.coordinates)
         others = {
-            row.name: row
-            for row in daemons
-            if row.name in self._role.coordinators
-            and row.name != self._settings.name
+            daemon.name: daemon
+            for daemon in daemons
+            if daemon.name in self._role.coordinators
+            and daemon.name != self._settings.name
         }
         self.peers.put_all(
-            [forwarding.as_target(row) for row in others.values()]
+            [forwarding.as_target(daemon) for daemon in others.values()]
         )
         self.peers.keep_only(others)
 
@@ -316,18 +330,20 @@
         choice by the first few would change with each of them.
         """
         targets = len(self.targets.all())
-        if targets != self._settling_targets:
-            self._settling_targets = targets
-            self._settling_since_ms = now_ms
-        quiet_ms = now_ms - self._settling_since_ms
-        if targets and quiet_ms > _SETTLE_MS:
-            self._settled = True
-        return self._settled
-
-    def _watches(self) -> bool:
+        if targets != self._last_target_count:
+            self._last_target_count = targets
+            self._target_count_since_ms = now_ms
+        quiet_ms = now_ms - self._target_count_since_ms
+        if targets and quiet_ms > _SETTLING_MS:
+            self._has_settled = True
+        return self._has_settled
+
+    def _should_watch(self) -> bool:
         """Whether this daemon follows the store itself."""
         role = self._role
-        return role.coordinates or (role.is_candidate and not self._settled)
+        return role.coordinates or (
+            role.is_candidate and not self._has_settled
+        )
 
     def _stale_period_ms(self, prefix: str) -> float | None:
         """Return how often to read what is handed over anyhow.
@@ -336,31 +352,39 @@
         the targets, candidates need to know where most of them are.
         """
         if prefix == self._adapter.targets_prefix:
-            return _ROUGH_MS if self._role.is_candidate else None
-        return _ROUGH_MS if self.routing.table else _FIRST_READ_MS
+            return _STALE_READ_INTERVAL_MS if self._role.is_candidate else None
+        return (
+            _STALE_READ_INTERVAL_MS
+            if self.routing.table
+            else _FIRST_READ_INTERVAL_MS
+        )
 
     def _collect_ms(self) -> float:
         """Return how long changes of targets gather before the next watch."""
-        return self._settings.collect_ms if self._settled else _STARTING_MS
+        return (
+            self._settings.collect_ms
+            if self._has_settled
+            else _SETTLING_COLLECT_MS
+        )
 
-    def _seems_down(self, daemon: forwarding.Daemon, now_ms: float) -> bool:
+    def _is_down(self, daemon: forwarding.Daemon, now_ms: float) -> bool:
         """Whether a coordinator could not be reached for some time."""
         peer = self.peers.get(daemon.name)
         if peer is None:
             return False
         record = self.peers.record(daemon.name)
-        return record.lost_for_ms(now_ms) > _DOWN_MS
+        return record.lost_for_ms(now_ms) > _PEER_DOWN_MS
 
     # What the store shows.
 
     def _on_routing(self, page: transport.WatchPage) -> None:
         for stored in page.changed:
-            self._take_routing(stored)
+            self._offer_routing(stored)
 
-    def _take_routing(self, stored: transport.StoredObject) -> None:
+    def _offer_routing(self, stored: transport.StoredObject) -> None:
         read = self._adapter.read_routing(stored.value)
         if isinstance(read, result.Failure):
-            self._note_unreadable(stored.key, read.failure())
+            self._report_unreadable(stored.key, read.failure())
             return
         self.routing.offer(read.unwrap())
 
@@ -374,23 +398,23 @@
                 self.targets.remove_unreadable(
                     self._adapter.target_id(stored.key)
                 )
-                self._note_unreadable(stored.key, read.failure())
+                self._report_unreadable(stored.key, read.failure())
                 continue
-            self._unreadable.discard(stored.key)
+            self._logged_unreadable.discard(stored.key)
             found.append(read.unwrap())
         self.targets.put_all(found)
         for key in page.gone:
-            self._unreadable.discard(key)
+            self._logged_unreadable.discard(key)
             self.targets.remove(self._adapter.target_id(key))
         if page.whole:
             self.targets.keep_only(listed)
 
-    def _note_unreadable(self, key: str, why: str) -> None:
+    def _report_unreadable(self, key: str, why: str) -> None:
         """Log an object once, not each time that it is read."""
         self._metrics.add('store_objects_unreadable')
-        if key in self._unreadable:
+        if key in self._logged_unreadable:
             return
-        if len(self._unreadable) >= _UNREADABLE_LIMIT:
-            self._unreadable.clear()
-        self._unreadable.add(key)
+        if len(self._logged_unreadable) >= _LOGGED_UNREADABLE_LIMIT:
+            self._logged_unreadable.clear()
+        self._logged_unreadable.add(key)
         _log.error('object cannot be read', key=key, why=why)
--- a/samphiredock/daemon/_node.py
+++ b/samphiredock/daemon/_node.py
@@ -7,8 +7,8 @@
 
 from aiohttp import web
 
-from samphiredock.daemon import _operator_handler
 from samphiredock.daemon import _components
+from samphiredock.daemon import _operator_handler
 from samphiredock.daemon import _shutdown
 from samphiredock import logs
 from samphiredock import protocol
@@ -17,12 +17,12 @@
 
 _BODY_LIMIT_BYTES = 1_000_000
 _SHUTDOWN_TICK_MS = 50.0
-_LAST_RECORD_MS = 1_000.0
-_ANSWER_MS = 1_000.0
+_DRAIN_TIMEOUT_MS = 1_000.0
+_LAST_REPLIES_MS = 1_000.0
 """For the answers that are given when the time is up: an order's cancel
 takes up to 300 ms, the rest the turns of a busy event loop."""
-_ANSWER_LOOK_MS = 10.0
-_DOOR_CLOSE_S = 0.5
+_REPLY_POLL_MS = 10.0
+_SERVER_CLOSE_S = 0.5
 """For a body that is still being read, and for a caller that reads its
 answer slowly; the library waits for each up to twice as long."""
 
@@ -52,14 +52,14 @@
     ) -> None:
         self._settings = settings
         self._keys = keys or state.Keys()
-        self._parts = _components.Components(settings, self._keys)
+        self._components = _components.Components(settings, self._keys)
         self._shutdown = _shutdown.Shutdown(
             settings.balancer_lag_ms,
             settings.shutdown_limit_ms,
             self._on_phase,
         )
-        self._desk = _operator_handler.OperatorHandler(
-            self._parts, settings, self.is_ready
+        self._operator_handler = _operator_handler.OperatorHandler(
+            self._components, settings, self.is_ready
         )
         self._stopped = asyncio.Event()
         self._open_requests = 0
@@ -71,7 +71,7 @@
         self, request: protocol.SearchRequest
     ) -> protocol.SearchOutcome:
         """Run one search."""
-        return await self._serve(self._parts.coordinator.search(request))
+        return await self._serve(self._components.coordinator.search(request))
 
     async def run(
         self, request: protocol.RunRequest, idempotency_key: str
@@ -82,15 +82,15 @@
     async def _admitted_run(
         self, request: protocol.RunRequest, idempotency_key: str
     ) -> protocol.RunOutcome:
-        configuration = self._parts.configuration
+        configuration = self._components.configuration
         if configuration is None:
-            return await self._parts.runner.run(request, idempotency_key)
-        admission = self._parts.admission
+            return await self._components.runner.run(request, idempotency_key)
+        admission = self._components.admission
         refusal = admission.admit_run(request, configuration)
         if refusal is not None:
             return refusal
         try:
-            return await self._parts.runner.run(request, idempotency_key)
+            return await self._components.runner.run(request, idempotency_key)
         finally:
             admission.release(request.service)
 
@@ -99,7 +99,9 @@
     ) -> protocol.Outcome:
         if self._shutdown.phase in _REFUSING:
             work.close()
-            self._parts.metrics.add('requests_refused', reason='shutting-down')
+            self._components.metrics.add(
+                'requests_refused', reason='shutting-down'
+            )
             return _SHUTTING_DOWN
         self._open_requests += 1
         try:
@@ -109,13 +111,13 @@
 
     def is_ready(self) -> bool:
         """Whether the balancer should send requests here."""
-        parts = self._parts
+        components = self._components
         return (
             self._shutdown.phase is _shutdown.Phase.SERVING
-            and parts.configuration is not None
-            and parts.snapshot is not None
-            and parts.membership.is_settled()
-            and parts.membership.is_current()
+            and components.configuration is not None
+            and components.snapshot is not None
+            and components.membership.is_settled()
+            and components.membership.is_current()
         )
 
     def is_closing(self) -> bool:
@@ -138,15 +140,17 @@
         _log.notice('started', name=self._settings.name)
 
     async def _open(self) -> None:
-        self._parts.start()
+        self._components.start()
         callers = transport.caller_application(
             self,
             _BODY_LIMIT_BYTES,
-            self._parts.metrics,
+            self._components.metrics,
             self._body_limit_bytes,
         )
         operators = transport.operator_application(
-            self._desk, self._parts.metrics, self._keys.operator_token
+            self._operator_handler,
+            self._components.metrics,
+            self._keys.operator_token,
         )
         await self._listen(
             callers,
@@ -156,7 +160,7 @@
         await self._listen(operators, self._settings.operator_address, None)
 
     def _body_limit_bytes(self) -> int:
-        configuration = self._parts.configuration
+        configuration = self._components.configuration
         limits = configuration.limits if configuration else state.Limits()
         return limits.body_limit_bytes
 
@@ -168,7 +172,7 @@
     ) -> None:
         host, _, port = address.rpartition(':')
         runner = web.AppRunner(
-            application, access_log=None, shutdown_timeout=_DOOR_CLOSE_S
+            application, access_log=None, shutdown_timeout=_SERVER_CLOSE_S
         )
         self._runners.append(runner)
         await runner.setup()
@@ -177,28 +181,28 @@
 
     def on_signal(self) -> None:
         """Begin a graceful shutdown, or hurry one."""
-        self._shutdown.on_signal(self._parts.clock.now_ms())
+        self._shutdown.on_signal(self._components.clock.now_ms())
 
     async def wait_stopped(self) -> None:
         """Wait until a shutdown has gone through all its phases."""
         await self._stopped.wait()
-        await self._answer_all()
+        await self._wait_for_replies()
         await self._stop_listening()
         # An outcome that is not in the store yet is lost with this process,
         # and the caller's retry finds it unknown for good.
-        await self._parts.runner.drain(_LAST_RECORD_MS)
-        await self._parts.close()
+        await self._components.runner.drain(_DRAIN_TIMEOUT_MS)
+        await self._components.close()
         _log.notice('stopped', name=self._settings.name)
 
-    async def _answer_all(self) -> None:
+    async def _wait_for_replies(self) -> None:
         """Wait until what was read is answered, so that no door cuts it.
 
         Every wait behind a request has been ended, and what waits on its
         connection is refused; a caller that sends on and on is cut.
         """
-        until_ms = self._parts.clock.now_ms() + _ANSWER_MS
-        while self._is_busy() and self._parts.clock.now_ms() < until_ms:
-            await asyncio.sleep(_ANSWER_LOOK_MS / 1000.0)
+        ends_ms = self._components.clock.now_ms() + _LAST_REPLIES_MS
+        while self._is_busy() and self._components.clock.now_ms() < ends_ms:
+            await asyncio.sleep(_REPLY_POLL_MS / 1000.0)
 
     def _is_busy(self) -> bool:
         return any(
@@ -213,16 +217,16 @@
 
     async def _close(self) -> None:
         await self._stop_listening()
-        await self._parts.close()
+        await self._components.close()
 
     def in_flight(self) -> int:
         """Return the work that a graceful stop has to wait for."""
         return (
             self._open_requests
-            + self._desk.open_calls()
-            + self._parts.dispatcher.in_flight()
-            + self._parts.runner.in_flight()
-            + self._parts.runner.unrecorded_count()
+            + self._operator_handler.open_calls()
+            + self._components.dispatcher.in_flight()
+            + self._components.runner.in_flight()
+            + self._components.runner.unrecorded_count()
         )
 
     def _on_phase(self, phase: _shutdown.Phase) -> None:
@@ -232,36 +236,36 @@
     def _begin_leaving(self) -> None:
         # The others take over the dispatching while this daemon still
         # serves what the balancer sends, through them.
-        self._parts.membership.leave()
-        self._parts.ownership.refresh()
-        self._parts.clock.every(
+        self._components.membership.leave()
+        self._components.ownership.refresh()
+        self._components.clock.every(
             _SHUTDOWN_TICK_MS,
             lambda: self._shutdown.on_tick(
-                self._parts.clock.now_ms(), self.in_flight()
+                self._components.clock.now_ms(), self.in_flight()
             ),
         )
 
     def _begin_draining(self) -> None:
         # New requests are refused by the phase alone.
-        self._parts.metrics.add('shutdowns_draining')
+        self._components.metrics.add('shutdowns_draining')
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         """Answer what is open: a closed connection would tell nothing."""
-        self._parts.dispatcher.stop()
+        self._components.dispatcher.stop()
         left = self.in_flight()
-        self._parts.coordinator.finish_all()
-        self._parts.runner.finish_all()
-        self._desk.finish_all()
+        self._components.coordinator.finish_all()
+        self._components.runner.finish_all()
+        self._operator_handler.finish_all()
         if left:
             _log.warning('requests given up', left=left)
-            self._parts.metrics.add('requests_given_up', left)
+            self._components.metrics.add('requests_given_up', left)
         self._stopped.set()
 
 
 _PHASE_ACTIONS = {
     _shutdown.Phase.LEAVING: Node._begin_leaving,
     _shutdown.Phase.DRAINING: Node._begin_draining,
-    _shutdown.Phase.CLOSED: Node._end,
+    _shutdown.Phase.CLOSED: Node._finish,
 }
 
 
--- a/samphiredock/daemon/_operator_handler.py
+++ b/samphiredock/daemon/_operator_handler.py
@@ -22,24 +22,24 @@
 }
 
 
-_ENDED = 'this daemon stopped; ask another one'
+_STOPPED_TEXT = 'this daemon stopped; ask another one'
 
 _Outcome = typing.TypeVar('_Outcome')
 
 
 class OperatorHandler:
-    """Answers the operators' interface from the parts of the daemon."""
+    """Answers the operators' interface from the components of the daemon."""
 
     def __init__(
         self,
-        parts: _components.Components,
+        components: _components.Components,
         settings: state.Settings,
         is_ready: typing.Callable[[], bool],
     ) -> None:
-        self._parts = parts
+        self._components = components
         self._settings = settings
         self._is_ready = is_ready
-        self._ended = False
+        self._is_stopped = False
         self._calls: set[asyncio.Future] = set()
 
     def open_calls(self) -> int:
@@ -48,76 +48,76 @@
 
     def finish_all(self) -> None:
         """Answer every call that waits; the daemon's time is up."""
-        self._ended = True
+        self._is_stopped = True
         for waker in self._calls:
             _wake(waker)
 
-    async def _until_end(
+    async def _run_until_stop(
         self,
         work: typing.Coroutine[typing.Any, typing.Any, _Outcome],
-        at_end: typing.Callable[[bool], _Outcome],
+        outcome_at_stop: typing.Callable[[bool], _Outcome],
     ) -> _Outcome:
         """Do some work; if the daemon ends first, stop it and say so.
 
-        ``at_end`` makes the answer from whether the work had begun.
+        ``outcome_at_stop`` returns the outcome from whether the work began.
         """
-        if self._ended:
+        if self._is_stopped:
             work.close()
-            return at_end(False)
+            return outcome_at_stop(False)
         waker = asyncio.get_running_loop().create_future()
         task = asyncio.create_task(work)
         task.add_done_callback(lambda _: _wake(waker))
         self._calls.add(waker)
         try:
             await waker
-            return task.result() if task.done() else at_end(True)
+            return task.result() if task.done() else outcome_at_stop(True)
         finally:
             self._calls.discard(waker)
             task.cancel()
 
     def status(self) -> dict[str, typing.Any]:
         """Return the daemon's view of members, sites and targets."""
-        parts = self._parts
-        configuration = parts.configuration
+        components = self._components
+        configuration = components.configuration
         targets = configuration.targets if configuration else {}
-        snapshot = parts.snapshot
+        snapshot = components.snapshot
         return {
-            'name': parts.me.name,
-            'site': parts.me.site,
-            'incarnation': parts.me.incarnation,
+            'name': components.me.name,
+            'site': components.me.site,
+            'incarnation': components.me.incarnation,
             'ready': self._is_ready(),
-            'revision': parts.current_state.revision,
+            'revision': components.current_state.revision,
             'snapshot_id': snapshot.snapshot_id if snapshot else 0,
-            'members': parts.membership.live(),
-            'health': parts.membership.health(),
-            'revisions': parts.membership.revisions(),
-            'targets': {name: parts.owner(name) for name in targets},
+            'members': components.membership.live(),
+            'health': components.membership.health(),
+            'revisions': components.membership.revisions(),
+            'targets': {name: components.owner(name) for name in targets},
             'target_rows': [self._target_row(row) for row in targets.values()],
             'caller_url': self._caller_url(),
-            'counters': parts.metrics.totals(),
+            'counters': components.metrics.totals(),
         }
 
     def configuration_source(self) -> state.ConfigurationSource | None:
         """Return what is in force here, as operators wrote it."""
-        return self._parts.current_state.source
+        return self._components.current_state.source
 
     async def apply(
         self, change: protocol.ConfigurationChange
     ) -> protocol.ChangeOutcome:
         """Accept a configuration change and push it to all daemons."""
-        return await self._until_end(
+        return await self._run_until_stop(
             self._apply(change),
-            lambda begun: self._parts.acceptor.abandoned_outcome(
-                change, _ENDED
+            lambda has_begun: self._components.acceptor.abandoned_outcome(
+                change, _STOPPED_TEXT
             ),
         )
 
     async def _apply(
         self, change: protocol.ConfigurationChange
     ) -> protocol.ChangeOutcome:
-        outcome = await self._parts.acceptor.apply(change)
+        outcome = await self._components.acceptor.apply(change)
         if isinstance(outcome, protocol.ChangeAccepted):
-            self._parts.distribution.announce_configuration()
+            self._components.distribution.announce_configuration()
         return outcome
 
     async def history(
@@ -126,9 +126,9 @@
         typing.Sequence[protocol.ChangeSummary], protocol.OperatorError
     ]:
         """Return the accepted changes, the newest first."""
-        return await self._until_end(
+        return await self._run_until_stop(
             self._history(),
-            lambda begun: _ended(_Kind.UNAVAILABLE),
+            lambda has_begun: _stopped_error(_Kind.UNAVAILABLE),
         )
 
     async def _history(
@@ -136,33 +136,33 @@
     ) -> result.Result[
         typing.Sequence[protocol.ChangeSummary], protocol.OperatorError
     ]:
-        return result.Success(await self._parts.acceptor.history())
+        return result.Success(await self._components.acceptor.history())
 
     def confirmations(self) -> protocol.Confirmations:
         """Return the revision that each live daemon reported."""
-        revisions = self._parts.membership.revisions()
+        revisions = self._components.membership.revisions()
         daemons = [
             protocol.DaemonRevision(
                 member.name, member.site, revisions.get(member.name, 0)
             )
-            for member in self._parts.membership.live()
+            for member in self._components.membership.live()
         ]
         return protocol.Confirmations(
-            self._parts.current_state.revision, daemons
+            self._components.current_state.revision, daemons
         )
 
     async def set_leaving(
         self, target: str, leaving: bool
     ) -> result.Result[None, protocol.OperatorError]:
         """Say that a target gets no new work, or gets it again."""
-        return await self._until_end(
-            self._set_leaving(target, leaving), _ended_write
+        return await self._run_until_stop(
+            self._set_leaving(target, leaving), _write_stopped
         )
 
     async def _set_leaving(
         self, target: str, leaving: bool
     ) -> result.Result[None, protocol.OperatorError]:
-        configuration = self._parts.configuration
+        configuration = self._components.configuration
         if configuration is None or target not in configuration.targets:
             return result.Failure(
                 protocol.OperatorError(
@@ -170,7 +170,7 @@
                     f'got target {target!r}, expected a configured one',
                 )
             )
-        put = await self._parts.signs.set_leaving(target, leaving)
+        put = await self._components.signs.set_leaving(target, leaving)
         if isinstance(put, result.Failure):
             error = put.failure()
             return result.Failure(
@@ -186,19 +186,23 @@
         typing.Sequence[protocol.QuarantineEntry], protocol.OperatorError
     ]:
         """Return the request contents that are refused."""
-        return result.Success(self._parts.quarantine.entries())
+        return result.Success(self._components.quarantine.entries())
 
     async def release(
         self, fingerprint: str
     ) -> result.Result[None, protocol.OperatorError]:
         """Take one request content out of quarantine."""
-        return await self._until_end(self._release(fingerprint), _ended_write)
+        return await self._run_until_stop(
+            self._release(fingerprint), _write_stopped
+        )
 
     async def _release(
         self, fingerprint: str
     ) -> result.Result[None, protocol.OperatorError]:
-        listed = {row.fingerprint for row in self._parts.quarantine.entries()}
-        released = await self._parts.quarantine.release(fingerprint)
+        listed = {
+            row.fingerprint for row in self._components.quarantine.entries()
+        }
+        released = await self._components.quarantine.release(fingerprint)
         if isinstance(released, result.Success):
             return result.Success(None)
         kind = _Kind.UNKNOWN if fingerprint in listed else _Kind.NOT_FOUND
@@ -212,10 +216,10 @@
         return protocol.TargetRow(
             target.name,
             target.site,
-            self._parts.owner(target.name),
+            self._components.owner(target.name),
             target.slots,
             target.connections,
-            self._parts.is_usable(target.name),
+            self._components.is_usable(target.name),
         )
 
 
@@ -224,16 +228,16 @@
         waker.set_result(None)
 
 
-def _ended(
+def _stopped_error(
     kind: protocol.OperatorErrorKind,
 ) -> result.Result[typing.Any, protocol.OperatorError]:
     return result.Failure(
-        protocol.OperatorError(kind, _ENDED, _RETRY_AFTER_MS)
+        protocol.OperatorError(kind, _STOPPED_TEXT, _RETRY_AFTER_MS)
     )
 
 
-def _ended_write(
-    begun: bool,
+def _write_stopped(
+    has_begun: bool,
 ) -> result.Result[None, protocol.OperatorError]:
-    # A write that was begun may be in the store, or on its way to it.
-    return _ended(_Kind.UNKNOWN if begun else _Kind.UNAVAILABLE)
+    # A write that was has_begun may be in the store, or on its way to it.
+    return _stopped_error(_Kind.UNKNOWN if has_begun else _Kind.UNAVAILABLE)
--- a/samphiredock/daemon/_server_closing.py
+++ b/samphiredock/daemon/_server_closing.py
@@ -8,10 +8,10 @@
 from samphiredock.coordination import background
 from samphiredock import transport
 
-_LOOK_MS = 20.0
+_POLL_MS = 20.0
 """How often it is seen whether the stop's time is over."""
 
-_LAST_ANSWERS_MS = 300.0
+_LAST_REPLIES_MS = 300.0
 """How long the last answers may take to leave, for callers that read slowly;
 less than is kept before the kill."""
 
@@ -19,7 +19,7 @@
 async def close_servers(
     servers: abc.Sequence[transport.EntryServer],
     left_ms: typing.Callable[[], float],
-    give_up: typing.Callable[[], None],
+    finish_all: typing.Callable[[], None],
 ) -> int:
     """Close servers without cutting a request that can be answered.
 
@@ -36,7 +36,7 @@
     left_ms
         What is left for requests that are under way; a later signal may
         shorten it.
-    give_up
+    finish_all
         Has every request that is under way answered in its next turn.
 
     Returns
@@ -44,23 +44,25 @@
     int
         How many connections were cut: not even a final answer ended them.
     """
-    closing = [
+    close_tasks = [
         background.start(server.close(math.inf), 'close a door')
         for server in servers
     ]
     while left_ms() > 0.0:
-        if await _are_closed(closing, _LOOK_MS):
+        if await _are_closed(close_tasks, _POLL_MS):
             return 0
-    give_up()
-    await _are_closed(closing, _LAST_ANSWERS_MS)
+    finish_all()
+    await _are_closed(close_tasks, _LAST_REPLIES_MS)
     cut = sum(server.cut() for server in servers)
-    await asyncio.wait(closing)
+    await asyncio.wait(close_tasks)
     return cut
 
 
 async def _are_closed(
-    closing: list[asyncio.Task[None]], limit_ms: float
+    close_tasks: list[asyncio.Task[None]], timeout_ms: float
 ) -> bool:
     """Wait until all doors are closed; false if one is not, or has failed."""
-    done, left = await asyncio.wait(closing, timeout=limit_ms / 1000.0)
-    return not left and not any(task.exception() for task in done)
+    done, pending = await asyncio.wait(
+        close_tasks, timeout=timeout_ms / 1000.0
+    )
+    return not pending and not any(task.exception() for task in done)
--- a/samphiredock/daemon/_shutdown.py
+++ b/samphiredock/daemon/_shutdown.py
@@ -46,7 +46,7 @@
         Bound on the whole shutdown.
     on_phase
         Called with each phase that is entered.
-    last_call_ms
+    early_close_ms
         How long before the limit the daemon closes though it is not idle.
         Callers that keep coming may leave no moment without a request; what
         is read until then can still be answered within the limit.
@@ -63,9 +63,9 @@
         balancer_lag_ms: float,
         limit_ms: float,
         on_phase: typing.Callable[[Phase], None],
-        last_call_ms: float = 0.0,
+        early_close_ms: float = 0.0,
     ) -> None:
-        self._last_call_ms = last_call_ms
+        self._early_close_ms = early_close_ms
         self._balancer_lag_ms = balancer_lag_ms
         self._limit_ms = limit_ms
         self._on_phase = on_phase
@@ -78,7 +78,7 @@
             initial=Phase.SERVING,
             auto_transitions=False,
             ignore_invalid_triggers=True,
-            after_state_change=self._entered,
+            after_state_change=self._on_state_change,
         )
 
     @property
@@ -105,7 +105,7 @@
         if now_ms >= self._started_ms + self._balancer_lag_ms:
             self.balancer_knows()
         draining = self.state is Phase.DRAINING
-        if draining and now_ms >= self._ends_ms - self._last_call_ms:
+        if draining and now_ms >= self._ends_ms - self._early_close_ms:
             self.limit_passed()
         elif not in_flight:
             # Only DRAINING ends on idleness: in LEAVING more may come.
@@ -115,5 +115,5 @@
         """Return what is left of the whole shutdown's time."""
         return max(0.0, self._ends_ms - now_ms)
 
-    def _entered(self) -> None:
+    def _on_state_change(self) -> None:
         self._on_phase(self.state)
--- a/samphiredock/daemon/entry.py
+++ b/samphiredock/daemon/entry.py
@@ -20,7 +20,7 @@
 Adapter = _entry_adapter.Adapter
 EntryNode = _entry_node.EntryNode
 
-_LOOK_S = 2.0
+_SETTINGS_POLL_S = 2.0
 """How often the settings file is looked at; it may change without a signal."""
 
 _STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
@@ -31,28 +31,28 @@
 _log = logs.logger('entry')
 
 
-class _Source:
+class _SettingsFile:
     """The settings file, while the daemon runs."""
 
     def __init__(self, path: pathlib.Path) -> None:
         self._path = path
-        self._seen = self._stamp()
+        self._last_stamp = self._stamp()
 
     def _stamp(self) -> tuple[int, int]:
         try:
-            found = self._path.stat()
+            status = self._path.stat()
         except OSError as error:
             _log.error('settings cannot be looked at', why=str(error))
             return 0, 0
-        return found.st_mtime_ns, found.st_size
+        return status.st_mtime_ns, status.st_size
 
     def has_changed(self) -> bool:
         """Whether the file is another than at the last read."""
-        return self._stamp() != self._seen
+        return self._stamp() != self._last_stamp
 
-    def read_for(self, node: EntryNode) -> None:
+    def reload(self, node: EntryNode) -> None:
         """Hand the file's settings to a node; a broken file is only told."""
-        self._seen = self._stamp()
+        self._last_stamp = self._stamp()
         loaded = state.load_entry_settings(self._path)
         if isinstance(loaded, result.Failure):
             problems = [str(problem) for problem in loaded.failure()]
@@ -65,11 +65,11 @@
     settings_path: pathlib.Path,
     check: bool,
     adapter: Adapter,
-    callers: socket.socket | None = None,
+    caller_listener: socket.socket | None = None,
 ) -> None:
     """Run one daemon until SIGTERM or SIGINT.
 
-    ``callers`` already listens on the settings' address for callers; see
+    ``caller_listener`` already listens on ``caller_address``; see
     :mod:`samphiredock.daemon.early`.
 
     Exit status: 0 after an orderly stop, 1 if an address cannot be
@@ -77,17 +77,19 @@
     printed with file, path, what was got and what was expected.
     """
     # Before they are read: what changes in between would go unnoticed.
-    source = _Source(settings_path)
+    settings_file = _SettingsFile(settings_path)
     settings = _read(settings_path)
     if check:
         click.echo(f'{settings_path}: valid')
         return
-    if callers is not None:
-        _check_address(callers, settings)
+    if caller_listener is not None:
+        _check_address(caller_listener, settings)
     stream = logs.BoundedStream(sys.stdout.fileno())
     logs.set_up(settings.log_level, stream)
     try:
-        asyncio.run(_serve(settings, adapter, stream, source, callers))
+        asyncio.run(
+            _serve(settings, adapter, stream, settings_file, caller_listener)
+        )
     except OSError as error:
         click.echo(f'cannot run with {settings_path}: {error}', err=True)
         sys.exit(_CANNOT_RUN_STATUS)
@@ -103,9 +105,12 @@
 
 
 def _check_address(
-    callers: socket.socket, settings: state.EntrySettings
+    caller_listener: socket.socket, settings: state.EntrySettings
 ) -> None:
-    got, expected = early_listener.address_of(callers), settings.caller_address
+    got, expected = (
+        early_listener.address_of(caller_listener),
+        settings.caller_address,
+    )
     if got != expected:
         click.echo(
             f'listens for callers on {got}, expected {expected} '
@@ -119,22 +124,24 @@
     settings: state.EntrySettings,
     adapter: Adapter,
     stream: logs.BoundedStream,
-    source: _Source,
-    callers: socket.socket | None,
+    settings_file: _SettingsFile,
+    caller_listener: socket.socket | None,
 ) -> None:
     loop = asyncio.get_running_loop()
-    node = EntryNode(settings, adapter, stream, callers)
+    node = EntryNode(settings, adapter, stream, caller_listener)
     for number in _STOP_SIGNALS:
         loop.add_signal_handler(number, node.on_signal)
-    loop.add_signal_handler(signal.SIGHUP, lambda: source.read_for(node))
+    loop.add_signal_handler(signal.SIGHUP, lambda: settings_file.reload(node))
     await node.start()
     # What was imported lives as long as the process: collections skip it,
     # which would else hold up requests for some 30 ms each.
     gc.freeze()
     gc.enable()
-    looking = background.start(_look_for_changes(source, node), 'settings')
+    poll_task = background.start(
+        _poll_settings(settings_file, node), 'settings'
+    )
     await node.wait_stopped()
-    looking.cancel()
+    poll_task.cancel()
     # The loop's end would leave them to the system, which ends the process
     # as if it had failed.
     for number in (*_STOP_SIGNALS, signal.SIGHUP):
@@ -142,9 +149,11 @@
         signal.signal(number, signal.SIG_IGN)
 
 
-async def _look_for_changes(source: _Source, node: EntryNode) -> None:
+async def _poll_settings(
+    settings_file: _SettingsFile, node: EntryNode
+) -> None:
     """Read the settings again when the file changes without a signal."""
     while True:
-        await asyncio.sleep(_LOOK_S)
-        if source.has_changed():
-            source.read_for(node)
+        await asyncio.sleep(_SETTINGS_POLL_S)
+        if settings_file.has_changed():
+            settings_file.reload(node)
--- a/samphiredock/lazy.py
+++ b/samphiredock/lazy.py
@@ -28,17 +28,19 @@
     modules
         By module, relative to the package: the public names that it has.
     """
-    homes = {name: home for home, names in modules.items() for name in names}
-    listed = sorted(homes)
+    module_of = {
+        name: module for module, names in modules.items() for name in names
+    }
+    listed = sorted(module_of)
 
     def get_name(name: str) -> object:
-        home = homes.get(name)
-        if home is None:
+        module = module_of.get(name)
+        if module is None:
             # Also asked by the import system for names of submodules.
             raise AttributeError(f'module {package!r} has no name {name!r}')
-        found = getattr(importlib.import_module(f'{package}.{home}'), name)
+        value = getattr(importlib.import_module(f'{package}.{module}'), name)
         # The next use finds it without a call.
-        vars(importlib.import_module(package))[name] = found
-        return found
+        vars(importlib.import_module(package))[name] = value
+        return value
 
     return get_name, lambda: listed, listed
--- a/samphiredock/logs.py
+++ b/samphiredock/logs.py
@@ -45,45 +45,45 @@
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._limit_bytes = limit_bytes
-        self._waiting = bytearray()
+        self._buffer = bytearray()
         self._unreported = 0
         self.dropped = 0
 
     def write(self, text: str) -> int:
         """Write as much as goes without waiting, and keep the rest."""
         data = text.encode('utf-8', 'replace')
-        if len(self._waiting) + len(data) > self._limit_bytes:
+        if len(self._buffer) + len(data) > self._limit_bytes:
             self.dropped += 1
             self._unreported += 1
             return len(text)
-        if self._unreported and not self._waiting:
-            self._waiting += _line(
+        if self._unreported and not self._buffer:
+            self._buffer += _line(
                 event='log lines left out', count=self._unreported
             )
             self._unreported = 0
-        self._waiting += data
+        self._buffer += data
         self.flush()
         return len(text)
 
     def flush(self) -> None:
         """Write what waits, as far as it goes."""
         try:
-            while self._waiting:
-                written = os.write(self._descriptor, self._waiting)
-                del self._waiting[:written]
+            while self._buffer:
+                written = os.write(self._descriptor, self._buffer)
+                del self._buffer[:written]
         except BlockingIOError:
             return
         except OSError:
             # Nobody reads any more; there is no place left to say so.
             self.dropped += 1
-            self._waiting.clear()
+            self._buffer.clear()
 
 
 def _line(**fields: object) -> bytes:
     return msgspec.json.encode(fields, enc_hook=str) + b'\n'
 
 
-def _text_of(moment: datetime.datetime) -> str:
+def _time_text(moment: datetime.datetime) -> str:
     return moment.isoformat(timespec='milliseconds')
 
 
@@ -94,12 +94,12 @@
     takes the place of the time at which the line is written.
     """
     moment = datetime.datetime.fromtimestamp(wall_ms / 1000.0, datetime.UTC)
-    return _text_of(moment.replace(tzinfo=None))
+    return _time_text(moment.replace(tzinfo=None))
 
 
 def _format(record: logbook.LogRecord, handler: logbook.Handler) -> str:
     row = {
-        'time': _text_of(record.time),
+        'time': _time_text(record.time),
         'level': record.level_name.lower(),
         'part': record.channel,
         'event': record.message,
--- a/samphiredock/metrics/_counts.py
+++ b/samphiredock/metrics/_counts.py
@@ -13,7 +13,7 @@
 if typing.TYPE_CHECKING:
     from samphiredock.metrics import _export
 
-_OBSERVED_LIMIT = 10_000
+_OBSERVATION_LIMIT = 10_000
 """Values that wait for a flush at most, some 2 MB: the requests of several
 seconds at the planned size."""
 
@@ -26,9 +26,9 @@
     def __init__(self, instance: str) -> None:
         self._instance = instance
         self._exporter: _export.Exporter | None = None
-        self._loading = threading.Lock()
+        self._load_lock = threading.Lock()
         self._pending: collections.Counter = collections.Counter()
-        self._observed: list[tuple[str, float, _Labels]] = []
+        self._observations: list[tuple[str, float, _Labels]] = []
         self._totals: collections.Counter = collections.Counter()
 
     def add(self, name: str, amount: float = 1, **labels: object) -> None:
@@ -43,8 +43,8 @@
 
     def observe(self, name: str, value: float, **labels: object) -> None:
         """Record one value in a histogram at the next flush."""
-        self._observed.append((name, value, tuple(labels.items())))
-        if len(self._observed) >= _OBSERVED_LIMIT:
+        self._observations.append((name, value, tuple(labels.items())))
+        if len(self._observations) >= _OBSERVATION_LIMIT:
             self.flush()
 
     def total(self, name: str) -> float:
@@ -57,7 +57,7 @@
 
     def load(self) -> None:
         """Import the libraries; may be called from another thread."""
-        with self._loading:
+        with self._load_lock:
             if self._exporter is None:
                 from samphiredock.metrics import _export
 
@@ -69,10 +69,10 @@
         assert self._exporter is not None
         pending, self._pending = self._pending, collections.Counter()
         for (name, labels), amount in pending.items():
-            self._exporter.add(name, amount, _text(labels))
-        observed, self._observed = self._observed, []
-        for name, value, labels in observed:
-            self._exporter.record(name, value, _text(labels))
+            self._exporter.add(name, amount, _label_texts(labels))
+        observations, self._observations = self._observations, []
+        for name, value, labels in observations:
+            self._exporter.record(name, value, _label_texts(labels))
 
     def render(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
@@ -91,7 +91,7 @@
             self._exporter.close()
 
 
-def _text(labels: _Labels) -> dict[str, str]:
+def _label_texts(labels: _Labels) -> dict[str, str]:
     return {
         key: value.decode() if isinstance(value, bytes) else str(value)
         for key, value in labels
--- a/samphiredock/timers.py
+++ b/samphiredock/timers.py
@@ -62,18 +62,18 @@
         self._period_ms = period_ms
         self._callback = callback
         self._stopped = False
-        self._current = timers.after(period_ms, self._fire)
+        self._handle = timers.after(period_ms, self._fire)
 
     def _fire(self) -> None:
         if self._stopped:
             return
-        self._current = self._timers.after(self._period_ms, self._fire)
+        self._handle = self._timers.after(self._period_ms, self._fire)
         self._callback()
 
     def cancel(self) -> None:
         """Stop repeating."""
         self._stopped = True
-        self._current.cancel()
+        self._handle.cancel()
 
 
 class LoopTimers:
@@ -84,7 +84,7 @@
         self._gap_callbacks: list[typing.Callable[[float], None]] = []
         self._closed = False
         self._last_tick_ms = self.now_ms()
-        self._watch = _Repeating(self, TICK_MS, self._check_gap)
+        self._tick = _Repeating(self, TICK_MS, self._check_gap)
 
     def now_ms(self) -> float:
         """Return monotonic milliseconds."""
@@ -137,7 +137,7 @@
         A part would begin a task that the end of the loop destroys.
         """
         self._closed = True
-        self._watch.cancel()
+        self._tick.cancel()
 
 
 class _ManualTimer:
--- a/tests/unit/test_entry_node.py
+++ b/tests/unit/test_entry_node.py
@@ -56,7 +56,7 @@
         # The last call comes half a second after the signal, and leaves what
         # is open all the rest.
         self.enterContext(
-            mock.patch.object(_entry_node, '_LAST_CALL_MS', 59_000.0)
+            mock.patch.object(_entry_node, '_EARLY_CLOSE_MS', 59_000.0)
         )
         self.node = _entry_node.EntryNode(
             state.EntrySettings(
@@ -66,7 +66,7 @@
             prepared_hosts.PreparedHosts(),
             logs.BoundedStream(descriptor),
         )  # fmt: skip
-        service = self.node._service
+        service = self.node._handler
         self.enterContext(
             mock.patch.multiple(
                 service,
--- a/tests/unit/test_entry_state.py
+++ b/tests/unit/test_entry_state.py
@@ -63,7 +63,7 @@
     targets_prefix = 'servers/'
 
 
-class EntryKnowledgeTest(unittest.IsolatedAsyncioTestCase):
+class EntryStateTest(unittest.IsolatedAsyncioTestCase):
     """One daemon that coordinates."""
 
     async def asyncSetUp(self) -> None:
@@ -73,15 +73,15 @@
         self.counters = metrics.Metrics('test')
         self.addCleanup(self.counters.close)
         address = '127.0.0.1:1'
-        self.knowledge = _entry_state.EntryState(
+        self.entry_state = _entry_state.EntryState(
             state.EntrySettings('me', 'a', address, address, address, address),
             _Adapter(),
             self.store,
             self.clock,
             self.counters,
         )
-        self.knowledge.start()
-        self.addCleanup(self.knowledge.close)
+        self.entry_state.start()
+        self.addCleanup(self.entry_state.close)
         await self._advance(1_000.0)
 
     async def _advance(self, span_ms: float) -> None:
@@ -98,12 +98,14 @@
         The store turns this coordinator away and serves the others; a
         version is accepted meanwhile, and a request is handed over to it.
         """
-        self.assertTrue(await self.knowledge.can_serve_handed_over(0, False))
+        self.assertTrue(await self.entry_state.can_serve_handed_over(0, False))
         self.store.is_lost = True
         await self._advance(3_000.0)
-        self.assertTrue(await self.knowledge.can_serve_handed_over(0, False))
+        self.assertTrue(await self.entry_state.can_serve_handed_over(0, False))
         await self._advance(1_000.0)
-        self.assertFalse(await self.knowledge.can_serve_handed_over(0, False))
+        self.assertFalse(
+            await self.entry_state.can_serve_handed_over(0, False)
+        )
 
     async def test_a_stop_does_not_wait_for_the_store(self) -> None:
         """A request is handed over with a newer version than is known here.
@@ -112,10 +114,12 @@
         refuses the request while the other one can still ask a third.
         """
         self.store.is_silent = True
-        knowing = asyncio.create_task(self.knowledge.can_serve_handed_over(9, False))
+        knowing = asyncio.create_task(
+            self.entry_state.can_serve_handed_over(9, False)
+        )
         await memory_links.settle()
         self.assertFalse(knowing.done())
-        self.knowledge.stop_waiting()
+        self.entry_state.stop_waiting()
         await memory_links.settle()
         self.assertTrue(knowing.done())
         self.assertFalse(await knowing)
@@ -124,13 +128,17 @@
         """One that hears the store knows no newer version than this one."""
         self.store.is_lost = True
         await self._advance(4_500.0)
-        self.assertFalse(await self.knowledge.can_serve_handed_over(0, False))
+        self.assertFalse(
+            await self.entry_state.can_serve_handed_over(0, False)
+        )
         self._answer(
             forwarding.StoreStatus(0, True), forwarding.StoreStatus(0, False)
         )
-        self.assertTrue(await self.knowledge.can_serve_handed_over(0, False))
+        self.assertTrue(await self.entry_state.can_serve_handed_over(0, False))
         await self._advance(2_000.0)
-        self.assertFalse(await self.knowledge.can_serve_handed_over(0, False))
+        self.assertFalse(
+            await self.entry_state.can_serve_handed_over(0, False)
+        )
 
     async def test_it_does_not_serve_once_others_know_more(self) -> None:
         """A caller would see the change undone that it has just used."""
@@ -139,7 +147,9 @@
         self._answer(
             forwarding.StoreStatus(1, True), forwarding.StoreStatus(0, True)
         )
-        self.assertFalse(await self.knowledge.can_serve_handed_over(0, False))
+        self.assertFalse(
+            await self.entry_state.can_serve_handed_over(0, False)
+        )
 
     async def test_it_serves_once_nobody_hears_the_store(self) -> None:
         """Old knowledge is the best there is: no request waits for more.
@@ -148,27 +158,31 @@
         """
         self.store.is_lost = True
         await self._advance(4_500.0)
-        self.assertTrue(self.knowledge.needs_freshness_check())
+        self.assertTrue(self.entry_state.needs_freshness_check())
         self._answer(
             forwarding.StoreStatus(7, False), forwarding.StoreStatus(0, False)
         )
-        self.assertTrue(await self.knowledge.can_serve_handed_over(0, False))
+        self.assertTrue(await self.entry_state.can_serve_handed_over(0, False))
 
     async def test_no_answer_says_nothing(self) -> None:
         """This daemon may be the one that is cut off."""
         self.store.is_lost = True
         await self._advance(4_500.0)
         self._answer()
-        self.assertFalse(await self.knowledge.can_serve_handed_over(0, False))
+        self.assertFalse(
+            await self.entry_state.can_serve_handed_over(0, False)
+        )
 
     async def test_an_older_table_than_was_seen_does_not_serve(self) -> None:
         """The daemon that hands over has seen version 5 in force.
 
         Whoever vouches: its callers have used what that version brought.
         """
-        self.assertTrue(await self.knowledge.can_serve_handed_over(0, False))
-        self.assertFalse(await self.knowledge.can_serve_handed_over(5, False))
-        self.assertFalse(await self.knowledge.can_serve_handed_over(5, True))
+        self.assertTrue(await self.entry_state.can_serve_handed_over(0, False))
+        self.assertFalse(
+            await self.entry_state.can_serve_handed_over(5, False)
+        )
+        self.assertFalse(await self.entry_state.can_serve_handed_over(5, True))
 
     async def test_a_store_that_refuses_is_not_asked_all_the_time(
         self,
@@ -185,16 +199,18 @@
         self.assertLessEqual(self.store.watches, 2 * 26)
         self.store.refuses = False
         await self._advance(1_000.0)
-        self.assertTrue(self.knowledge.has_store_contact())
+        self.assertTrue(self.entry_state.has_store_contact())
 
     def _answer(self, *answers: forwarding.StoreStatus) -> None:
-        self.knowledge.freshness_check.record_round(answers, self.clock.now_ms())
+        self.entry_state.freshness_check.record_round(
+            answers, self.clock.now_ms()
+        )
 
     async def test_it_serves_when_all_have_lost_the_store(self) -> None:
         """Else an outage of the store would be one of everything."""
         self.store.is_lost = True
         await self._advance(10_000.0)
-        self.assertTrue(await self.knowledge.can_serve_handed_over(0, True))
+        self.assertTrue(await self.entry_state.can_serve_handed_over(0, True))
         self.store.is_lost = False
         await self._advance(1_000.0)
-        self.assertTrue(await self.knowledge.can_serve_handed_over(0, False))
+        self.assertTrue(await self.entry_state.can_serve_handed_over(0, False))
--- a/tests/unit/test_metrics.py
+++ b/tests/unit/test_metrics.py
@@ -21,9 +21,9 @@
         self.assertIn('request_latency_ms_count{service="a"} 1.0', page)
 
     def test_many_values_do_not_fill_the_memory(self) -> None:
-        for _ in range(_counts._OBSERVED_LIMIT):
+        for _ in range(_counts._OBSERVATION_LIMIT):
             self.metrics.observe('request_latency_ms', 1.0, service='a')
-        self.assertEqual([], self.metrics._observed)
+        self.assertEqual([], self.metrics._observations)
 
     def test_counting_needs_no_libraries(self) -> None:
         """Loading them would add a fifth to the start of a daemon."""
--- a/tests/unit/test_operator_handler.py
+++ b/tests/unit/test_operator_handler.py
@@ -19,7 +19,7 @@
 _Kind = protocol.OperatorErrorKind
 
 
-class _SilentStore:
+class _UnresponsiveStore:
     """Takes calls and answers none of those it is told to be silent to."""
 
     def __init__(self, *silent: str) -> None:
@@ -43,18 +43,18 @@
         return result.Failure(transport.StoreError(kind, name))
 
 
-class OperatorDeskTest(unittest.IsolatedAsyncioTestCase):
+class OperatorHandlerTest(unittest.IsolatedAsyncioTestCase):
     """A call waits for the store, and the daemon ends."""
 
     def _make(self, *silent: str) -> _operator_handler.OperatorHandler:
-        self.store = _SilentStore(*silent)
+        self.store = _UnresponsiveStore(*silent)
         counters = metrics.Metrics('test')
         self.addCleanup(counters.close)
         current_state = types.SimpleNamespace(source=None)
         acceptor = _accept.Acceptor(
             self.store, current_state, memory_hosts.SteppedTimers(), counters
         )
-        parts = types.SimpleNamespace(
+        components = types.SimpleNamespace(
             acceptor=acceptor,
             configuration=types.SimpleNamespace(targets={'desk-1': None}),
             signs=types.SimpleNamespace(
@@ -66,14 +66,14 @@
             ),
         )
         return _operator_handler.OperatorHandler(
-            typing.cast(typing.Any, parts),
+            typing.cast(typing.Any, components),
             typing.cast(state.Settings, None),
             lambda: True,
         )
 
     async def _ended(
         self,
-        desk: _operator_handler.OperatorHandler,
+        handler: _operator_handler.OperatorHandler,
         call: typing.Coroutine,
         store_call: str,
     ) -> object:
@@ -81,10 +81,10 @@
         task = asyncio.create_task(call)
         while store_call not in self.store.calls:
             await asyncio.sleep(0)
-        self.assertEqual(1, desk.open_calls())
-        desk.end()
+        self.assertEqual(1, handler.open_calls())
+        handler.finish_all()
         outcome = await task
-        self.assertEqual(0, desk.open_calls())
+        self.assertEqual(0, handler.open_calls())
         return outcome
 
     def _change(self, repeated: bool = False) -> protocol.ConfigurationChange:
@@ -94,45 +94,49 @@
 
     async def test_change_not_written(self) -> None:
         """It waited for a read: nothing was, and will be, changed."""
-        desk = self._make('get')
-        ended = await self._ended(desk, desk.apply(self._change()), 'get')
+        handler = self._make('get')
+        ended = await self._ended(
+            handler, handler.apply(self._change()), 'get'
+        )
         self.assertIsInstance(ended, protocol.ChangeUnavailable)
         await asyncio.sleep(0)
         self.assertEqual(['get'], self.store.calls)
 
     async def test_change_perhaps_written(self) -> None:
         """The write is out: nobody knows here whether it takes effect."""
-        desk = self._make('put')
-        ended = await self._ended(desk, desk.apply(self._change()), 'put')
+        handler = self._make('put')
+        ended = await self._ended(
+            handler, handler.apply(self._change()), 'put'
+        )
         self.assertIsInstance(ended, protocol.ChangeUnknown)
 
     async def test_change_tried_before(self) -> None:
         """An earlier call for it may have changed something."""
-        desk = self._make('get')
+        handler = self._make('get')
         change = self._change(repeated=True)
-        ended = await self._ended(desk, desk.apply(change), 'get')
+        ended = await self._ended(handler, handler.apply(change), 'get')
         self.assertIsInstance(ended, protocol.ChangeUnknown)
 
     async def test_writes_that_wait(self) -> None:
         """Both may be in the store."""
         for make in (
-            lambda desk: desk.set_leaving('desk-1', True),
-            lambda desk: desk.release('f'),
+            lambda handler: handler.set_leaving('desk-1', True),
+            lambda handler: handler.release('f'),
         ):
-            desk = self._make('put')
-            ended = await self._ended(desk, make(desk), 'put')
+            handler = self._make('put')
+            ended = await self._ended(handler, make(handler), 'put')
             self.assertIs(_Kind.UNKNOWN, ended.failure().kind)
 
     async def test_calls_after_the_end(self) -> None:
         """They are refused, and the store is not asked."""
-        desk = self._make()
-        desk.finish_all()
-        changed = await desk.apply(self._change())
+        handler = self._make()
+        handler.finish_all()
+        changed = await handler.apply(self._change())
         self.assertIsInstance(changed, protocol.ChangeUnavailable)
         for ended in (
-            await desk.set_leaving('desk-1', True),
-            await desk.release('f'),
-            await desk.history(),
+            await handler.set_leaving('desk-1', True),
+            await handler.release('f'),
+            await handler.history(),
         ):
             self.assertIs(_Kind.UNAVAILABLE, ended.failure().kind)
         self.assertEqual([], self.store.calls)
--- a/tests/unit/test_server_closing.py
+++ b/tests/unit/test_server_closing.py
@@ -14,7 +14,7 @@
 _HANG_GUARD_S = 20.0
 
 
-class DoorsTest(unittest.IsolatedAsyncioTestCase):
+class ServerClosingTest(unittest.IsolatedAsyncioTestCase):
     """Two servers whose requests wait for the test."""
 
     async def asyncSetUp(self) -> None:
@@ -26,7 +26,7 @@
         self.replies: asyncio.Queue[protocol.HttpReply] = asyncio.Queue()
         self.seen = 0
         self.left_ms = 1_000.0
-        self.gave_up = 0
+        self.finish_all_calls = 0
         self.servers = [await self._listen(), await self._listen()]
         self.addresses = [row.address() for row in self.servers]
         self.reader, self.writer = await self._connect(0)
@@ -54,13 +54,15 @@
         self.seen += 1
         return await self.replies.get()
 
-    def _give_up(self) -> None:
-        self.gave_up += 1
+    def _finish_all(self) -> None:
+        self.finish_all_calls += 1
         self.replies.put_nowait(protocol.HttpReply(502))
 
     def _close(self) -> asyncio.Task[int]:
         return asyncio.create_task(
-            _server_closing.close_servers(self.servers, lambda: self.left_ms, self._give_up)
+            _server_closing.close_servers(
+                self.servers, lambda: self.left_ms, self._finish_all
+            )
         )
 
     async def _answer(self) -> bytes:
@@ -77,7 +79,7 @@
         self.replies.put_nowait(protocol.HttpReply(207))
         self.assertIn(b' 207 ', await self._answer())
         await closing
-        self.assertEqual(0, self.gave_up)
+        self.assertEqual(0, self.finish_all_calls)
 
     async def test_what_is_open_when_the_time_is_over_is_answered(
         self,
@@ -92,7 +94,7 @@
         self.left_ms = 0.0
         self.assertIn(b' 502 ', await self._answer())
         self.assertEqual(0, await closing)
-        self.assertEqual(1, self.gave_up)
+        self.assertEqual(1, self.finish_all_calls)
 
     async def test_a_stop_without_time_answers_before_it_cuts(self) -> None:
         """Its time may be used up before the doors begin to close."""
