--- a/tests/unit/test_early_listener.py
+++ b/tests/unit/test_early_listener.py
@@ -48,8 +48,11 @@
         """It reads the settings and says what is wrong."""
         taken = self._listen('entry', '--callers', '127.0.0.1:0')
         for text in (
-            early_listener.address_of(taken), 'nothing', '127.0.0.1:x', ':99999999',
-        ):  # fmt: skip
+            early_listener.address_of(taken),
+            'nothing',
+            '127.0.0.1:x',
+            ':99999999',
+        ):
             with self.subTest(text):
                 self.assertIsNone(self._listen('entry', '--callers', text))
 
@@ -61,7 +64,7 @@
     def test_it_comes_before_what_takes_time(self) -> None:
         """The libraries of the doors must not be imported by it."""
         code = (
-            'import sys; from samphiredock.daemon import early;'
+            'import sys; from samphiredock.daemon import early_listener;'
             'sys.exit("aiohttp" in sys.modules)'
         )
         done = subprocess.run(
