--- a/samphiredock/daemon/_entry_peers.py
+++ b/samphiredock/daemon/_entry_peers.py
@@ -44,7 +44,7 @@
         self,
         name: str,
         entry_state: _entry_state.EntryState,
-        links: transport.ChannelPool,
+        links: transport.ConnectionPool,
         crash_guard: forwarding.CrashGuard,
         clock: timers.Timers,
     ) -> None:
--- a/samphiredock/daemon/_server_closing.py
+++ b/samphiredock/daemon/_server_closing.py
@@ -53,7 +53,7 @@
             return 0
     finish_all()
     await _are_closed(close_tasks, _LAST_REPLIES_MS)
-    cut = sum(server.cut() for server in servers)
+    cut = sum(server.abort() for server in servers)
     await asyncio.wait(close_tasks)
     return cut
 
