--- a/samphiredock/daemon/_entry_handler.py
+++ b/samphiredock/daemon/_entry_forwarding.py
@@ -40,7 +40,7 @@
 _log = logs.logger('entry')
 
 
-class EntryHandler:
+class EntryForwarding:
     """Callers' requests, and those that other daemons hand over.
 
     Parameters
@@ -69,7 +69,9 @@
         self._clock = clock
         self._metrics = counters
         self._rng = random.Random(settings.name)
-        self._links = transport.ConnectionPool(clock, entry_state.connections_to)
+        self._links = transport.ConnectionPool(
+            clock, entry_state.connections_to
+        )
         self._peer_links = transport.ConnectionPool(
             clock, lambda target: _PEER_CONNECTIONS
         )
--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -6,7 +6,7 @@
 
 from samphiredock.coordination import background
 from samphiredock.daemon import _entry_adapter
-from samphiredock.daemon import _entry_handler
+from samphiredock.daemon import _entry_forwarding
 from samphiredock.daemon import _entry_state
 from samphiredock.daemon import _server_closing
 from samphiredock.daemon import _shutdown
@@ -90,7 +90,7 @@
             self._clock,
             self._metrics,
         )
-        self._handler = _entry_handler.EntryHandler(
+        self._forwarding = _entry_forwarding.EntryForwarding(
             settings, adapter, self._entry_state, self._clock, self._metrics
         )
         self._shutdown = _shutdown.Shutdown(
@@ -129,11 +129,11 @@
         )
         self._clock.every(_LOG_FLUSH_MS, self._log_stream.flush)
         self._entry_state.start()
-        self._handler.start()
+        self._forwarding.start()
         settings = self._settings
         self._request_servers.append(
             await self._listen(
-                self._handler.handle_peer, settings.peer_address
+                self._forwarding.handle_peer, settings.peer_address
             )
         )
         self._status_servers.append(
@@ -148,7 +148,7 @@
         await self._wait_until_ready()
         self._request_servers.append(
             await self._listen(
-                self._handler.handle,
+                self._forwarding.handle,
                 settings.caller_address,
                 self._caller_listener,
             )
@@ -214,7 +214,7 @@
         taken = {name: getattr(settings, name) for name in _RELOADABLE}
         self._settings = dataclasses.replace(self._settings, **taken)
         self._entry_state.reload(self._settings)
-        self._handler.reload(self._settings)
+        self._forwarding.reload(self._settings)
         _log.notice(
             'settings read again',
             changed=changed,
@@ -237,7 +237,7 @@
         # Who watches the stop sees its counters until the end.
         await asyncio.gather(*(page.close() for page in self._status_servers))
         self._entry_state.close()
-        self._handler.close()
+        self._forwarding.close()
         self._store_calls.close()
         self._clock.close()
         _log.notice('stopped', name=self._settings.name)
@@ -247,9 +247,9 @@
         return self._shutdown.left_ms(self._clock.now_ms())
 
     def _finish_all(self) -> None:
-        left = self._handler.open_requests()
+        left = self._forwarding.open_requests()
         oldest = self._oldest_requests()
-        self._handler.finish_all()
+        self._forwarding.finish_all()
         if left:
             _log.warning('requests given up', left=left, oldest=oldest)
             self._metrics.add('requests_given_up', left)
@@ -258,7 +258,7 @@
         _log.notice(
             'shutdown phase',
             phase=phase.value,
-            open=self._handler.open_requests(),
+            open=self._forwarding.open_requests(),
             oldest=self._oldest_requests(),
         )
         _PHASE_ACTIONS[phase](self)
@@ -266,7 +266,7 @@
     def _oldest_requests(self) -> list[dict[str, object]]:
         """Return the requests that a stop has waited for longest."""
         rows = sorted(
-            self._handler.pending_requests(),
+            self._forwarding.pending_requests(),
             key=lambda row: row.for_ms,
             reverse=True,
         )
@@ -277,7 +277,7 @@
         self._clock.every(
             _SHUTDOWN_TICK_MS,
             lambda: self._shutdown.on_tick(
-                self._clock.now_ms(), self._handler.open_requests()
+                self._clock.now_ms(), self._forwarding.open_requests()
             ),
         )
 
--- a/tests/unit/test_entry_node.py
+++ b/tests/unit/test_entry_node.py
@@ -66,7 +66,7 @@
             prepared_hosts.PreparedHosts(),
             logs.BoundedStream(descriptor),
         )  # fmt: skip
-        service = self.node._handler
+        service = self.node._forwarding
         self.enterContext(
             mock.patch.multiple(
                 service,
