--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -1,4 +1,4 @@
-"""A daemon that passes requests on: its HTTP interfaces, start and stop."""
+"""The entry daemon: its HTTP servers, start, reload and shutdown."""
 
 import asyncio
 import dataclasses
@@ -22,48 +22,48 @@
 _METRICS_FLUSH_MS = 1_000.0
 
 _METRICS_LOAD_DELAY_MS = 5_000.0
-"""When the libraries of the metrics are loaded, if nobody asks for the page
-before.  After an outage callers come back at once; by then they are served,
-and the load of some 100 ms, in another thread, costs them little."""
+"""Delay before the metrics libraries are loaded, unless the metrics page is
+requested earlier.  Callers that return all at once after an outage are served
+first; the load, in another thread, then slows them down little."""
 
 _LOG_FLUSH_MS = 200.0
 
 _EXIT_RESERVE_MS = 500.0
 """What is kept of the time before the kill for the answers to what is still
 open, and for the exit.  Answers to callers are written in one turn of the
-loop; more would be taken from targets that still answer in time."""
+loop; more would be reloaded from targets that still answer in time."""
 
 _EARLY_CLOSE_MS = 1_000.0
-"""How long before the limit of a stop the doors close, whoever still comes:
-what was read by then takes some tens of ms, a slow one some hundred."""
+"""How long before the shutdown limit the servers close even if requests keep
+arriving, so that those already read can still be answered."""
 
 _RELOADABLE = ('retry_ratio', 'retry_slack', 'retry_window_s', 'collect_ms')
-"""Settings that take effect without a restart."""
+"""Settings that a reload applies; all others need a restart."""
 
 _READY_WAIT_MS = 300.0
-"""How long a fresh daemon keeps callers waiting for what the store shows:
-some 30 ms if it answers.  Refused at once, they would use their last attempt
-up on a daemon that is able to serve in the next moment."""
+"""How long callers of a new daemon wait in the listen queue until it has read
+the store.  Callers refused at once would use up their last attempt on a daemon
+that is ready a moment later."""
 
 _READY_POLL_MS = 5.0
 
 _LOGGED_REQUESTS = 8
-"""Requests under way that the line of a stop's phase names at most."""
+"""How many of the oldest pending requests a log line lists."""
 
 _log = logs.logger('entry')
 
 
 class EntryNode:
-    """A running daemon.
+    """An entry daemon.
 
     Parameters
     ----------
     settings
-        Its addresses and bounds.
+        The daemon's addresses and limits.
     adapter
-        The platform's names and wire.
+        The platform's key names and encodings.
     log_stream
-        Where the log lines go.
+        The stream of log lines, flushed regularly by this daemon.
     callers
         Listens for callers already; None: it is opened by :meth:`start`.
     """
@@ -73,10 +73,10 @@
         settings: state.EntrySettings,
         adapter: _entry_adapter.Adapter,
         log_stream: logs.BoundedStream,
-        callers: socket.socket | None = None,
+        caller_listener: socket.socket | None = None,
     ) -> None:
         self._settings = settings
-        self._caller_listener = callers
+        self._caller_listener = caller_listener
         self._log_stream = log_stream
         self._clock = timers.LoopTimers()
         self._metrics = metrics.Metrics(settings.name)
@@ -116,10 +116,10 @@
             and self._entry_state.can_serve()
         )
 
-    # Life.
+    # Start.
 
     async def start(self) -> None:
-        """Open the addresses and begin to learn.
+        """Start following the store and serving all addresses.
 
         Raises ``OSError`` if an address cannot be listened on.
         """
@@ -168,13 +168,13 @@
         self,
         handle: transport.EntryHandler,
         address: str,
-        listening: socket.socket | None = None,
+        listener: socket.socket | None = None,
     ) -> transport.EntryServer:
-        door = transport.EntryCallbacks(
+        callbacks = transport.EntryCallbacks(
             handle, self.is_closing, self._entry_state.limits
         )
-        server = transport.EntryServer(door, self._metrics, self._clock)
-        await server.start(address, early_listener.BACKLOG, listening)
+        server = transport.EntryServer(callbacks, self._metrics, self._clock)
+        await server.start(address, early_listener.BACKLOG, listener)
         return server
 
     async def _serve_readiness(
@@ -200,42 +200,40 @@
         )
 
     def reload(self, settings: state.EntrySettings) -> None:
-        """Take over settings that have changed while it runs.
-
-        What cannot change without a restart keeps its value; the log says
-        which fields those are.
-        """
+        """Apply changed settings; log those that need a restart."""
         before = dataclasses.asdict(self._settings)
         changed = [
             name
             for name, value in dataclasses.asdict(settings).items()
             if value != before[name]
         ]
-        taken = {name: getattr(settings, name) for name in _RELOADABLE}
-        self._settings = dataclasses.replace(self._settings, **taken)
+        reloaded = {name: getattr(settings, name) for name in _RELOADABLE}
+        self._settings = dataclasses.replace(self._settings, **reloaded)
         self._entry_state.reload(self._settings)
         self._forwarding.reload(self._settings)
         _log.notice(
-            'settings read again',
+            'settings reloaded',
             changed=changed,
             need_restart=sorted(set(changed) - set(_RELOADABLE)),
         )
 
     def on_signal(self) -> None:
-        """Begin a graceful shutdown, or hurry one."""
+        """Begin a graceful shutdown, or shorten the current one."""
         self._shutdown.on_signal(self._clock.now_ms())
 
     async def wait_stopped(self) -> None:
-        """Wait for the end of a stop, and close what is open."""
+        """Wait for the shutdown to reach its last phase, then close all."""
         await self._stopped.wait()
-        cut = await _server_closing.close_servers(
+        aborted = await _server_closing.close_servers(
             self._request_servers, self._left_ms, self._finish_all
         )
-        if cut:
-            _log.error('requests cut', connections=cut)
-            self._metrics.add('requests_cut', cut)
-        # Who watches the stop sees its counters until the end.
-        await asyncio.gather(*(page.close() for page in self._status_servers))
+        if aborted:
+            _log.error('requests cut', connections=aborted)
+            self._metrics.add('requests_cut', aborted)
+        # The readiness and metrics pages stay available until here.
+        await asyncio.gather(
+            *(server.close() for server in self._status_servers)
+        )
         self._entry_state.close()
         self._forwarding.close()
         self._store_calls.close()
@@ -247,12 +245,12 @@
         return self._shutdown.left_ms(self._clock.now_ms())
 
     def _finish_all(self) -> None:
-        left = self._forwarding.open_requests()
+        pending = self._forwarding.open_requests()
         oldest = self._oldest_requests()
         self._forwarding.finish_all()
-        if left:
-            _log.warning('requests given up', left=left, oldest=oldest)
-            self._metrics.add('requests_given_up', left)
+        if pending:
+            _log.warning('requests given up', left=pending, oldest=oldest)
+            self._metrics.add('requests_given_up', pending)
 
     def _on_phase(self, phase: _shutdown.Phase) -> None:
         _log.notice(
@@ -264,7 +262,7 @@
         _PHASE_ACTIONS[phase](self)
 
     def _oldest_requests(self) -> list[dict[str, object]]:
-        """Return the requests that a stop has waited for longest."""
+        """Return the oldest pending requests, as fields of a log line."""
         rows = sorted(
             self._forwarding.pending_requests(),
             key=lambda row: row.for_ms,
@@ -282,9 +280,10 @@
         )
 
     def _begin_draining(self) -> None:
-        # Requests are still served: a balancer with too few daemons left sends
-        # callers here all the same, and one slow request may keep this daemon
-        # for seconds.  Connections end with their next answer.
+        # Requests are still served: a balancer with too few ready daemons
+        # sends callers here nevertheless, and a single slow request may keep
+        # this daemon in the phase for seconds.  Each connection closes after
+        # its next reply.
         self._metrics.add('shutdowns_draining')
 
     def _finish(self) -> None:
--- a/samphiredock/daemon/_server_closing.py
+++ b/samphiredock/daemon/_server_closing.py
@@ -1,4 +1,4 @@
-"""The end of a stop: all doors close, and what was read is answered."""
+"""Closes servers at the end of a shutdown, answering all requests first."""
 
 import asyncio
 from collections import abc
@@ -9,11 +9,12 @@
 from samphiredock import transport
 
 _POLL_MS = 20.0
-"""How often it is seen whether the stop's time is over."""
+"""Interval of checks whether the shutdown limit has passed; a second signal
+may bring it forward."""
 
 _LAST_REPLIES_MS = 300.0
-"""How long the last answers may take to leave, for callers that read slowly;
-less than is kept before the kill."""
+"""Time to write the last replies to callers that read slowly; less than the
+reserve before the process is killed."""
 
 
 async def close_servers(
@@ -21,31 +22,30 @@
     left_ms: typing.Callable[[], float],
     finish_all: typing.Callable[[], None],
 ) -> int:
-    """Close servers without cutting a request that can be answered.
+    """Close servers, aborting only connections whose reply cannot be written.
 
-    All at a time: a door that waited for its turn would still take requests,
-    with less time for each.  A connection that is closed before its request
-    is answered tells the caller nothing, so that at the end of the time
-    every request gets the outcome that is true then, and its answer is out
-    before anything is cut.
+    All servers close at the same time, since one that closed later would go
+    on accepting requests with less and less time left.  When the time is up,
+    every pending request is answered with the outcome known then, because a
+    closed connection would tell its caller nothing.
 
     Parameters
     ----------
     servers
-        The doors; none is usable afterwards.
+        The servers to close; none is usable afterwards.
     left_ms
-        What is left for requests that are under way; a later signal may
-        shorten it.
+        Returns the time left for pending requests.
     finish_all
-        Has every request that is under way answered in its next turn.
+        Gives every pending request its outcome, to be written in the next
+        iteration of the event loop.
 
     Returns
     -------
     int
-        How many connections were cut: not even a final answer ended them.
+        How many connections were aborted after the last replies.
     """
     close_tasks = [
-        background.start(server.close(math.inf), 'close a door')
+        background.start(server.close(math.inf), 'close a server')
         for server in servers
     ]
     while left_ms() > 0.0:
@@ -53,15 +53,15 @@
             return 0
     finish_all()
     await _are_closed(close_tasks, _LAST_REPLIES_MS)
-    cut = sum(server.abort() for server in servers)
+    aborted = sum(server.abort() for server in servers)
     await asyncio.wait(close_tasks)
-    return cut
+    return aborted
 
 
 async def _are_closed(
     close_tasks: list[asyncio.Task[None]], timeout_ms: float
 ) -> bool:
-    """Wait until all doors are closed; false if one is not, or has failed."""
+    """Wait for all servers to close; return whether all did without error."""
     done, pending = await asyncio.wait(
         close_tasks, timeout=timeout_ms / 1000.0
     )
