--- a/samphiredock/daemon/_entry_forwarding.py
+++ b/samphiredock/daemon/_entry_forwarding.py
@@ -69,10 +69,10 @@
         self._clock = clock
         self._metrics = counters
         self._rng = random.Random(settings.name)
-        self._links = transport.ConnectionPool(
+        self._connections = transport.ConnectionPool(
             clock, entry_state.connections_to
         )
-        self._peer_links = transport.ConnectionPool(
+        self._peer_connections = transport.ConnectionPool(
             clock, lambda target: _PEER_CONNECTIONS
         )
         self._crash_guard = forwarding.CrashGuard(
@@ -83,7 +83,7 @@
         self._peer_notices = _entry_peers.PeerNotices(
             settings.name,
             entry_state,
-            self._peer_links,
+            self._peer_connections,
             self._crash_guard,
             clock,
         )
@@ -110,9 +110,9 @@
         )
         self._open_requests = 0
         self._is_finished = False
-        entry_state.targets.on_removed(self._links.forget)
+        entry_state.targets.on_removed(self._connections.forget)
         entry_state.targets.on_added(self._schedule_warm_up)
-        entry_state.peers.on_removed(self._peer_links.forget)
+        entry_state.peers.on_removed(self._peer_connections.forget)
 
     def start(self) -> None:
         """Begin to tell the neighbour who coordinates."""
@@ -147,8 +147,8 @@
         for forwarder in self._forwarders:
             forwarder.close()
         self._merger.close()
-        self._links.close()
-        self._peer_links.close()
+        self._connections.close()
+        self._peer_connections.close()
 
     def reload(self, settings: state.EntrySettings) -> None:
         """Take over settings that have changed."""
@@ -188,7 +188,7 @@
             entry_state.targets,
             context,
             self._adapter,
-            self._links,
+            self._connections,
             self._clock,
             self._metrics,
             self._crash_guard,
@@ -201,7 +201,7 @@
             settings.site,
             self._entry_state.targets,
             self._entry_state.peers,
-            self._peer_links,
+            self._peer_connections,
             coordination.ReplicaSelector(
                 random.Random(settings.name),
                 lambda peer: True,
@@ -234,7 +234,7 @@
             entry_state.peers,
             context,
             dialect,
-            self._peer_links,
+            self._peer_connections,
             self._clock,
             self._metrics,
         )
@@ -364,6 +364,6 @@
 
         def warm_up() -> None:
             if self._entry_state.asks_directly(target):
-                background.start(self._links.warm(target), 'warm')
+                background.start(self._connections.warm(target), 'warm')
 
         self._clock.after(self._rng.uniform(0.0, _WARM_UP_SPREAD_MS), warm_up)
--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -29,9 +29,8 @@
 _LOG_FLUSH_MS = 200.0
 
 _EXIT_RESERVE_MS = 500.0
-"""What is kept of the time before the kill for the answers to what is still
-open, and for the exit.  Answers to callers are written in one turn of the
-loop; more would be reloaded from targets that still answer in time."""
+"""Part of the stop limit reserved for the last replies and the exit.  A larger
+reserve would take time from targets that still answer."""
 
 _EARLY_CLOSE_MS = 1_000.0
 """How long before the shutdown limit the servers close even if requests keep
@@ -64,8 +63,9 @@
         The platform's key names and encodings.
     log_stream
         The stream of log lines, flushed regularly by this daemon.
-    callers
-        Listens for callers already; None: it is opened by :meth:`start`.
+    caller_listener
+        A socket that already listens for callers; if it is None,
+        :meth:`start` opens one.
     """
 
     def __init__(
--- a/samphiredock/daemon/_entry_peers.py
+++ b/samphiredock/daemon/_entry_peers.py
@@ -1,4 +1,8 @@
-"""What entry daemons tell each other beside the requests they hand over."""
+"""Notices and questions between entry daemons.
+
+They report lost targets, introduce the coordinators to each other, and check
+whether the routing table held here is fresh.
+"""
 
 import asyncio
 import random
@@ -15,27 +19,27 @@
 from samphiredock import transport
 
 _NOTICE_TIMEOUT_MS = 1_000.0
-"""A peer that takes longer is down; its callers go elsewhere as well."""
+"""A peer that takes longer to accept a notice counts as down."""
 
 _STATUS_TIMEOUT_MS = 200.0
-"""An answer takes some 5 ms; one that is slower is asked for again soon."""
+"""Timeout of a question for a peer's store status; it is repeated soon."""
 
 _log = logs.logger('entry')
 
 
 class PeerNotices:
-    """Lost targets, and who coordinates.
+    """Sends and handles notices and questions between entry daemons.
 
     Parameters
     ----------
     name
-        This daemon.
+        The name of this daemon.
     entry_state
-        The other daemons, and what is believed of them.
-    links
-        The connections to them.
+        The state of this daemon, with its peers.
+    connections
+        The connections to the peers.
     crash_guard
-        Takes in the losses that others found.
+        Records the losses that peers report.
     clock
         The timers of this daemon.
     """
@@ -44,13 +48,13 @@
         self,
         name: str,
         entry_state: _entry_state.EntryState,
-        links: transport.ConnectionPool,
+        connections: transport.ConnectionPool,
         crash_guard: forwarding.CrashGuard,
         clock: timers.Timers,
     ) -> None:
         self._name = name
         self._entry_state = entry_state
-        self._links = links
+        self._connections = connections
         self._crash_guard = crash_guard
         self._clock = clock
         self._rng = random.Random(name)
@@ -60,17 +64,17 @@
         }
 
     def start(self) -> None:
-        """Begin to introduce the coordinators, and to watch for silence."""
+        """Start the regular introductions and freshness checks."""
         self._schedule_introduction()
         self._clock.every(
             forwarding.FRESHNESS_CHECK_INTERVAL_MS,
             self._check_freshness_if_needed,
         )
 
-    # From others.
+    # Received from peers.
 
     def handle(self, path: str, body: bytes) -> protocol.HttpReply | None:
-        """Answer another daemon's notice or question, None if it is none."""
+        """Reply to a peer's notice or question, None if it is neither."""
         if path == forwarding.STORE_STATUS_PATH:
             return forwarding.store_status_reply(
                 self._entry_state.routing_version(),
@@ -81,7 +85,7 @@
             return None
         if handler(body):
             return protocol.HttpReply(204)
-        return protocol.HttpReply(400, body=b'the notice cannot be read')
+        return protocol.HttpReply(400, body=b'malformed notice')
 
     def _on_loss(self, body: bytes) -> bool:
         loss = forwarding.read_loss(body)
@@ -95,36 +99,34 @@
             self._entry_state.on_introduction(daemons)
         return daemons is not None
 
-    # To others.
+    # Sent to peers.
 
     def announce_loss(self, loss: forwarding.Loss) -> None:
-        """Tell the other coordinators; the content may come to any next."""
+        """Report a loss to all peers, any of which may get the request next."""
         request = forwarding.loss_notice(loss)
         for peer in self._entry_state.peers.all():
-            background.start(self._send(peer, request), 'tell of a loss')
+            background.start(self._send(peer, request), 'announce a loss')
 
     def _check_freshness_if_needed(self) -> None:
         if self._entry_state.needs_freshness_check():
-            background.start(
-                self._check_freshness(), 'ask who hears the store'
-            )
+            background.start(self._check_freshness(), 'check freshness')
 
     async def _check_freshness(self) -> None:
-        asked_ms = self._clock.now_ms()
+        sent_ms = self._clock.now_ms()
         peers = self._entry_state.peers.all()
         if not peers:
             return
-        asked = self._rng.sample(
+        sample = self._rng.sample(
             peers, min(forwarding.FRESHNESS_CHECK_PEERS, len(peers))
         )
-        replies = await asyncio.gather(*map(self._ask_peer, asked))
+        replies = await asyncio.gather(*map(self._ask_peer, sample))
         answers = [row for row in replies if row is not None]
         last_round = self._entry_state.freshness_check.record_round(
-            answers, asked_ms
+            answers, sent_ms
         )
         _log.info(
-            'store not heard',
-            asked=len(asked),
+            'store freshness checked',
+            asked=len(sample),
             answered=len(answers),
             hear_it=sum(row.hears for row in answers),
             version=self._entry_state.routing_version(),
@@ -134,7 +136,7 @@
     async def _ask_peer(
         self, peer: state.LiveTarget
     ) -> forwarding.StoreStatus | None:
-        reply = await self._links.exchange(
+        reply = await self._connections.exchange(
             peer,
             forwarding.store_status_request(),
             _STATUS_TIMEOUT_MS,
@@ -170,13 +172,13 @@
     async def _send(
         self, peer: state.LiveTarget, request: protocol.HttpRequest
     ) -> bool:
-        """Send a notice; whether the peer has taken it."""
-        reply = await self._links.exchange(
+        """Send a notice; return whether the peer accepted it."""
+        reply = await self._connections.exchange(
             peer, request, _NOTICE_TIMEOUT_MS, lambda reply: True
         )
         if isinstance(reply, result.Failure):
             _log.info(
-                'peer not told',
+                'notice not delivered',
                 peer=peer.target_id,
                 path=request.path,
                 why=reply.failure().detail,
--- a/samphiredock/daemon/_entry_state.py
+++ b/samphiredock/daemon/_entry_state.py
@@ -1,4 +1,4 @@
-"""What an entry daemon learns from the store, and which part it has."""
+"""The entry daemon's state: routing table, targets, peers and its own role."""
 
 import asyncio
 import collections
@@ -16,49 +16,54 @@
 from samphiredock import transport
 
 _TEMPORARY_ROLE_MS = 20_000.0
-"""How long a daemon coordinates that found no coordinator: some of its
-lists of the daemons, so that it does not change its part at each failure."""
+"""How long a daemon coordinates after it found no coordinator: several reads
+of the list of daemons, so that its role does not change with each failure."""
 
 _SETTLING_MS = 2_500.0
-"""Targets that start together register within a second of each other."""
+"""Time without a new target after which the list of targets counts as
+complete; targets that start together register within a second of each
+other."""
 
 _STALE_READ_INTERVAL_MS = 60_000.0
-"""Between reads by a daemon that hands over.  A configuration of 350 routes
-has 100 KB; 60 daemons that read it each 20 s move 300 KB/s."""
+"""Interval of reads by a daemon that does not watch the store.  Shorter ones
+would cost much bandwidth, as each reads the whole routing table."""
 
 _FIRST_READ_INTERVAL_MS = 2_000.0
-"""Between reads while there is no routing table yet.  The first one is
-written while the daemons start; each read of 200 daemons is paid."""
+"""Interval of reads while there is no routing table yet.  Every daemon of the
+system makes these reads, and each call to the store is charged."""
 
 _SETTLING_COLLECT_MS = 1_000.0
-"""How long changes gather while the targets register: each would end a
-watch of every daemon, 60 calls for one target."""
+"""How long changes are collected while the targets register.  Otherwise each
+target that registers would end a watch of every daemon."""
 
 _WATCH_SLACK_MS = 1_000.0
-"""How much later than it should a watch may answer, as the store's client
-allows it."""
+"""How late a watch may be answered, as the store's client allows."""
 
 _PEER_DOWN_MS = 3_000.0
-"""A coordinator that could not be reached for so long is passed over when
-the coordinators are chosen.  A restart takes about 1 s."""
+"""A coordinator unreachable for longer than this is not chosen again until it
+is reachable; a restart takes less."""
 
 _LOGGED_UNREADABLE_LIMIT = 1_000
-"""Keys of objects of which it is remembered that they were logged."""
+"""How many keys of unreadable objects are kept to log each only once."""
 
 _log = logs.logger('entry')
 
 
 class EntryState:
-    """Routes, targets and the other daemons, as the store shows them.
+    """Routing table, targets, peers and role of one entry daemon.
+
+    A daemon whose role is coordinator sends requests to targets and watches
+    them in the store; any other daemon hands its requests over to
+    coordinators, its ``peers``.
 
     Parameters
     ----------
     settings
-        The daemon's own.
+        The settings of this daemon.
     adapter
-        The platform's names and wire.
+        The platform's key names and encodings.
     store
-        The platform's store.
+        The client of the platform's store.
     clock, counters
         The timers and metrics of this daemon.
     """
@@ -119,16 +124,17 @@
         watcher.on_outage(self.targets.on_store_unavailable)
         return watcher
 
-    # Life.
+    # Start and stop.
 
     def start(self) -> None:
-        """Register and begin to learn."""
+        """Register this daemon and start following the store."""
         self._presence.start()
         background.start(self._start_watching(), 'start')
 
     async def _start_watching(self) -> None:
-        # Most daemons of a large system never follow the targets; whether
-        # this one does is known by the first list of the others.
+        # Whether this daemon watches the targets depends on its role, which
+        # is known after the first list of daemons.  In a large system most
+        # daemons never do.
         await self._presence.wait_listed()
         self._watcher.start()
 
@@ -137,18 +143,18 @@
         await self._presence.leave()
 
     def stop_waiting(self) -> None:
-        """Have nobody wait for the store any longer: this daemon stops."""
+        """End all waits of requests for the store, as this daemon stops."""
         self._stopping.set()
 
     def close(self) -> None:
-        """Stop learning."""
+        """Stop following the store."""
         self._watcher.close()
 
     def reload(self, settings: state.EntrySettings) -> None:
-        """Take over settings that have changed."""
+        """Apply changed settings."""
         self._settings = settings
 
-    # What the others ask.
+    # Current values.
 
     def is_near(self, target_id: str) -> bool:
         """Whether a target is at this daemon's site."""
@@ -161,43 +167,46 @@
         return peer is not None and peer.site == self._settings.site
 
     def coordinator_count(self) -> int | None:
-        """Return how many daemons share budget and connections."""
+        """Return how many daemons coordinate, None if it is not known.
+
+        They share the retry budget and the connections to each target.
+        """
         return len(self._role.coordinators) or None
 
     def connections_to(self, target: state.LiveTarget) -> int:
-        """Return this daemon's part of the connections a target takes."""
+        """Return this daemon's share of a target's connections."""
         table = self.routing.table
-        parts = self.coordinator_count()
-        if table is None or parts is None:
+        count = self.coordinator_count()
+        if table is None or count is None:
             return 1
-        most = table.connections.get(target.service, 1)
-        return forwarding.connections_per_daemon(most, parts)
+        limit = table.connections.get(target.service, 1)
+        return forwarding.connections_per_daemon(limit, count)
 
     def routing_version(self) -> int:
-        """Return the version of the routing table in force, 0 for none."""
+        """Return the version of the routing table in force, 0 if none."""
         return self.routing.table.version if self.routing.table else 0
 
     def limits(self) -> state.CallerLimits:
-        """Return what callers may send now."""
+        """Return the limits on callers' requests that are in force."""
         table = self.routing.table
         return table.limits if table else state.CallerLimits()
 
     def can_serve(self) -> bool:
-        """Whether it knows targets, or somebody who does."""
+        """Whether this daemon knows a target or coordinator to send to."""
         if self._role.coordinates:
             return not self.targets.is_empty()
         return not self.peers.is_empty()
 
     def has_store_contact(self) -> bool:
-        """Whether the store has answered this daemon's watches lately."""
+        """Whether the store has answered a recent watch of this daemon."""
         fresh_ms = self._settings.watch_ms + _WATCH_SLACK_MS
         return self._watcher.has_heard_within(fresh_ms)
 
     def needs_freshness_check(self) -> bool:
-        """Whether others are to be asked what they know of the store.
+        """Whether to ask peers for the status of their store contact.
 
-        Early enough that their answers are there when what is known here
-        counts as old.
+        This is true somewhat before :meth:`has_store_contact` turns false,
+        so that the peers' answers have arrived by then.
         """
         late_ms = self._settings.watch_ms + _WATCH_SLACK_MS / 2.0
         return self._role.coordinates and not self._watcher.has_heard_within(
@@ -205,23 +214,24 @@
         )
 
     def coordinates(self) -> bool:
-        """Whether this daemon asks the targets itself.
+        """Whether this daemon sends requests to targets itself.
 
-        After a time of handing over, what it knows may be old; it has to
-        have followed the store since it took the part on.
+        A daemon that has just become a coordinator may have an old list of
+        targets; it must have followed the store since the change of role.
         """
         return self._role.coordinates and self._watcher.has_followed_since(
             self._role.since_ms
         )
 
     def follows_targets(self) -> bool:
-        """Whether this daemon is one of those that follow the targets."""
+        """Whether this daemon has the role that watches the targets."""
         return self._role.coordinates
 
     def asks_directly(self, target: state.LiveTarget) -> bool:
-        """Whether this daemon will itself ask a target as a rule.
+        """Whether this daemon usually sends to a target directly.
 
-        Those of other sites are mostly asked by daemons there.
+        Requests for targets of another site usually go through a coordinator
+        of that site, if there is one.
         """
         if not self._role.coordinates:
             return False
@@ -230,11 +240,11 @@
         )
 
     def daemons(self) -> tuple[forwarding.Daemon, ...]:
-        """Return the daemons that are known, this one among them."""
+        """Return the known daemons, including this one."""
         return self._presence.daemons()
 
     def coordinators(self) -> tuple[forwarding.Daemon, ...]:
-        """Return the daemons that coordinate, as far as is known."""
+        """Return the known daemons that coordinate."""
         return tuple(
             daemon
             for daemon in self._presence.daemons()
@@ -242,11 +252,11 @@
         )
 
     def on_introduction(self, daemons: tuple[forwarding.Daemon, ...]) -> bool:
-        """Take what another daemon tells; True if it is of use."""
+        """Take in daemons listed by a peer; return whether they are used."""
         return self._presence.on_introduction(daemons)
 
     def coordinate_temporarily(self) -> None:
-        """Coordinate for a time."""
+        """Act as a coordinator for a limited time."""
         self._role.coordinate_temporarily(
             self._clock.now_ms(), _TEMPORARY_ROLE_MS
         )
@@ -254,16 +264,23 @@
     async def can_serve_handed_over(
         self, least_version: int, stale_ok: bool
     ) -> bool:
-        """Whether this daemon can serve others with a table that new.
-
-        One that lost the store while others did not would refuse a route
-        that was added meanwhile; its own callers know nothing else, but a
-        daemon that hands over can ask another coordinator.  Unless others
-        vouch for it: what they say is asked for beforehand.
+        """Whether to serve a handed-over request rather than refuse it.
+
+        A daemon that alone lost contact with the store would refuse routes
+        added since.  It therefore serves no handed-over requests, which can
+        be sent to another coordinator, unless the last freshness check
+        allows it.
+
+        Parameters
+        ----------
+        least_version
+            The newest version of the routing table seen by the sender.
+        stale_ok
+            Whether to serve without contact with the store too.
         """
         if not self._role.coordinates:
-            # Another daemon takes this one for a coordinator; lists differ
-            # for some seconds after a change.
+            # The sender's list of daemons has this one as a coordinator;
+            # lists differ for some seconds after a change.
             self.coordinate_temporarily()
         if not self.coordinates():
             return False
@@ -279,22 +296,24 @@
         return self.routing_version() >= least_version
 
     async def _read_routing(self) -> None:
-        """Ask the store for the routing table, until this daemon stops."""
-        reading = asyncio.ensure_future(
+        """Read the routing table from the store, unless this daemon stops."""
+        read_task = asyncio.ensure_future(
             self._store.get(self._adapter.routing_key)
         )
-        stopping = asyncio.ensure_future(self._stopping.wait())
+        stop_task = asyncio.ensure_future(self._stopping.wait())
         try:
             await asyncio.wait(
-                (reading, stopping), return_when=asyncio.FIRST_COMPLETED
+                (read_task, stop_task), return_when=asyncio.FIRST_COMPLETED
             )
-            if reading.done() and isinstance(reading.result(), result.Success):
-                self._offer_routing(reading.result().unwrap())
+            if read_task.done() and isinstance(
+                read_task.result(), result.Success
+            ):
+                self._offer_routing(read_task.result().unwrap())
         finally:
-            reading.cancel()
-            stopping.cancel()
+            read_task.cancel()
+            stop_task.cancel()
 
-    # Which daemons coordinate.
+    # Role.
 
     def _on_daemons_listed(
         self, daemons: tuple[forwarding.Daemon, ...]
@@ -324,10 +343,10 @@
         self.peers.keep_only(others)
 
     def _is_settled(self, now_ms: float) -> bool:
-        """Whether the targets are listed well enough to choose by them.
+        """Whether the list of targets is complete enough to choose by it.
 
-        When the whole system starts, they register one after the other; a
-        choice by the first few would change with each of them.
+        When the whole system starts, targets register one after another, and
+        a choice of coordinators by the first few would change with each.
         """
         targets = len(self.targets.all())
         if targets != self._last_target_count:
@@ -339,17 +358,18 @@
         return self._has_settled
 
     def _should_watch(self) -> bool:
-        """Whether this daemon follows the store itself."""
+        """Whether this daemon watches the store, rather than polls it."""
         role = self._role
         return role.coordinates or (
             role.is_candidate and not self._has_settled
         )
 
     def _stale_period_ms(self, prefix: str) -> float | None:
-        """Return how often to read what is handed over anyhow.
+        """Return the interval of stale reads of a prefix, None for no reads.
 
-        Of the routes only timeouts and what may be repeated are of use; of
-        the targets, candidates need to know where most of them are.
+        A daemon that hands requests over needs of the routes only timeouts
+        and whether a request may be repeated; only candidates for the role of
+        coordinator need the targets, to know at which sites most of them are.
         """
         if prefix == self._adapter.targets_prefix:
             return _STALE_READ_INTERVAL_MS if self._role.is_candidate else None
@@ -360,7 +380,7 @@
         )
 
     def _collect_ms(self) -> float:
-        """Return how long changes of targets gather before the next watch."""
+        """Return how long to collect changes of targets between watches."""
         return (
             self._settings.collect_ms
             if self._has_settled
@@ -368,14 +388,14 @@
         )
 
     def _is_down(self, daemon: forwarding.Daemon, now_ms: float) -> bool:
-        """Whether a coordinator could not be reached for some time."""
+        """Whether a coordinator has been unreachable for some time."""
         peer = self.peers.get(daemon.name)
         if peer is None:
             return False
         record = self.peers.record(daemon.name)
         return record.lost_for_ms(now_ms) > _PEER_DOWN_MS
 
-    # What the store shows.
+    # Objects in the store.
 
     def _on_routing(self, page: transport.WatchPage) -> None:
         for stored in page.changed:
@@ -389,10 +409,10 @@
         self.routing.offer(read.unwrap())
 
     def _on_targets(self, page: transport.WatchPage) -> None:
-        listed = set()
-        found = []
+        listed_ids = set()
+        targets = []
         for stored in page.changed:
-            listed.add(self._adapter.target_id(stored.key))
+            listed_ids.add(self._adapter.target_id(stored.key))
             read = self._adapter.read_target(stored.key, stored.value)
             if isinstance(read, result.Failure):
                 self.targets.remove_unreadable(
@@ -401,16 +421,16 @@
                 self._report_unreadable(stored.key, read.failure())
                 continue
             self._logged_unreadable.discard(stored.key)
-            found.append(read.unwrap())
-        self.targets.put_all(found)
+            targets.append(read.unwrap())
+        self.targets.put_all(targets)
         for key in page.gone:
             self._logged_unreadable.discard(key)
             self.targets.remove(self._adapter.target_id(key))
         if page.whole:
-            self.targets.keep_only(listed)
+            self.targets.keep_only(listed_ids)
 
     def _report_unreadable(self, key: str, why: str) -> None:
-        """Log an object once, not each time that it is read."""
+        """Count an unreadable object; log it only the first time."""
         self._metrics.add('store_objects_unreadable')
         if key in self._logged_unreadable:
             return
