--- a/samphiredock/daemon/_entry_adapter.py
+++ b/samphiredock/daemon/_entry_adapter.py
@@ -1,4 +1,4 @@
-"""What an entry daemon needs of the platform that it runs on."""
+"""The interface between an entry daemon and the platform it runs on."""
 
 import typing
 
@@ -11,27 +11,31 @@
 
 
 class Adapter(forwarding.Dialect, typing.Protocol):
-    """Names and wire of a platform; it decides nothing and keeps nothing."""
+    """Key names and encodings of a platform, without decisions or state.
+
+    In the platform's store, the object at ``routing_key`` is the routing
+    table, and every object below ``targets_prefix`` registers a target.
+    """
 
     routing_prefix: str
     routing_key: str
     targets_prefix: str
 
     def store(self, calls: transport.StoreCaller) -> transport.Objects:
-        """Return the client of the platform's store."""
+        """Return a client of the platform's store that uses ``calls``."""
 
     def read_routing(
         self, value: bytes
     ) -> result.Result[state.RoutingTable, str]:
-        """Return the routing table that an object holds."""
+        """Return the routing table in an object, or why it is malformed."""
 
     def read_target(
         self, key: str, value: bytes
     ) -> result.Result[state.LiveTarget, str]:
-        """Return the target that an object registers."""
+        """Return the target in an object, or why it is malformed."""
 
     def target_id(self, key: str) -> str:
-        """Return the id of the target whose object this is."""
+        """Return the id of the target registered under a key."""
 
     def read_request(
         self,
@@ -40,9 +44,9 @@
         headers: protocol.Headers,
         body: bytes,
     ) -> result.Result[protocol.ForwardRequest, str]:
-        """Return a caller's request, or what is wrong with it."""
+        """Return a caller's request, or why it is malformed."""
 
     def caller_reply(
         self, outcome: protocol.ForwardOutcome
     ) -> protocol.HttpReply:
-        """Return what the caller is told."""
+        """Return the reply to the caller for an outcome."""
--- a/samphiredock/daemon/_entry_forwarding.py
+++ b/samphiredock/daemon/_entry_forwarding.py
@@ -21,36 +21,39 @@
 from samphiredock import transport
 
 _PEER_CONNECTIONS = 16
-"""Connections to one coordinator; 60 daemons then hold under 1,000 there,
-of 4,100 descriptors."""
+"""Connections to one coordinator, few enough that those of all daemons stay
+well below its limit of file descriptors."""
 
 _HANDOVER_COST_MS = 4.0
-"""What the way over another daemon takes of a route's aim: 1.4 ms between
-sites each way, and the work of one more program."""
+"""Latency that a handover adds, subtracted from a route's latency target: the
+round trip between sites and the work of one more process."""
 
 _RUN_ONCE_IDLE_MS = 100.0
-"""Targets were seen to forget connections that were idle for 270 ms and
-more.  A new connection to a target of requests that run once takes 1 ms."""
+"""Connections idle for longer than this are not used for requests that must
+run at most once: targets drop idle connections without closing them."""
 
 _WARM_UP_SPREAD_MS = 1_500.0
-"""In this time after they were seen new targets get a connection of every
-coordinator, spread so that their slots are not all held at once."""
+"""Coordinators connect to a new target at random times within this period, so
+that they do not occupy all its slots at once."""
 
 
 _log = logs.logger('entry')
 
 
 class EntryForwarding:
-    """Callers' requests, and those that other daemons hand over.
+    """Handles requests of callers, and requests and orders of other daemons.
+
+    A coordinator forwards requests to targets; any other daemon hands them
+    over to a coordinator.
 
     Parameters
     ----------
     settings
-        The daemon's own.
+        The settings of this daemon.
     adapter
-        The platform's names and wire.
+        The platform's key names and encodings.
     entry_state
-        Routes, targets and the other daemons.
+        The routing table, targets, peers and role of this daemon.
     clock, counters
         The timers and metrics of this daemon.
     """
@@ -115,7 +118,7 @@
         entry_state.peers.on_removed(self._peer_connections.forget)
 
     def start(self) -> None:
-        """Begin to tell the neighbour who coordinates."""
+        """Start the regular notices to peers."""
         self._peer_notices.start()
 
     def open_requests(self) -> int:
@@ -123,7 +126,7 @@
         return self._open_requests
 
     def pending_requests(self) -> list[forwarding.PendingSummary]:
-        """Return the requests that wait for targets or other daemons."""
+        """Return the requests that wait for targets or peers."""
         return [
             row
             for forwarder in self._forwarders
@@ -131,10 +134,10 @@
         ]
 
     def finish_all(self) -> None:
-        """Answer every request now, with what is true of it now.
+        """Answer every pending request with the outcome known now.
 
-        Those of other daemons as well: what was not begun they can still
-        have run elsewhere.
+        This includes requests handed over by other daemons, which can send
+        those not started here to another coordinator.
         """
         self._is_finished = True
         self._entry_state.stop_waiting()
@@ -143,7 +146,7 @@
             forwarder.finish_all()
 
     def close(self) -> None:
-        """Close the idle connections, and write the lines that wait."""
+        """Write the log lines held back, and close all connections."""
         for forwarder in self._forwarders:
             forwarder.close()
         self._merger.close()
@@ -151,7 +154,7 @@
         self._peer_connections.close()
 
     def reload(self, settings: state.EntrySettings) -> None:
-        """Take over settings that have changed."""
+        """Apply changed settings."""
         self._budget.set_bounds(
             settings.retry_ratio,
             settings.retry_slack,
@@ -246,7 +249,7 @@
         headers: protocol.Headers,
         body: bytes,
     ) -> protocol.HttpReply:
-        """Answer one request; cancelled when its caller leaves."""
+        """Answer one caller's request; cancelled if the caller disconnects."""
         self._open_requests += 1
         try:
             read = self._adapter.read_request(method, path, headers, body)
@@ -268,14 +271,14 @@
             isinstance(outcome, protocol.NotRun)
             and outcome.reason is protocol.NotRunReason.OVERLOADED
         ):
-            # All have refused: each is behind, or has lost the store.
+            # Every coordinator asked refused it, having an older routing
+            # table or no contact with the store.
             outcome = await self._stale_handover.forward(request)
         if (
             isinstance(outcome, protocol.NotRun)
             and outcome.reason is protocol.NotRunReason.NO_TARGET
         ):
-            # No coordinator can be reached: this daemon becomes one until
-            # they are back.
+            # No coordinator can be reached, so this daemon acts as one.
             self._entry_state.coordinate_temporarily()
         return outcome
 
@@ -286,7 +289,7 @@
         headers: protocol.Headers,
         body: bytes,
     ) -> protocol.HttpReply | protocol.StreamedReply:
-        """Answer what another daemon hands over, orders or tells."""
+        """Answer another daemon's handed-over request, order or notice."""
         if path == forwarding.ORDER_PATH:
             return self._accept_order(body)
         notice = self._peer_notices.handle(path, body)
@@ -295,7 +298,7 @@
         handed_over = forwarding.read_handed_over(headers)
         if handed_over is None:
             return forwarding.refusal_reply(
-                handed_over, 'headers of the hop missing'
+                handed_over, 'handover headers are missing or malformed'
             )
         read = self._adapter.read_request(
             method, path, handed_over.headers, body
@@ -306,7 +309,7 @@
             handed_over.least_version, handed_over.stale_ok
         ):
             return forwarding.refusal_reply(
-                handed_over, 'behind, or no coordinator'
+                handed_over, 'routing table too old, or not a coordinator'
             )
         self._open_requests += 1
         try:
@@ -327,7 +330,7 @@
     def _accept_order(
         self, body: bytes
     ) -> protocol.HttpReply | protocol.StreamedReply:
-        """Begin to carry out an order, or refuse what cannot be read."""
+        """Reply with the reports on a merge order, or refuse it."""
         if self._is_finished:
             return protocol.HttpReply(503, body=b'this daemon is stopping')
         read = protocol.decode_order(body)
@@ -336,8 +339,8 @@
             _log.error('order refused', why=read.failure())
             return protocol.HttpReply(400, body=read.failure().encode())
         if not self._entry_state.follows_targets():
-            # Lists of daemons differ for some seconds after a change: one
-            # that is taken for a coordinator becomes one.
+            # The sender's list of daemons has this one as a coordinator;
+            # lists differ for some seconds after a change.
             self._entry_state.coordinate_temporarily()
         return protocol.StreamedReply(200, (), self._reports(read.unwrap()))
 
@@ -357,9 +360,9 @@
     def _schedule_warm_up(self, target: state.LiveTarget) -> None:
         """Connect to a new target before the first request needs it.
 
-        The shards of a new index start some seconds before a configuration
-        names them; a search would else open a connection to each at once,
-        and each of these holds a slot for some ms.
+        Otherwise the first search of a new index would open connections to
+        all its shards at once, and each new connection holds a slot for some
+        ms.
         """
 
         def warm_up() -> None:
--- a/samphiredock/daemon/_entry_peers.py
+++ b/samphiredock/daemon/_entry_peers.py
@@ -102,7 +102,7 @@
     # Sent to peers.
 
     def announce_loss(self, loss: forwarding.Loss) -> None:
-        """Report a loss to all peers, any of which may get the request next."""
+        """Report a loss to all peers; any may get the same request next."""
         request = forwarding.loss_notice(loss)
         for peer in self._entry_state.peers.all():
             background.start(self._send(peer, request), 'announce a loss')
