--- a/samphiredock/daemon/_components.py
+++ b/samphiredock/daemon/_components.py
@@ -1,4 +1,4 @@
-"""The parts of one daemon, made in the order in which they need another."""
+"""Creates the components of a daemon in the order of their dependencies."""
 
 import random
 import typing
@@ -29,17 +29,18 @@
     protocol.Released,
     *protocol.CONTROL_MESSAGES,
 )
-"""The closed table of messages between daemons."""
+"""All types of messages between daemons."""
 
 _METRICS_FLUSH_MS = 1_000.0
 _OWNERSHIP_REFRESH_MS = 200.0
 
 
 class Components:
-    """Everything a daemon consists of but its HTTP interfaces.
+    """All components of a daemon except its HTTP servers.
 
-    It also is the view that the coordination layer reads: what is in force
-    here, which targets are usable, and who dispatches for them.
+    It also gives the coordinator and the runner their view of the system:
+    the configuration and snapshot in force here, which targets are usable,
+    and which daemon dispatches to each.
     """
 
     def __init__(self, settings: state.Settings, keys: state.Keys) -> None:
@@ -58,26 +59,26 @@
         self._make_coordinating()
         self._follow_changes()
 
-    # The view of the coordination layer.
+    # The view of the coordinator and the runner.
 
     @property
     def configuration(self) -> state.Configuration | None:
-        """The revision in force here."""
+        """The configuration in force here."""
         return self.current_state.configuration
 
     @property
     def snapshot(self) -> state.Snapshot | None:
-        """The newest sound snapshot known here."""
+        """The newest valid snapshot known here."""
         return self._snapshots.current(
             self.current_state.snapshot, self.current_state.configuration
         )
 
     def owner(self, target: str) -> str | None:
-        """The daemon that dispatches for a target."""
+        """Return the daemon that dispatches to a target, None if unknown."""
         return self.ownership.owner(target)
 
     def is_usable(self, target: str) -> bool:
-        """Whether a target may get new work."""
+        """Whether a target may be sent new work."""
         configuration = self.configuration
         return (
             configuration is not None
@@ -85,13 +86,13 @@
             and self.signs.is_usable(target)
         )
 
-    # Making.
+    # Creation.
 
     def _random(self, part: str) -> random.Random:
         return random.Random(f'{part}-{self.me.name}-{self.me.incarnation}')
 
     def _make_hub(self, keys: state.Keys) -> transport.PeerHub:
-        """Bind the peer address; if it is taken, leave nothing open."""
+        """Bind the peer address; on failure, close what is open."""
         try:
             return transport.PeerHub(
                 self._settings.name,
@@ -218,10 +219,10 @@
         for member in lost:
             self.coordinator.on_member_lost(member.name)
 
-    # Life.
+    # Start and stop.
 
     def start(self) -> None:
-        """Begin to learn and to tell."""
+        """Start the periodic work of all components."""
         self.clock.every(_METRICS_FLUSH_MS, self.metrics.flush)
         self.clock.every(_OWNERSHIP_REFRESH_MS, self.ownership.refresh)
         self.watcher.start()
@@ -229,7 +230,7 @@
         self.signs.start()
 
     async def close(self) -> None:
-        """Close every connection and stop every part."""
+        """Stop all components and close all connections."""
         self.runner.close()
         self.watcher.close()
         self.signs.close()
--- a/samphiredock/daemon/_entry_forwarding.py
+++ b/samphiredock/daemon/_entry_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests at an entry daemon: served here, or handed_over over."""
+"""Forwards requests of an entry daemon to targets or to coordinators."""
 
 import contextlib
 import dataclasses
--- a/samphiredock/daemon/_node.py
+++ b/samphiredock/daemon/_node.py
@@ -1,4 +1,4 @@
-"""One daemon: its HTTP interfaces, and its start and stop."""
+"""The daemon for searches and runs: its HTTP servers, start and shutdown."""
 
 import asyncio
 import pathlib
@@ -19,12 +19,12 @@
 _SHUTDOWN_TICK_MS = 50.0
 _DRAIN_TIMEOUT_MS = 1_000.0
 _LAST_REPLIES_MS = 1_000.0
-"""For the answers that are given when the time is up: an order's cancel
-takes up to 300 ms, the rest the turns of a busy event loop."""
+"""How long to wait for the replies written at the end of a shutdown; the
+slowest ones follow the cancellation of a run order."""
 _REPLY_POLL_MS = 10.0
 _SERVER_CLOSE_S = 0.5
-"""For a body that is still being read, and for a caller that reads its
-answer slowly; the library waits for each up to twice as long."""
+"""Timeout of aiohttp at closing a server, for a body still being read and a
+caller that reads its reply slowly; aiohttp waits up to twice as long."""
 
 _SHUTTING_DOWN = protocol.NotRun(
     protocol.NotRunReason.SHUTTING_DOWN,
@@ -37,12 +37,12 @@
 
 
 class Node:
-    """A running daemon.
+    """A daemon that serves searches, runs and operators' calls.
 
     Parameters
     ----------
     settings
-        Its addresses and bounds.
+        The daemon's addresses and limits.
     keys
         The operators' token and the CURVE keys.
     """
@@ -65,7 +65,7 @@
         self._open_requests = 0
         self._runners: list[web.AppRunner] = []
 
-    # What the interface for callers asks for.
+    # Requests of callers (transport.RequestExecutor).
 
     async def search(
         self, request: protocol.SearchRequest
@@ -76,7 +76,7 @@
     async def run(
         self, request: protocol.RunRequest, idempotency_key: str
     ) -> protocol.RunOutcome:
-        """Run one unrepeatable request."""
+        """Run one request that must not be executed more than once."""
         return await self._serve(self._admitted_run(request, idempotency_key))
 
     async def _admitted_run(
@@ -124,13 +124,13 @@
         """Whether connections should end after the current answer."""
         return self._shutdown.phase is not _shutdown.Phase.SERVING
 
-    # Life.
+    # Start and shutdown.
 
     async def start(self) -> None:
-        """Open the addresses and begin to learn.
+        """Start all components and serve all addresses.
 
-        Raises ``OSError`` if an address cannot be listened on; nothing is
-        left open then.
+        Raises ``OSError`` if an address cannot be listened on; then
+        everything opened so far is closed again.
         """
         try:
             await self._open()
@@ -180,25 +180,26 @@
         await web.TCPSite(runner, host, int(port), ssl_context=tls).start()
 
     def on_signal(self) -> None:
-        """Begin a graceful shutdown, or hurry one."""
+        """Begin a graceful shutdown, or shorten the current one."""
         self._shutdown.on_signal(self._components.clock.now_ms())
 
     async def wait_stopped(self) -> None:
-        """Wait until a shutdown has gone through all its phases."""
+        """Wait for the shutdown to reach its last phase, then close all."""
         await self._stopped.wait()
         await self._wait_for_replies()
         await self._stop_listening()
-        # An outcome that is not in the store yet is lost with this process,
-        # and the caller's retry finds it unknown for good.
+        # An outcome not yet in the store is lost with this process, and a
+        # retry of its caller would find it unknown for good.
         await self._components.runner.drain(_DRAIN_TIMEOUT_MS)
         await self._components.close()
         _log.notice('stopped', name=self._settings.name)
 
     async def _wait_for_replies(self) -> None:
-        """Wait until what was read is answered, so that no door cuts it.
+        """Wait until all requests read so far are answered.
 
-        Every wait behind a request has been ended, and what waits on its
-        connection is refused; a caller that sends on and on is cut.
+        All pending requests have their outcome already, and new ones are
+        refused.  Callers that keep sending are disconnected after the
+        timeout.
         """
         ends_ms = self._components.clock.now_ms() + _LAST_REPLIES_MS
         while self._is_busy() and self._components.clock.now_ms() < ends_ms:
@@ -220,7 +221,7 @@
         await self._components.close()
 
     def in_flight(self) -> int:
-        """Return the work that a graceful stop has to wait for."""
+        """Return how many tasks a graceful shutdown has to wait for."""
         return (
             self._open_requests
             + self._operator_handler.open_calls()
@@ -234,8 +235,8 @@
         _PHASE_ACTIONS[phase](self)
 
     def _begin_leaving(self) -> None:
-        # The others take over the dispatching while this daemon still
-        # serves what the balancer sends, through them.
+        # Other daemons take over dispatching to the targets, and this one
+        # passes on to them what the balancer still sends.
         self._components.membership.leave()
         self._components.ownership.refresh()
         self._components.clock.every(
@@ -246,19 +247,19 @@
         )
 
     def _begin_draining(self) -> None:
-        # New requests are refused by the phase alone.
+        # _serve refuses new requests in this phase.
         self._components.metrics.add('shutdowns_draining')
 
     def _finish(self) -> None:
-        """Answer what is open: a closed connection would tell nothing."""
+        """Answer all pending requests, as closed connections say nothing."""
         self._components.dispatcher.stop()
-        left = self.in_flight()
+        pending = self.in_flight()
         self._components.coordinator.finish_all()
         self._components.runner.finish_all()
         self._operator_handler.finish_all()
-        if left:
-            _log.warning('requests given up', left=left)
-            self._components.metrics.add('requests_given_up', left)
+        if pending:
+            _log.warning('requests given up', left=pending)
+            self._components.metrics.add('requests_given_up', pending)
         self._stopped.set()
 
 
--- a/samphiredock/daemon/_operator_handler.py
+++ b/samphiredock/daemon/_operator_handler.py
@@ -1,4 +1,4 @@
-"""What operators may ask of this daemon."""
+"""Handles the operators' calls."""
 
 import asyncio
 import typing
@@ -43,11 +43,11 @@
         self._calls: set[asyncio.Future] = set()
 
     def open_calls(self) -> int:
-        """Return how many calls wait for the store."""
+        """Return how many calls are waiting for the store."""
         return len(self._calls)
 
     def finish_all(self) -> None:
-        """Answer every call that waits; the daemon's time is up."""
+        """Answer every waiting call, as the daemon stops."""
         self._is_stopped = True
         for waker in self._calls:
             _wake(waker)
@@ -57,9 +57,10 @@
         work: typing.Coroutine[typing.Any, typing.Any, _Outcome],
         outcome_at_stop: typing.Callable[[bool], _Outcome],
     ) -> _Outcome:
-        """Do some work; if the daemon ends first, stop it and say so.
+        """Await some work; if the daemon stops first, cancel it.
 
-        ``outcome_at_stop`` returns the outcome from whether the work began.
+        ``outcome_at_stop`` returns the outcome of cancelled work, given
+        whether it had begun.
         """
         if self._is_stopped:
             work.close()
@@ -76,7 +77,7 @@
             task.cancel()
 
     def status(self) -> dict[str, typing.Any]:
-        """Return the daemon's view of members, sites and targets."""
+        """Return this daemon's view of members and targets, as JSON fields."""
         components = self._components
         configuration = components.configuration
         targets = configuration.targets if configuration else {}
@@ -98,13 +99,13 @@
         }
 
     def configuration_source(self) -> state.ConfigurationSource | None:
-        """Return what is in force here, as operators wrote it."""
+        """Return the configuration in force here, as operators wrote it."""
         return self._components.current_state.source
 
     async def apply(
         self, change: protocol.ConfigurationChange
     ) -> protocol.ChangeOutcome:
-        """Accept a configuration change and push it to all daemons."""
+        """Apply a configuration change and announce it to all daemons."""
         return await self._run_until_stop(
             self._apply(change),
             lambda has_begun: self._components.acceptor.abandoned_outcome(
@@ -154,7 +155,7 @@
     async def set_leaving(
         self, target: str, leaving: bool
     ) -> result.Result[None, protocol.OperatorError]:
-        """Say that a target gets no new work, or gets it again."""
+        """Mark a target as leaving, so that it gets no new work, or undo it."""
         return await self._run_until_stop(
             self._set_leaving(target, leaving), _write_stopped
         )
@@ -185,13 +186,13 @@
     ) -> result.Result[
         typing.Sequence[protocol.QuarantineEntry], protocol.OperatorError
     ]:
-        """Return the request contents that are refused."""
+        """Return the quarantined request contents."""
         return result.Success(self._components.quarantine.entries())
 
     async def release(
         self, fingerprint: str
     ) -> result.Result[None, protocol.OperatorError]:
-        """Take one request content out of quarantine."""
+        """Release a request content from quarantine."""
         return await self._run_until_stop(
             self._release(fingerprint), _write_stopped
         )
--- a/samphiredock/daemon/_shutdown.py
+++ b/samphiredock/daemon/_shutdown.py
@@ -1,8 +1,9 @@
 """The phases of a graceful shutdown.
 
-A pure object: signals and ticks go in, the phase comes out.  A balancer
-learns only after its own lag that a daemon is no longer ready, so a daemon
-that stopped accepting at once would cut the requests sent meanwhile.
+:class:`Shutdown` does no input or output: it is told of signals and ticks, and
+decides on the phase.  The balancer notices only after some lag that a daemon
+is no longer ready, and sends requests until then, so a daemon goes on
+accepting them for that long.
 """
 
 import enum
@@ -11,11 +12,16 @@
 import transitions
 
 HURRY_LIMIT_MS = 1_000.0
-"""How long a second signal still leaves for requests in flight."""
+"""Time that a second signal leaves for requests in flight."""
 
 
 class Phase(enum.Enum):
-    """How far the daemon has gone."""
+    """The phases of a shutdown, in order.
+
+    LEAVING: not ready, but the balancer may not know yet.  DRAINING: the
+    balancer knows; requests in flight are finished.  CLOSED: the servers
+    close.
+    """
 
     SERVING = 'serving'
     LEAVING = 'leaving'
@@ -35,21 +41,21 @@
 
 
 class Shutdown:
-    """Decide when to refuse new requests and when to stop.
+    """Decides on the phase of a shutdown.
 
     Parameters
     ----------
     balancer_lag_ms
-        How long requests may still come after readiness went off; all of
-        them are served.
+        How long the balancer may send requests after readiness turned false;
+        all of them are served.
     limit_ms
-        Bound on the whole shutdown.
+        Limit on the duration of the whole shutdown.
     on_phase
-        Called with each phase that is entered.
+        Called with each phase when it is entered.
     early_close_ms
-        How long before the limit the daemon closes though it is not idle.
-        Callers that keep coming may leave no moment without a request; what
-        is read until then can still be answered within the limit.
+        How long before the limit the daemon closes even if it is not idle.
+        Callers that keep sending may leave it no idle moment, and requests
+        read by then can still be answered within the limit.
     """
 
     state: Phase
@@ -83,11 +89,11 @@
 
     @property
     def phase(self) -> Phase:
-        """The phase the daemon is in."""
+        """The current phase."""
         return self.state
 
     def on_signal(self, now_ms: float) -> None:
-        """A signal came: the first starts, the next ones hurry."""
+        """Start the shutdown, or shorten it if it has already started."""
         if self.state is Phase.SERVING:
             self._started_ms = now_ms
             self._ends_ms = now_ms + self._limit_ms
@@ -96,7 +102,7 @@
         self.signalled()
 
     def on_tick(self, now_ms: float, in_flight: int) -> None:
-        """Time passed; ``in_flight`` requests have no answer yet."""
+        """Update the phase; ``in_flight`` requests have no reply yet."""
         if self.state in (Phase.SERVING, Phase.CLOSED):
             return
         if now_ms >= self._ends_ms:
@@ -108,11 +114,11 @@
         if draining and now_ms >= self._ends_ms - self._early_close_ms:
             self.limit_passed()
         elif not in_flight:
-            # Only DRAINING ends on idleness: in LEAVING more may come.
+            # Has no effect in LEAVING, when more requests may arrive.
             self.idle()
 
     def left_ms(self, now_ms: float) -> float:
-        """Return what is left of the whole shutdown's time."""
+        """Return the time left until the limit."""
         return max(0.0, self._ends_ms - now_ms)
 
     def _on_state_change(self) -> None:
--- a/samphiredock/daemon/early_listener.py
+++ b/samphiredock/daemon/early_listener.py
@@ -1,9 +1,9 @@
-"""The callers' address, listened on before the libraries are imported.
+"""Listens on the callers' address before the libraries are imported.
 
-Importing them takes most of a start.  After a loss of power callers that
-connect meanwhile would be refused at once, on every host they try, and have
-no attempt left when the daemons are there; so they wait in the queue of the
-socket.  This module imports nothing that takes time.
+Importing them takes most of the start.  When all daemons start at once, as
+after a power loss, callers would be refused on every host and have no attempt
+left when the daemons are ready; instead they wait in the listen queue.  This
+module imports only what is quick to load.
 """
 
 from collections import abc
@@ -11,34 +11,34 @@
 import socket
 
 BACKLOG = 1_024
-"""Connections that may wait to be accepted; callers come in bursts."""
+"""Length of the listen queue, which has to hold bursts of callers."""
 
 
 def ignore_reload() -> None:
-    """Have the signal to read the settings again do nothing for now.
+    """Ignore SIGHUP, the signal to reload the settings.
 
-    By default it ends the process, and with it the callers that wait.  The
-    settings have not been read yet, so that nothing is missed.
+    Its default action would end the process and disconnect waiting callers.
+    No reload is missed, as the settings have not been read yet.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
 def listen(arguments: abc.Sequence[str], option: str) -> socket.socket | None:
-    """Listen on the address that an option of the command line states.
+    """Listen on the address given by a command-line option.
 
     Parameters
     ----------
     arguments
         The command line.
     option
-        Whose value is ``IP:port``.
+        The option whose value is ``IP:port``.
 
     Returns
     -------
     socket.socket or None
-        None if the option is not there or its address cannot be listened
-        on: the daemon then tries its settings' address itself, and says
-        what is wrong with it.
+        The listening socket, None if the option is missing or its address
+        cannot be listened on.  The daemon then tries the address in its
+        settings and reports the error.
     """
     if option not in arguments[:-1]:
         return None
@@ -51,6 +51,6 @@
 
 
 def address_of(listening: socket.socket) -> str:
-    """Return ``IP:port``."""
+    """Return the address of a listening socket as ``IP:port``."""
     host, port = listening.getsockname()[:2]
     return f'{host}:{port}'
--- a/samphiredock/daemon/entry.py
+++ b/samphiredock/daemon/entry.py
@@ -1,4 +1,4 @@
-"""The daemon that passes requests on, run by a platform's adapter."""
+"""Runs the entry daemon with a platform's adapter."""
 
 import asyncio
 import gc
@@ -21,7 +21,7 @@
 EntryNode = _entry_node.EntryNode
 
 _SETTINGS_POLL_S = 2.0
-"""How often the settings file is looked at; it may change without a signal."""
+"""Interval of checks whether the settings file has changed."""
 
 _STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
@@ -32,7 +32,7 @@
 
 
 class _SettingsFile:
-    """The settings file, while the daemon runs."""
+    """The settings file, with its modification time and size when read."""
 
     def __init__(self, path: pathlib.Path) -> None:
         self._path = path
@@ -42,16 +42,16 @@
         try:
             status = self._path.stat()
         except OSError as error:
-            _log.error('settings cannot be looked at', why=str(error))
+            _log.error('settings file inaccessible', why=str(error))
             return 0, 0
         return status.st_mtime_ns, status.st_size
 
     def has_changed(self) -> bool:
-        """Whether the file is another than at the last read."""
+        """Whether the file has changed since it was last read."""
         return self._stamp() != self._last_stamp
 
     def reload(self, node: EntryNode) -> None:
-        """Hand the file's settings to a node; a broken file is only told."""
+        """Reload a node's settings; invalid ones are logged and not used."""
         self._last_stamp = self._stamp()
         loaded = state.load_entry_settings(self._path)
         if isinstance(loaded, result.Failure):
@@ -76,7 +76,8 @@
     listened on, 2 for settings that are not valid; every mistake is
     printed with file, path, what was got and what was expected.
     """
-    # Before they are read: what changes in between would go unnoticed.
+    # Records the file's state before the settings are read, so that a change
+    # in between is noticed.
     settings_file = _SettingsFile(settings_path)
     settings = _read(settings_path)
     if check:
@@ -133,8 +134,8 @@
         loop.add_signal_handler(number, node.on_signal)
     loop.add_signal_handler(signal.SIGHUP, lambda: settings_file.reload(node))
     await node.start()
-    # What was imported lives as long as the process: collections skip it,
-    # which would else hold up requests for some 30 ms each.
+    # Imported objects live as long as the process.  Collections that
+    # traversed them would delay requests.
     gc.freeze()
     gc.enable()
     poll_task = background.start(
@@ -142,8 +143,8 @@
     )
     await node.wait_stopped()
     poll_task.cancel()
-    # The loop's end would leave them to the system, which ends the process
-    # as if it had failed.
+    # Once the loop is closed, a signal would have its default action, which
+    # ends the process as if it had failed.
     for number in (*_STOP_SIGNALS, signal.SIGHUP):
         loop.remove_signal_handler(number)
         signal.signal(number, signal.SIG_IGN)
@@ -152,7 +153,7 @@
 async def _poll_settings(
     settings_file: _SettingsFile, node: EntryNode
 ) -> None:
-    """Read the settings again when the file changes without a signal."""
+    """Reload the settings when the file changes without a signal."""
     while True:
         await asyncio.sleep(_SETTINGS_POLL_S)
         if settings_file.has_changed():
