--- a/samphiredock/daemon/__main__.py
+++ b/samphiredock/daemon/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m samphiredock.daemon``."""
+"""Runs the daemon by ``python -m samphiredock.daemon``."""
 
 from samphiredock.daemon import main
 
--- a/samphiredock/daemon/_components.py
+++ b/samphiredock/daemon/_components.py
@@ -47,7 +47,7 @@
         self._settings = settings
         self.clock = timers.LoopTimers()
         self.metrics = metrics.Metrics(settings.name)
-        self.me = _member_of(settings, self.clock.wall_ms())
+        self.member = _member_of(settings, self.clock.wall_ms())
         self._codec = protocol.Codec(PEER_MESSAGES)
         self.hub = self._make_hub(keys)
         self._session = aiohttp.ClientSession()
@@ -89,7 +89,9 @@
     # Creation.
 
     def _random(self, part: str) -> random.Random:
-        return random.Random(f'{part}-{self.me.name}-{self.me.incarnation}')
+        return random.Random(
+            f'{part}-{self.member.name}-{self.member.incarnation}'
+        )
 
     def _make_hub(self, keys: state.Keys) -> transport.PeerHub:
         """Bind the peer address; on failure, close what is open."""
@@ -114,7 +116,7 @@
         )
         coordination.follow_configuration(self.watcher, self.current_state)
         self.membership = coordination.Membership(
-            self.me,
+            self.member,
             self.hub,
             self._codec,
             self.platform,
@@ -125,8 +127,8 @@
             self._settings.peers,
         )
         self.distribution = coordination.ObjectDistribution(
-            self.me.name,
-            self.me.site,
+            self.member.name,
+            self.member.site,
             self.current_state,
             self.watcher,
             self.membership,
@@ -166,7 +168,7 @@
             signs=self.signs,
         )
         self.dispatcher.follow_ownership(
-            self.me.name,
+            self.member.name,
             self.ownership,
             lambda name: name in self._other_members(),
         )
@@ -174,9 +176,9 @@
     def _make_coordinating(self) -> None:
         self.admission = coordination.Admission(self.clock)
         self.coordinator = coordination.Coordinator(
-            self.me.name,
-            self.me.site,
-            self.me.incarnation,
+            self.member.name,
+            self.member.site,
+            self.member.incarnation,
             self,
             self.hub,
             self.clock,
@@ -186,9 +188,9 @@
             self._random('coordinator'),
         )
         self.runner = coordination.Runner(
-            self.me.name,
-            self.me.site,
-            self.me.incarnation,
+            self.member.name,
+            self.member.site,
+            self.member.incarnation,
             self,
             self.hub,
             self.platform,
@@ -208,7 +210,7 @@
 
     def _other_members(self) -> list[str]:
         names = [member.name for member in self.membership.live()]
-        return [name for name in names if name != self.me.name]
+        return [name for name in names if name != self.member.name]
 
     def _on_members(
         self,
--- a/samphiredock/daemon/_operator_handler.py
+++ b/samphiredock/daemon/_operator_handler.py
@@ -28,7 +28,11 @@
 
 
 class OperatorHandler:
-    """Answers the operators' interface from the components of the daemon."""
+    """Answers operators' calls from the components of the daemon.
+
+    Implements ``transport.Operations``.  Calls that wait for the store are
+    answered when the daemon stops, even if the store does not reply.
+    """
 
     def __init__(
         self,
@@ -83,9 +87,9 @@
         targets = configuration.targets if configuration else {}
         snapshot = components.snapshot
         return {
-            'name': components.me.name,
-            'site': components.me.site,
-            'incarnation': components.me.incarnation,
+            'name': components.member.name,
+            'site': components.member.site,
+            'incarnation': components.member.incarnation,
             'ready': self._is_ready(),
             'revision': components.current_state.revision,
             'snapshot_id': snapshot.snapshot_id if snapshot else 0,
@@ -155,7 +159,7 @@
     async def set_leaving(
         self, target: str, leaving: bool
     ) -> result.Result[None, protocol.OperatorError]:
-        """Mark a target as leaving, so that it gets no new work, or undo it."""
+        """Mark a target as leaving, so that it gets no new work, or unmark."""
         return await self._run_until_stop(
             self._set_leaving(target, leaving), _write_stopped
         )
@@ -240,5 +244,5 @@
 def _write_stopped(
     has_begun: bool,
 ) -> result.Result[None, protocol.OperatorError]:
-    # A write that was has_begun may be in the store, or on its way to it.
+    # A write that has begun may have reached the store.
     return _stopped_error(_Kind.UNKNOWN if has_begun else _Kind.UNAVAILABLE)
--- a/samphiredock/daemon/entry.py
+++ b/samphiredock/daemon/entry.py
@@ -70,7 +70,7 @@
     """Run one daemon until SIGTERM or SIGINT.
 
     ``caller_listener`` already listens on ``caller_address``; see
-    :mod:`samphiredock.daemon.early`.
+    :mod:`samphiredock.daemon.early_listener`.
 
     Exit status: 0 after an orderly stop, 1 if an address cannot be
     listened on, 2 for settings that are not valid; every mistake is
--- a/samphiredock/daemon/main.py
+++ b/samphiredock/daemon/main.py
@@ -1,4 +1,4 @@
-"""The program ``samphiredockd``."""
+"""The program ``samphiredockd``, which serves searches and runs."""
 
 import asyncio
 import pathlib
--- a/samphiredock/lazy.py
+++ b/samphiredock/lazy.py
@@ -1,12 +1,10 @@
-"""Public names of a package, each loaded with its first use.
-
-Two doors share the packages of this project, and a daemon uses the modules
-of one door only.  Loading those of the other as well would cost a daemon 60
-to 80 ms of its start beside the 170 to 270 ms of its own door, in which its
-callers wait, and 4 MB; the library that they need costs 160 to 250 ms and 14
-MB more (processor time and resident memory, four starts on a busy machine).
-So a package's ``__init__`` lists its public names by the module that has
-them, and a module is imported when one of its names is first asked for.
+"""Loads the public names of a package on first use.
+
+Both kinds of daemons share the packages of this project, but each needs only
+some of the modules.  Importing the others, and the libraries that they need,
+would delay the start, during which callers wait, and use memory.  Therefore
+a package's ``__init__`` lists its public names by module, and a module is
+imported when one of its names is first used.
 """
 
 from collections import abc
@@ -26,7 +24,7 @@
     package
         The package's full name.
     modules
-        By module, relative to the package: the public names that it has.
+        The public names by module, whose name is relative to the package.
     """
     module_of = {
         name: module for module, names in modules.items() for name in names
@@ -36,10 +34,10 @@
     def get_name(name: str) -> object:
         module = module_of.get(name)
         if module is None:
-            # Also asked by the import system for names of submodules.
+            # The import system also looks up names of submodules here.
             raise AttributeError(f'module {package!r} has no name {name!r}')
         value = getattr(importlib.import_module(f'{package}.{module}'), name)
-        # The next use finds it without a call.
+        # Later uses find the name without calling this function.
         vars(importlib.import_module(package))[name] = value
         return value
 
--- a/samphiredock/logs.py
+++ b/samphiredock/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs: one JSON object a line.
+"""Structured logs, one JSON object a line.
 
-Writing never blocks: a reader that is too slow costs lines, which are
-counted, and not the requests.
+Writing to a :class:`BoundedStream` never blocks: if the reader is too slow,
+lines are dropped and counted.
 """
 
 import datetime
@@ -21,22 +21,24 @@
     'debug',
     'trace',
 )
-"""Names of levels that settings may state."""
+"""Log levels accepted in settings, the most severe first."""
 
 BUFFER_LIMIT_BYTES = 262_144
-"""What waits for a slow reader at most: some seconds of lines at 1,000 a
-second, and a small part of a daemon's memory."""
+"""Limit of buffered log lines, enough for a few seconds."""
 
 
 class BoundedStream:
-    """A text stream on a descriptor that does not block.
+    """A non-blocking text stream with a bounded buffer.
+
+    ``dropped`` counts the lines that did not fit into the buffer or were lost
+    because the reader had closed its end.
 
     Parameters
     ----------
     descriptor
         An open file or pipe; it is made non-blocking.
     limit_bytes
-        What may wait; lines beyond are left out and counted.
+        The size of the buffer; lines beyond it are dropped.
     """
 
     def __init__(
@@ -50,7 +52,7 @@
         self.dropped = 0
 
     def write(self, text: str) -> int:
-        """Write as much as goes without waiting, and keep the rest."""
+        """Write as much as possible without blocking; buffer the rest."""
         data = text.encode('utf-8', 'replace')
         if len(self._buffer) + len(data) > self._limit_bytes:
             self.dropped += 1
@@ -58,7 +60,7 @@
             return len(text)
         if self._unreported and not self._buffer:
             self._buffer += _line(
-                event='log lines left out', count=self._unreported
+                event='log lines dropped', count=self._unreported
             )
             self._unreported = 0
         self._buffer += data
@@ -66,7 +68,7 @@
         return len(text)
 
     def flush(self) -> None:
-        """Write what waits, as far as it goes."""
+        """Write as much of the buffer as possible without blocking."""
         try:
             while self._buffer:
                 written = os.write(self._descriptor, self._buffer)
@@ -74,7 +76,7 @@
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more; there is no place left to say so.
+            # The reader is gone, and there is nowhere to report it.
             self.dropped += 1
             self._buffer.clear()
 
@@ -88,10 +90,10 @@
 
 
 def time_text(wall_ms: float) -> str:
-    """Return a time of day in ms since the epoch as lines state it, in UTC.
+    """Return a time in ms since the epoch as log lines show it, in UTC.
 
-    For lines about something that happened earlier; given as ``time``, it
-    takes the place of the time at which the line is written.
+    Passed as the field ``time``, it replaces the time at which the line is
+    written, for lines about an earlier event.
     """
     moment = datetime.datetime.fromtimestamp(wall_ms / 1000.0, datetime.UTC)
     return _time_text(moment.replace(tzinfo=None))
@@ -118,9 +120,9 @@
 
 
 def logger(part: str) -> logbook.Logger:
-    """Return the logger of one part.
+    """Return the logger of one part of the program.
 
-    Log with a fixed event text and keyword arguments for the facts:
+    Log a constant event text, with the facts as keyword arguments:
     ``log.notice('configuration applied', revision=7)``.
     """
     return logbook.Logger(part)
--- a/samphiredock/metrics/_counts.py
+++ b/samphiredock/metrics/_counts.py
@@ -1,9 +1,8 @@
-"""What is counted, in plain objects until it is exported.
+"""Collects counts and observations until they are exported in bulk.
 
-Recording through OpenTelemetry costs 11-16 us a call, too much for each of
-thousands of sub-queries a second, and loading it a fifth of a daemon's
-start.  So what is counted is kept in plain objects, which are flushed in
-bulk once the libraries are needed.
+OpenTelemetry is too slow to be called for each sub-query, and slow to import.
+Metrics are therefore collected in plain objects and flushed regularly, and the
+libraries are imported at the first flush.
 """
 
 import collections
@@ -14,14 +13,13 @@
     from samphiredock.metrics import _export
 
 _OBSERVATION_LIMIT = 10_000
-"""Values that wait for a flush at most, some 2 MB: the requests of several
-seconds at the planned size."""
+"""How many observations are held before they are flushed, to bound memory."""
 
 _Labels = typing.Iterable[tuple[str, object]]
 
 
 class Metrics:
-    """The metrics of one process, kept apart from any other's."""
+    """Counters and histograms of one daemon."""
 
     def __init__(self, instance: str) -> None:
         self._instance = instance
@@ -32,17 +30,17 @@
         self._totals: collections.Counter = collections.Counter()
 
     def add(self, name: str, amount: float = 1, **labels: object) -> None:
-        """Add to a counter; cheap, exported at the next flush."""
+        """Add to a counter, to be exported at the next flush."""
         self.add_bulk(name, amount, **labels)
 
     def add_bulk(self, name: str, amount: float, **labels: object) -> None:
-        """Add to a counter in a plain integer until :meth:`flush`."""
+        """Add to a counter, to be exported at the next flush."""
         key = (name, tuple(sorted(labels.items())))
         self._pending[key] += amount
         self._totals[name] += amount
 
     def observe(self, name: str, value: float, **labels: object) -> None:
-        """Record one value in a histogram at the next flush."""
+        """Record a value, to be added to its histogram at the next flush."""
         self._observations.append((name, value, tuple(labels.items())))
         if len(self._observations) >= _OBSERVATION_LIMIT:
             self.flush()
@@ -56,7 +54,7 @@
         return dict(self._totals)
 
     def load(self) -> None:
-        """Import the libraries; may be called from another thread."""
+        """Import the OpenTelemetry libraries; safe in any thread."""
         with self._load_lock:
             if self._exporter is None:
                 from samphiredock.metrics import _export
@@ -64,7 +62,7 @@
                 self._exporter = _export.Exporter()
 
     def flush(self) -> None:
-        """Hand what was counted and observed to OpenTelemetry."""
+        """Export the collected counts and observations to OpenTelemetry."""
         self.load()
         assert self._exporter is not None
         pending, self._pending = self._pending, collections.Counter()
@@ -75,12 +73,12 @@
             self._exporter.record(name, value, _label_texts(labels))
 
     def render(self) -> bytes:
-        """Return all metrics in the Prometheus text format."""
+        """Flush, and return all metrics in the Prometheus text format."""
         self.flush()
         return self.text()
 
     def text(self) -> bytes:
-        """Return what was flushed; may be called from another thread."""
+        """Return the flushed metrics as text; safe in any thread."""
         self.load()
         assert self._exporter is not None
         return self._exporter.text()
--- a/samphiredock/metrics/_export.py
+++ b/samphiredock/metrics/_export.py
@@ -1,7 +1,7 @@
-"""OpenTelemetry behind :class:`Metrics`.
+"""Exports metrics through OpenTelemetry and the Prometheus client.
 
-A module of its own, since importing the libraries takes a fifth of the
-processor time until a daemon serves its callers.
+This is a module of its own, imported late, since the libraries would slow down
+the start of a daemon.
 """
 
 import typing
@@ -26,14 +26,14 @@
 
 
 class Exporter:
-    """The instruments of one process, kept apart from any other's."""
+    """The OpenTelemetry instruments of one daemon."""
 
     def __init__(self) -> None:
         self._registry = prometheus_client.CollectorRegistry()
-        # Scope labels would be a third of the page's bytes, all equal.
+        # Scope labels would all be equal, and a third of the page.
         reader = prometheus.PrometheusMetricReader(scope_info_enabled=False)
-        # The exporter registers with the global registry only; a test may
-        # hold several daemons in one process, so each has its own as well.
+        # The reader registers only with the global registry; tests run several
+        # daemons in one process, so each has a registry of its own as well.
         self._registry.register(reader._collector)
         views = [
             view.View(
@@ -52,7 +52,7 @@
     def add(
         self, name: str, amount: float, labels: typing.Mapping[str, str]
     ) -> None:
-        """Add to a counter, which is made when it is first used."""
+        """Add to a counter, creating it if it is new."""
         counter = self._counters.get(name)
         if counter is None:
             counter = self._counters[name] = self._meter.create_counter(name)
@@ -65,9 +65,9 @@
         self._histograms[name].record(value, labels)
 
     def text(self) -> bytes:
-        """Return everything in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self._registry)
 
     def close(self) -> None:
-        """Stop the provider."""
+        """Shut down the meter provider."""
         self._provider.shutdown()
--- a/samphiredock/timers.py
+++ b/samphiredock/timers.py
@@ -1,7 +1,7 @@
-"""The timer service: the only source of time for the decision code.
+"""The timer service, the only source of time for the code that decides.
 
-Parts subscribe to it; tests pass :class:`ManualTimers` and move time by
-hand, so that no verdict depends on a wall clock.
+Daemons use :class:`LoopTimers`; tests use :class:`ManualTimers` and advance
+the time themselves, so that no test depends on a real clock.
 """
 
 import asyncio
@@ -11,20 +11,20 @@
 import typing
 
 GAP_MS = 1_500.0
-"""A tick that comes this late means that the process was frozen."""
+"""A tick later than this means that the process was frozen."""
 
 TICK_MS = 100.0
 
 
 class TimerHandle(typing.Protocol):
-    """A timer that can be stopped."""
+    """A timer that can be cancelled."""
 
     def cancel(self) -> None:
-        """Stop the timer; later calls do nothing."""
+        """Cancel the timer; cancelling it again has no effect."""
 
 
 class Timers(typing.Protocol):
-    """What the parts of a daemon may ask of time."""
+    """Clocks and timers."""
 
     def now_ms(self) -> float:
         """Return monotonic milliseconds."""
@@ -43,14 +43,14 @@
         """Call back at each period until cancelled."""
 
     def on_gap(self, callback: typing.Callable[[float], None]) -> None:
-        """Call back with the length in ms when the process was frozen."""
+        """Call back after each freeze of the process, with its length in ms."""
 
     def frozen_for_ms(self) -> float:
-        """Return the length in ms of a freeze not yet reported, or 0."""
+        """Return the length in ms of a freeze not reported yet, 0 if none."""
 
 
 class _Repeating:
-    """Re-arms a one-shot timer until cancelled."""
+    """A repeating timer, made of one-shot timers."""
 
     def __init__(
         self,
@@ -112,14 +112,14 @@
         return _Repeating(self, period_ms, callback)
 
     def on_gap(self, callback: typing.Callable[[float], None]) -> None:
-        """Call back with the length in ms when the process was frozen."""
+        """Call back after each freeze of the process, with its length in ms."""
         self._gap_callbacks.append(callback)
 
     def frozen_for_ms(self) -> float:
-        """Return how overdue the tick is, before it has been seen.
+        """Return by how many ms the next tick is overdue, 0 if it is not.
 
-        A woken process may run other callbacks before the tick; a part
-        whose step must not follow a freeze asks here first.
+        After a freeze other callbacks may run before the tick.  Code that
+        must not act on values from before a freeze checks this first.
         """
         return max(0.0, self.now_ms() - self._last_tick_ms - TICK_MS)
 
@@ -132,9 +132,9 @@
                 callback(gap_ms)
 
     def close(self) -> None:
-        """Call nobody back any more.
+        """Call no callback any more.
 
-        A part would begin a task that the end of the loop destroys.
+        A callback could start a task that is destroyed with the loop.
         """
         self._closed = True
         self._tick.cancel()
@@ -160,7 +160,7 @@
         self.unseen_gap_ms = 0.0
 
     def frozen_for_ms(self) -> float:
-        """Return the gap that a test says is not yet reported."""
+        """Return the length of an unreported freeze, as set by the test."""
         return self.unseen_gap_ms
 
     def now_ms(self) -> float:
@@ -187,11 +187,11 @@
         return _Repeating(self, period_ms, callback)
 
     def on_gap(self, callback: typing.Callable[[float], None]) -> None:
-        """Register for :meth:`freeze`."""
+        """Call back from :meth:`freeze`."""
         self._gap_callbacks.append(callback)
 
     def advance(self, delta_ms: float) -> None:
-        """Move the clock, firing what falls due in order."""
+        """Advance the clock, firing the timers that become due, in order."""
         end_ms = self._now_ms + delta_ms
         while self._heap and self._heap[0][0] <= end_ms:
             due_ms, _, timer = heapq.heappop(self._heap)
@@ -201,7 +201,7 @@
         self._now_ms = end_ms
 
     def freeze(self, gap_ms: float) -> None:
-        """Jump the clock without firing anything, then report the gap."""
+        """Advance the clock without firing timers, then report a freeze."""
         self._now_ms += gap_ms
         for callback in self._gap_callbacks:
             callback(gap_ms)
