--- a/samphiredock/timers.py
+++ b/samphiredock/timers.py
@@ -43,7 +43,7 @@
         """Call back at each period until cancelled."""
 
     def on_gap(self, callback: typing.Callable[[float], None]) -> None:
-        """Call back after each freeze of the process, with its length in ms."""
+        """Call back after a freeze of the process, with its length in ms."""
 
     def frozen_for_ms(self) -> float:
         """Return the length in ms of a freeze not reported yet, 0 if none."""
@@ -112,7 +112,7 @@
         return _Repeating(self, period_ms, callback)
 
     def on_gap(self, callback: typing.Callable[[float], None]) -> None:
-        """Call back after each freeze of the process, with its length in ms."""
+        """Call back after a freeze of the process, with its length in ms."""
         self._gap_callbacks.append(callback)
 
     def frozen_for_ms(self) -> float:
