--- a/tests/unit/test_early_listener.py
+++ b/tests/unit/test_early_listener.py
@@ -8,7 +8,7 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 
-_OTHER_DOOR = (
+_OTHER_DAEMON_MODULES = (
     'aiohttp',
     'zmq',
     'opentelemetry',
@@ -25,30 +25,30 @@
 or not for a start."""
 
 
-class EarlyTest(unittest.TestCase):
+class EarlyListenerTest(unittest.TestCase):
     """Callers connect before the daemon has been imported."""
 
     def _listen(self, *arguments: str) -> socket.socket | None:
-        found = early_listener.listen(arguments, '--callers')
-        if found is not None:
-            self.addCleanup(found.close)
-        return found
+        listener = early_listener.listen(arguments, '--callers')
+        if listener is not None:
+            self.addCleanup(listener.close)
+        return listener
 
     def test_callers_wait_in_the_queue(self) -> None:
         """Refused at once, they would have no attempt left for later."""
-        listening = self._listen('entry', '--callers', '127.0.0.1:0')
-        host, _, port = early_listener.address_of(listening).rpartition(':')
+        listener = self._listen('entry', '--callers', '127.0.0.1:0')
+        host, _, port = early_listener.address_of(listener).rpartition(':')
         with socket.create_connection((host, int(port)), 1.0) as caller:
             caller.sendall(b'GET / HTTP/1.1\r\n\r\n')
-            accepted, _ = listening.accept()
+            accepted, _ = listener.accept()
             with accepted:
                 self.assertEqual(b'GET', accepted.recv(3))
 
-    def test_what_cannot_be_listened_on_is_left_to_the_daemon(self) -> None:
+    def test_unusable_addresses_are_left_to_the_daemon(self) -> None:
         """It reads the settings and says what is wrong."""
-        taken = self._listen('entry', '--callers', '127.0.0.1:0')
+        listener = self._listen('entry', '--callers', '127.0.0.1:0')
         for text in (
-            early_listener.address_of(taken),
+            early_listener.address_of(listener),
             'nothing',
             '127.0.0.1:x',
             ':99999999',
@@ -61,7 +61,7 @@
             with self.subTest(arguments):
                 self.assertIsNone(self._listen(*arguments))
 
-    def test_it_comes_before_what_takes_time(self) -> None:
+    def test_importing_it_loads_no_large_library(self) -> None:
         """The libraries of the doors must not be imported by it."""
         code = (
             'import sys; from samphiredock.daemon import early_listener;'
@@ -72,7 +72,7 @@
         )
         self.assertEqual(0, done.returncode)
 
-    def test_a_start_loads_one_door_only(self) -> None:
+    def test_entry_daemon_loads_only_its_own_modules(self) -> None:
         """Callers wait while a daemon starts, for what it loads.
 
         What only the other door uses comes in by one import too many, and
@@ -91,5 +91,7 @@
             text=True,
         )
         loaded = set(done.stdout.split())
-        found = [name for name in loaded if name.startswith(_OTHER_DOOR)]
-        self.assertEqual([], found)
+        unneeded = [
+            name for name in loaded if name.startswith(_OTHER_DAEMON_MODULES)
+        ]
+        self.assertEqual([], unneeded)
--- a/tests/unit/test_entry_node.py
+++ b/tests/unit/test_entry_node.py
@@ -22,11 +22,11 @@
 _HANG_GUARD_S = 20.0
 
 
-class _Service:
+class _FakeForwarding:
     """Requests that the test answers, and that no stop waits for."""
 
     def __init__(self) -> None:
-        self.seen = asyncio.Event()
+        self.received = asyncio.Event()
         self.replies: asyncio.Queue[protocol.HttpReply] = asyncio.Queue()
 
         self.open = 0
@@ -37,7 +37,7 @@
 
     async def handle(self, *request: object) -> protocol.HttpReply:
         """Wait for the test."""
-        self.seen.set()
+        self.received.set()
         return await self.replies.get()
 
 
@@ -46,11 +46,11 @@
 
     async def asyncSetUp(self) -> None:
         """Start it behind a service whose requests wait for the test."""
-        door, ready, peer, store = (
+        caller, ready, peer, store = (
             f'127.0.0.1:{port}' for port in cluster.free_ports(4)
         )
-        self.address = door
-        self.service = _Service()
+        self.address = caller
+        self.forwarding = _FakeForwarding()
         descriptor = os.open(os.devnull, os.O_WRONLY)
         self.addCleanup(os.close, descriptor)
         # The last call comes half a second after the signal, and leaves what
@@ -60,23 +60,23 @@
         )
         self.node = _entry_node.EntryNode(
             state.EntrySettings(
-                'one', 'here', door, ready, store, peer,
+                'one', 'here', caller, ready, store, peer,
                 stop_limit_s=60.0, balancer_lag_ms=0,
             ),
             prepared_hosts.PreparedHosts(),
             logs.BoundedStream(descriptor),
         )  # fmt: skip
-        service = self.node._forwarding
+        forwarding = self.node._forwarding
         self.enterContext(
             mock.patch.multiple(
-                service,
-                open_requests=self.service.open_requests,
-                handle=self.service.handle,
+                forwarding,
+                open_requests=self.forwarding.open_requests,
+                handle=self.forwarding.handle,
             )
         )
         await self.node.start()
 
-    async def test_a_request_read_as_the_doors_close_has_the_stops_time(
+    async def test_request_read_at_closing_has_the_time_left(
         self,
     ) -> None:
         """The caller gets its answer though the stop counts no request.
@@ -90,17 +90,17 @@
         self.addCleanup(writer.close)
         writer.write(b'GET /x HTTP/1.1\r\nHost: h\r\n\r\n')
         async with asyncio.timeout(_HANG_GUARD_S):
-            await self.service.seen.wait()
+            await self.forwarding.received.wait()
             self.node.on_signal()
-            stopping = asyncio.create_task(self.node.wait_stopped())
+            stop_task = asyncio.create_task(self.node.wait_stopped())
             await self._until_refused(host, int(port))
             await asyncio.sleep(2.0 * transport.CLOSE_TIMEOUT_MS / 1000.0)
-            self.service.replies.put_nowait(protocol.HttpReply(207))
-            answer = await reader.read()
-            await stopping
-        self.assertIn(b' 207 ', answer)
+            self.forwarding.replies.put_nowait(protocol.HttpReply(207))
+            reply = await reader.read()
+            await stop_task
+        self.assertIn(b' 207 ', reply)
 
-    async def test_callers_that_keep_coming_do_not_use_up_the_stop(
+    async def test_constant_requests_do_not_use_up_the_stop_time(
         self,
     ) -> None:
         """One of them has its connection closed at the end of the time.
@@ -110,13 +110,13 @@
         never finds itself idle.  None is taken from the last call on, which
         leaves time for what is open.
         """
-        self.service.open = 1
+        self.forwarding.open = 1
         host, _, port = self.address.partition(':')
         async with asyncio.timeout(_HANG_GUARD_S):
             self.node.on_signal()
-            stopping = asyncio.create_task(self.node.wait_stopped())
+            stop_task = asyncio.create_task(self.node.wait_stopped())
             await self._until_refused(host, int(port))
-            await stopping
+            await stop_task
 
     async def _until_refused(self, host: str, port: int) -> None:
         while True:
--- a/tests/unit/test_entry_state.py
+++ b/tests/unit/test_entry_state.py
@@ -90,7 +90,7 @@
             self.clock.advance(100.0)
         await memory_links.settle()
 
-    async def test_one_that_lost_the_store_does_not_serve_others(
+    async def test_no_service_for_others_without_store_contact(
         self,
     ) -> None:
         """A caller of another daemon is refused a route that was added.
@@ -107,31 +107,31 @@
             await self.entry_state.can_serve_handed_over(0, False)
         )
 
-    async def test_a_stop_does_not_wait_for_the_store(self) -> None:
+    async def test_stop_does_not_wait_for_the_store(self) -> None:
         """A request is handed over with a newer version than is known here.
 
         The store is asked for it and stays silent.  The daemon stops, and
         refuses the request while the other one can still ask a third.
         """
         self.store.is_silent = True
-        knowing = asyncio.create_task(
+        serve_task = asyncio.create_task(
             self.entry_state.can_serve_handed_over(9, False)
         )
         await memory_links.settle()
-        self.assertFalse(knowing.done())
+        self.assertFalse(serve_task.done())
         self.entry_state.stop_waiting()
         await memory_links.settle()
-        self.assertTrue(knowing.done())
-        self.assertFalse(await knowing)
+        self.assertTrue(serve_task.done())
+        self.assertFalse(await serve_task)
 
-    async def test_it_serves_while_others_vouch_for_it(self) -> None:
+    async def test_serves_while_a_peer_confirms_the_version(self) -> None:
         """One that hears the store knows no newer version than this one."""
         self.store.is_lost = True
         await self._advance(4_500.0)
         self.assertFalse(
             await self.entry_state.can_serve_handed_over(0, False)
         )
-        self._answer(
+        self._record_answers(
             forwarding.StoreStatus(0, True), forwarding.StoreStatus(0, False)
         )
         self.assertTrue(await self.entry_state.can_serve_handed_over(0, False))
@@ -140,18 +140,18 @@
             await self.entry_state.can_serve_handed_over(0, False)
         )
 
-    async def test_it_does_not_serve_once_others_know_more(self) -> None:
+    async def test_does_not_serve_if_a_peer_has_a_newer_version(self) -> None:
         """A caller would see the change undone that it has just used."""
         self.store.is_lost = True
         await self._advance(4_500.0)
-        self._answer(
+        self._record_answers(
             forwarding.StoreStatus(1, True), forwarding.StoreStatus(0, True)
         )
         self.assertFalse(
             await self.entry_state.can_serve_handed_over(0, False)
         )
 
-    async def test_it_serves_once_nobody_hears_the_store(self) -> None:
+    async def test_serves_if_no_peer_has_store_contact(self) -> None:
         """Old knowledge is the best there is: no request waits for more.
 
         Before, each was refused by every coordinator first, twice.
@@ -159,21 +159,21 @@
         self.store.is_lost = True
         await self._advance(4_500.0)
         self.assertTrue(self.entry_state.needs_freshness_check())
-        self._answer(
+        self._record_answers(
             forwarding.StoreStatus(7, False), forwarding.StoreStatus(0, False)
         )
         self.assertTrue(await self.entry_state.can_serve_handed_over(0, False))
 
-    async def test_no_answer_says_nothing(self) -> None:
+    async def test_does_not_serve_if_no_peer_answers(self) -> None:
         """This daemon may be the one that is cut off."""
         self.store.is_lost = True
         await self._advance(4_500.0)
-        self._answer()
+        self._record_answers()
         self.assertFalse(
             await self.entry_state.can_serve_handed_over(0, False)
         )
 
-    async def test_an_older_table_than_was_seen_does_not_serve(self) -> None:
+    async def test_does_not_serve_with_an_older_table_than_asked(self) -> None:
         """The daemon that hands over has seen version 5 in force.
 
         Whoever vouches: its callers have used what that version brought.
@@ -184,7 +184,7 @@
         )
         self.assertFalse(await self.entry_state.can_serve_handed_over(5, True))
 
-    async def test_a_store_that_refuses_is_not_asked_all_the_time(
+    async def test_refused_watches_are_rate_limited(
         self,
     ) -> None:
         """60 daemons that were turned away made 1,100 calls in 6 s.
@@ -201,12 +201,12 @@
         await self._advance(1_000.0)
         self.assertTrue(self.entry_state.has_store_contact())
 
-    def _answer(self, *answers: forwarding.StoreStatus) -> None:
+    def _record_answers(self, *answers: forwarding.StoreStatus) -> None:
         self.entry_state.freshness_check.record_round(
             answers, self.clock.now_ms()
         )
 
-    async def test_it_serves_when_all_have_lost_the_store(self) -> None:
+    async def test_serves_stale_state_on_request(self) -> None:
         """Else an outage of the store would be one of everything."""
         self.store.is_lost = True
         await self._advance(10_000.0)
--- a/tests/unit/test_server_closing.py
+++ b/tests/unit/test_server_closing.py
@@ -24,21 +24,21 @@
         self.clock = timers.LoopTimers()
         self.addCleanup(self.clock.close)
         self.replies: asyncio.Queue[protocol.HttpReply] = asyncio.Queue()
-        self.seen = 0
+        self.request_count = 0
         self.left_ms = 1_000.0
         self.finish_all_calls = 0
         self.servers = [await self._listen(), await self._listen()]
         self.addresses = [row.address() for row in self.servers]
         self.reader, self.writer = await self._connect(0)
         self.writer.write(_REQUEST)
-        while not self.seen:
+        while not self.request_count:
             await asyncio.sleep(0.001)
 
     async def _listen(self) -> transport.EntryServer:
-        door = transport.EntryCallbacks(
+        callbacks = transport.EntryCallbacks(
             self._handle, lambda: True, state.CallerLimits
         )
-        server = transport.EntryServer(door, self.counters, self.clock)
+        server = transport.EntryServer(callbacks, self.counters, self.clock)
         await server.start('127.0.0.1:0', 16)
         return server
 
@@ -53,7 +53,7 @@
     async def _handle(
         self, method: str, path: str, headers: protocol.Headers, body: bytes
     ) -> protocol.HttpReply:
-        self.seen += 1
+        self.request_count += 1
         return await self.replies.get()
 
     def _finish_all(self) -> None:
@@ -67,23 +67,23 @@
             )
         )
 
-    async def _answer(self) -> bytes:
+    async def _read_reply(self) -> bytes:
         return await asyncio.wait_for(self.reader.read(), _HANG_GUARD_S)
 
-    async def test_what_is_under_way_has_the_time_that_is_left(self) -> None:
+    async def test_pending_requests_have_the_time_left(self) -> None:
         """The caller gets its answer, not a closed connection.
 
         A request is read as the doors begin to close, and takes longer than
         the moment in which connections are closed.  The stop has time left.
         """
-        closing = self._close()
+        close_task = self._close()
         await asyncio.sleep(2.0 * transport.CLOSE_TIMEOUT_MS / 1000.0)
         self.replies.put_nowait(protocol.HttpReply(207))
-        self.assertIn(b' 207 ', await self._answer())
-        await closing
+        self.assertIn(b' 207 ', await self._read_reply())
+        await close_task
         self.assertEqual(0, self.finish_all_calls)
 
-    async def test_what_is_open_when_the_time_is_over_is_answered(
+    async def test_pending_requests_are_answered_at_the_limit(
         self,
     ) -> None:
         """The caller learns what is known of its request.
@@ -91,37 +91,37 @@
         Its target stays silent until the stop has no time left, as after a
         second signal, which shortens it.
         """
-        closing = self._close()
+        close_task = self._close()
         await asyncio.sleep(0.0)
         self.left_ms = 0.0
-        self.assertIn(b' 502 ', await self._answer())
-        self.assertEqual(0, await closing)
+        self.assertIn(b' 502 ', await self._read_reply())
+        self.assertEqual(0, await close_task)
         self.assertEqual(1, self.finish_all_calls)
 
-    async def test_a_stop_without_time_answers_before_it_cuts(self) -> None:
+    async def test_no_time_left_still_answers_before_aborting(self) -> None:
         """Its time may be used up before the doors begin to close."""
         self.left_ms = 0.0
         await self._close()
-        self.assertIn(b' 502 ', await self._answer())
+        self.assertIn(b' 502 ', await self._read_reply())
 
-    async def test_what_cannot_be_answered_does_not_hold_the_end(
+    async def test_unanswerable_requests_do_not_delay_the_end(
         self,
     ) -> None:
         """The process would be killed, and nothing in it closed in order."""
         self.left_ms = 0.0
-        cut = await _server_closing.close_servers(
+        aborted = await _server_closing.close_servers(
             self.servers, lambda: self.left_ms, lambda: None
         )
-        self.assertEqual(1, cut)
-        self.assertEqual(b'', await self._answer())
+        self.assertEqual(1, aborted)
+        self.assertEqual(b'', await self._read_reply())
 
-    async def test_no_door_takes_callers_while_another_waits(self) -> None:
+    async def test_no_server_accepts_while_another_waits(self) -> None:
         """They would have less time than where they can still go."""
-        closing = self._close()
+        close_task = self._close()
         await asyncio.sleep(0.0)
         await asyncio.sleep(0.0)
         for server in (0, 1):
             with self.assertRaises(OSError):
                 await self._connect(server)
         self.replies.put_nowait(protocol.HttpReply(207))
-        await closing
+        await close_task
