--- a/tests/unit/test_daemon_main.py
+++ b/tests/unit/test_daemon_main.py
@@ -1,4 +1,4 @@
-"""The daemon program's exit codes."""
+"""Tests of the daemon program's exit codes."""
 
 import json
 import pathlib
@@ -12,7 +12,7 @@
 
 
 class DaemonMainTest(unittest.TestCase):
-    """Started with files that do not let it run."""
+    """The program started with valid and invalid settings."""
 
     def _run(self, settings: dict, *options: str) -> testing.Result:
         holder = tempfile.TemporaryDirectory()
@@ -24,7 +24,7 @@
         )
 
     def test_check_tells_valid_from_invalid(self) -> None:
-        """Nothing is started in either case."""
+        """With --check, the daemon is not started in either case."""
         got = self._run(test_settings.VALID, '--check')
         self.assertEqual((0, True), (got.exit_code, 'valid' in got.output))
         got = self._run({**test_settings.VALID, 'site': 7}, '--check')
--- a/tests/unit/test_early_listener.py
+++ b/tests/unit/test_early_listener.py
@@ -21,12 +21,11 @@
     'samphiredock.transport._caller_http',
     'samphiredock.transport._peers',
 )
-"""Libraries and modules that a daemon which passes requests on never needs,
-or not for a start."""
+"""Libraries and modules that the entry daemon does not need to start."""
 
 
 class EarlyListenerTest(unittest.TestCase):
-    """Callers connect before the daemon has been imported."""
+    """Callers can connect before the daemon's modules are imported."""
 
     def _listen(self, *arguments: str) -> socket.socket | None:
         listener = early_listener.listen(arguments, '--callers')
@@ -35,7 +34,7 @@
         return listener
 
     def test_callers_wait_in_the_queue(self) -> None:
-        """Refused at once, they would have no attempt left for later."""
+        """Refused callers would have no attempt left after the start."""
         listener = self._listen('entry', '--callers', '127.0.0.1:0')
         host, _, port = early_listener.address_of(listener).rpartition(':')
         with socket.create_connection((host, int(port)), 1.0) as caller:
@@ -45,7 +44,7 @@
                 self.assertEqual(b'GET', accepted.recv(3))
 
     def test_unusable_addresses_are_left_to_the_daemon(self) -> None:
-        """It reads the settings and says what is wrong."""
+        """The daemon reports the error once it has read its settings."""
         listener = self._listen('entry', '--callers', '127.0.0.1:0')
         for text in (
             early_listener.address_of(listener),
@@ -62,7 +61,7 @@
                 self.assertIsNone(self._listen(*arguments))
 
     def test_importing_it_loads_no_large_library(self) -> None:
-        """The libraries of the doors must not be imported by it."""
+        """Otherwise it would not listen early."""
         code = (
             'import sys; from samphiredock.daemon import early_listener;'
             'sys.exit("aiohttp" in sys.modules)'
@@ -73,10 +72,9 @@
         self.assertEqual(0, done.returncode)
 
     def test_entry_daemon_loads_only_its_own_modules(self) -> None:
-        """Callers wait while a daemon starts, for what it loads.
+        """A needless import breaks nothing, but delays each start.
 
-        What only the other door uses comes in by one import too many, and
-        nothing fails: each start is a little longer.
+        Callers wait until all imports are done.
         """
         code = (
             'import sys; sys.path[:0] = ["platform"];'
--- a/tests/unit/test_entry_node.py
+++ b/tests/unit/test_entry_node.py
@@ -1,4 +1,4 @@
-"""The stop of a daemon that passes requests on, from its doors."""
+"""Tests of the shutdown of an entry daemon, as its callers see it."""
 
 import asyncio
 import os
@@ -23,7 +23,7 @@
 
 
 class _FakeForwarding:
-    """Requests that the test answers, and that no stop waits for."""
+    """Leaves requests to the test, and reports the count that it sets."""
 
     def __init__(self) -> None:
         self.received = asyncio.Event()
@@ -32,20 +32,20 @@
         self.open = 0
 
     def open_requests(self) -> int:
-        """Return what the test says, whatever is under way."""
+        """Return the count set by the test."""
         return self.open
 
     async def handle(self, *request: object) -> protocol.HttpReply:
-        """Wait for the test."""
+        """Return the test's reply once there is one."""
         self.received.set()
         return await self.replies.get()
 
 
 class EntryNodeTest(unittest.IsolatedAsyncioTestCase):
-    """One node; the platform's store is not there."""
+    """One node without the platform's store."""
 
     async def asyncSetUp(self) -> None:
-        """Start it behind a service whose requests wait for the test."""
+        """Start it with requests that are answered by the test."""
         caller, ready, peer, store = (
             f'127.0.0.1:{port}' for port in cluster.free_ports(4)
         )
@@ -53,8 +53,8 @@
         self.forwarding = _FakeForwarding()
         descriptor = os.open(os.devnull, os.O_WRONLY)
         self.addCleanup(os.close, descriptor)
-        # The last call comes half a second after the signal, and leaves what
-        # is open all the rest.
+        # The servers close half a second after the signal, which leaves
+        # pending requests the rest of the stop limit.
         self.enterContext(
             mock.patch.object(_entry_node, '_EARLY_CLOSE_MS', 59_000.0)
         )
@@ -79,11 +79,11 @@
     async def test_request_read_at_closing_has_the_time_left(
         self,
     ) -> None:
-        """The caller gets its answer though the stop counts no request.
+        """The caller gets its reply though the node counts no open request.
 
-        Its request is read in the turn in which the stop finds that nothing
-        is open.  The doors close at once; its connection must not be closed
-        a moment later, since the stop has nearly all of its time left.
+        Its request is read just when the node finds itself idle and closes
+        the servers.  Its connection must stay open, as nearly all of the stop
+        limit is left.
         """
         host, _, port = self.address.partition(':')
         reader, writer = await asyncio.open_connection(host, port)
@@ -103,12 +103,10 @@
     async def test_constant_requests_do_not_use_up_the_stop_time(
         self,
     ) -> None:
-        """One of them has its connection closed at the end of the time.
+        """The servers close early enough to answer all requests read.
 
-        The balancer is told and sends nobody; some callers come all the
-        same, at any moment one of them has a request open, so that the stop
-        never finds itself idle.  None is taken from the last call on, which
-        leaves time for what is open.
+        Callers that ignore the balancer keep a request open at any moment, so
+        that the node is never idle.
         """
         self.forwarding.open = 1
         host, _, port = self.address.partition(':')
--- a/tests/unit/test_entry_state.py
+++ b/tests/unit/test_entry_state.py
@@ -1,4 +1,4 @@
-"""Whether a coordinator may serve what other daemons hand over."""
+"""Tests of when a coordinator serves requests handed over to it."""
 
 import asyncio
 import unittest
@@ -15,7 +15,7 @@
 
 
 class _Store:
-    """Answers watches until it is lost to this daemon."""
+    """A store that answers watches until the test makes it unreachable."""
 
     def __init__(self, clock: timers.ManualTimers) -> None:
         self._clock = clock
@@ -25,15 +25,15 @@
         self.watches = 0
 
     async def put(self, *words: object) -> result.Result:
-        """Register a daemon."""
+        """Accept the registration of a daemon."""
         return result.Success(7)
 
     async def scan(self, *words: object, **more: object) -> result.Result:
-        """List no other daemon."""
+        """Return an empty list."""
         return result.Success(())
 
     async def get(self, key: str) -> result.Result:
-        """Have nothing newer, or be silent."""
+        """Fail, or never reply if the store is silent."""
         if self.is_silent:
             await asyncio.Event().wait()
         return self._lost()
@@ -41,7 +41,7 @@
     async def watch(
         self, prefix: str, position: int, timeout_ms: int
     ) -> result.Result:
-        """Tell that nothing has changed."""
+        """Return a page without changes, or fail."""
         self.watches += 1
         if self.refuses:
             return self._lost()
@@ -64,10 +64,10 @@
 
 
 class EntryStateTest(unittest.IsolatedAsyncioTestCase):
-    """One daemon that coordinates."""
+    """The state of a daemon whose role is coordinator."""
 
     async def asyncSetUp(self) -> None:
-        """Let it follow the store for a second."""
+        """Start it and let it follow the store for a second."""
         self.clock = timers.ManualTimers()
         self.store = _Store(self.clock)
         self.counters = metrics.Metrics('test')
@@ -93,10 +93,9 @@
     async def test_no_service_for_others_without_store_contact(
         self,
     ) -> None:
-        """A caller of another daemon is refused a route that was added.
+        """Otherwise it would refuse requests for routes added since.
 
-        The store turns this coordinator away and serves the others; a
-        version is accepted meanwhile, and a request is handed over to it.
+        Only this coordinator loses contact with the store.
         """
         self.assertTrue(await self.entry_state.can_serve_handed_over(0, False))
         self.store.is_lost = True
@@ -108,10 +107,9 @@
         )
 
     async def test_stop_does_not_wait_for_the_store(self) -> None:
-        """A request is handed over with a newer version than is known here.
+        """A request that waits for a read of the store is refused at a stop.
 
-        The store is asked for it and stays silent.  The daemon stops, and
-        refuses the request while the other one can still ask a third.
+        The daemon that handed it over can then send it to another one.
         """
         self.store.is_silent = True
         serve_task = asyncio.create_task(
@@ -125,7 +123,7 @@
         self.assertFalse(await serve_task)
 
     async def test_serves_while_a_peer_confirms_the_version(self) -> None:
-        """One that hears the store knows no newer version than this one."""
+        """A peer that has store contact has no newer version than this one."""
         self.store.is_lost = True
         await self._advance(4_500.0)
         self.assertFalse(
@@ -141,7 +139,7 @@
         )
 
     async def test_does_not_serve_if_a_peer_has_a_newer_version(self) -> None:
-        """A caller would see the change undone that it has just used."""
+        """Otherwise a caller would see a change undone that it has used."""
         self.store.is_lost = True
         await self._advance(4_500.0)
         self._record_answers(
@@ -152,9 +150,9 @@
         )
 
     async def test_serves_if_no_peer_has_store_contact(self) -> None:
-        """Old knowledge is the best there is: no request waits for more.
+        """The old routing table is then the best available.
 
-        Before, each was refused by every coordinator first, twice.
+        Otherwise every coordinator would first refuse each request.
         """
         self.store.is_lost = True
         await self._advance(4_500.0)
@@ -165,7 +163,7 @@
         self.assertTrue(await self.entry_state.can_serve_handed_over(0, False))
 
     async def test_does_not_serve_if_no_peer_answers(self) -> None:
-        """This daemon may be the one that is cut off."""
+        """This daemon may be the only one cut off."""
         self.store.is_lost = True
         await self._advance(4_500.0)
         self._record_answers()
@@ -174,9 +172,9 @@
         )
 
     async def test_does_not_serve_with_an_older_table_than_asked(self) -> None:
-        """The daemon that hands over has seen version 5 in force.
+        """Callers of the other daemon have used version 5 already.
 
-        Whoever vouches: its callers have used what that version brought.
+        This holds with store contact, and if stale state is allowed.
         """
         self.assertTrue(await self.entry_state.can_serve_handed_over(0, False))
         self.assertFalse(
@@ -187,10 +185,9 @@
     async def test_refused_watches_are_rate_limited(
         self,
     ) -> None:
-        """60 daemons that were turned away made 1,100 calls in 6 s.
+        """Refused calls count against the rate limit shared by all daemons.
 
-        All calls are paid, refused ones too, and all daemons have a common
-        rate.  Its return is still seen within half a second.
+        The end of the refusals must still be noticed within a second.
         """
         self.store.refuses = True
         await self._advance(1_000.0)
@@ -207,7 +204,7 @@
         )
 
     async def test_serves_stale_state_on_request(self) -> None:
-        """Else an outage of the store would be one of everything."""
+        """Otherwise an outage of the store would stop all requests."""
         self.store.is_lost = True
         await self._advance(10_000.0)
         self.assertTrue(await self.entry_state.can_serve_handed_over(0, True))
--- a/tests/unit/test_metrics.py
+++ b/tests/unit/test_metrics.py
@@ -7,7 +7,7 @@
 
 
 class MetricsTest(unittest.TestCase):
-    """What was counted before the libraries were loaded is on the page."""
+    """Metrics collected before the OpenTelemetry libraries are loaded."""
 
     def setUp(self) -> None:
         self.metrics = metrics.Metrics('test')
@@ -26,7 +26,7 @@
         self.assertEqual([], self.metrics._observations)
 
     def test_counting_needs_no_libraries(self) -> None:
-        """Loading them would add a fifth to the start of a daemon."""
+        """Loading them early would delay the start of a daemon."""
         code = (
             'import sys; from samphiredock import metrics;'
             'm = metrics.Metrics("a"); m.add("n"); m.observe("h", 1.0);'
--- a/tests/unit/test_node.py
+++ b/tests/unit/test_node.py
@@ -1,4 +1,4 @@
-"""The start of a daemon that cannot listen."""
+"""Tests of the start of a daemon that cannot listen on an address."""
 
 import contextlib
 import gc
@@ -14,14 +14,14 @@
 
 
 class NodeTest(unittest.IsolatedAsyncioTestCase):
-    """One node, one of whose addresses is taken."""
+    """A node with one address already in use."""
 
     def setUp(self) -> None:
         """Choose its addresses."""
         self.ports = cluster.free_ports(3)
 
     def make(self) -> _node.Node:
-        """Return a node that listens there."""
+        """Return a node with these addresses."""
         caller, operator, peer = self.ports
         return _node.Node(
             state.Settings(
@@ -36,7 +36,7 @@
         )
 
     async def test_failed_start_leaves_nothing_open(self) -> None:
-        """Whoever starts it again finds the other addresses free."""
+        """The other addresses must be free for another start."""
         caller, operator, peer = self.ports
         with contextlib.closing(socket.create_server(('127.0.0.1', operator))):
             node = self.make()
@@ -47,7 +47,7 @@
                 pass
 
     async def test_taken_peer_address_leaves_nothing_open(self) -> None:
-        """No session is left behind to be collected unclosed."""
+        """An unclosed HTTP session would cause a ResourceWarning."""
         taken = socket.create_server(('127.0.0.1', self.ports[2]))
         with contextlib.closing(taken):
             with warnings.catch_warnings(record=True) as seen:
--- a/tests/unit/test_operator_handler.py
+++ b/tests/unit/test_operator_handler.py
@@ -1,4 +1,4 @@
-"""What operators are told by a daemon whose time is up."""
+"""Tests of the replies to operators' calls when the daemon stops."""
 
 import asyncio
 import types
@@ -20,18 +20,18 @@
 
 
 class _UnresponsiveStore:
-    """Takes calls and answers none of those it is told to be silent to."""
+    """A store that never replies to the given kinds of calls."""
 
     def __init__(self, *silent: str) -> None:
         self.silent = silent
         self.calls: list[str] = []
 
     async def get(self, key: str) -> result.Result:
-        """Read: there is nothing."""
+        """Fail with NOT_FOUND."""
         return await self._call('get', transport.StoreErrorKind.NOT_FOUND)
 
     async def put(self, key: str, value: bytes, version: int) -> object:
-        """Write."""
+        """Fail with UNAVAILABLE."""
         return await self._call('put', transport.StoreErrorKind.UNAVAILABLE)
 
     async def _call(
@@ -44,7 +44,7 @@
 
 
 class OperatorHandlerTest(unittest.IsolatedAsyncioTestCase):
-    """A call waits for the store, and the daemon ends."""
+    """The daemon stops while a call waits for the store."""
 
     def _make(self, *silent: str) -> _operator_handler.OperatorHandler:
         self.store = _UnresponsiveStore(*silent)
@@ -77,7 +77,7 @@
         call: typing.Coroutine,
         store_call: str,
     ) -> object:
-        """End the daemon when the store has the call; return the outcome."""
+        """Stop the daemon when the store has the call; return the outcome."""
         task = asyncio.create_task(call)
         while store_call not in self.store.calls:
             await asyncio.sleep(0)
@@ -93,7 +93,7 @@
         )
 
     async def test_change_not_written(self) -> None:
-        """It waited for a read: nothing was, and will be, changed."""
+        """A change that waits for a read is not made, now or later."""
         handler = self._make('get')
         ended = await self._ended(
             handler, handler.apply(self._change()), 'get'
@@ -103,7 +103,7 @@
         self.assertEqual(['get'], self.store.calls)
 
     async def test_change_perhaps_written(self) -> None:
-        """The write is out: nobody knows here whether it takes effect."""
+        """A write already sent may take effect."""
         handler = self._make('put')
         ended = await self._ended(
             handler, handler.apply(self._change()), 'put'
@@ -111,14 +111,14 @@
         self.assertIsInstance(ended, protocol.ChangeUnknown)
 
     async def test_change_tried_before(self) -> None:
-        """An earlier call for it may have changed something."""
+        """An earlier call for the same change may have taken effect."""
         handler = self._make('get')
         change = self._change(repeated=True)
         ended = await self._ended(handler, handler.apply(change), 'get')
         self.assertIsInstance(ended, protocol.ChangeUnknown)
 
     async def test_writes_that_wait(self) -> None:
-        """Both may be in the store."""
+        """Other writes already sent may take effect as well."""
         for make in (
             lambda handler: handler.set_leaving('desk-1', True),
             lambda handler: handler.release('f'),
@@ -128,7 +128,7 @@
             self.assertIs(_Kind.UNKNOWN, ended.failure().kind)
 
     async def test_calls_after_the_end(self) -> None:
-        """They are refused, and the store is not asked."""
+        """Later calls are refused without a call to the store."""
         handler = self._make()
         handler.finish_all()
         changed = await handler.apply(self._change())
--- a/tests/unit/test_public_names.py
+++ b/tests/unit/test_public_names.py
@@ -15,10 +15,10 @@
 
 
 class PublicNamesTest(unittest.TestCase):
-    """The public modules of the packages."""
+    """The tables of public names of the packages."""
 
     def test_names_used_elsewhere_are_public(self) -> None:
-        """A benchmark that no test runs would break unseen."""
+        """A missing name would break code that no test runs unnoticed."""
         known = {
             name: importlib.import_module(f'samphiredock.{name}').__all__
             for name in _PACKAGES
@@ -46,7 +46,7 @@
         self.assertEqual(set(), missing)
 
     def test_private_modules_are_used_within_their_package(self) -> None:
-        """What another package needs of one belongs in its public list."""
+        """Other packages use only the public names of a package."""
         found = []
         for path in _ROOT.rglob('*.py'):
             package = path.relative_to(_ROOT).parts[0]
@@ -62,7 +62,7 @@
         self.assertEqual([], found)
 
     def test_each_public_name_is_where_it_is_listed(self) -> None:
-        """A name is looked up when it is first used, perhaps by no test."""
+        """A wrong table fails only at the first use of a name."""
         parts = sorted(
             path.parent.relative_to(_ROOT)
             for path in (_ROOT / 'coordination').glob('*/__init__.py')
@@ -80,6 +80,6 @@
                     self.assertIsNotNone(getattr(package, name), name)
 
     def test_a_name_that_is_not_public(self) -> None:
-        """The error names the package and what was asked."""
+        """The error contains the package and the name."""
         with self.assertRaisesRegex(AttributeError, 'protocol.*no name.*Nil'):
             getattr(importlib.import_module('samphiredock.protocol'), 'Nil')
--- a/tests/unit/test_server_closing.py
+++ b/tests/unit/test_server_closing.py
@@ -1,4 +1,4 @@
-"""Doors that close while requests are under way."""
+"""Tests of servers that close while requests are pending."""
 
 import asyncio
 import unittest
@@ -15,10 +15,10 @@
 
 
 class ServerClosingTest(unittest.IsolatedAsyncioTestCase):
-    """Two servers whose requests wait for the test."""
+    """Two servers whose requests are answered by the test."""
 
     async def asyncSetUp(self) -> None:
-        """Listen at both, with one request under way at the first."""
+        """Start both, with one pending request at the first."""
         self.counters = metrics.Metrics('test')
         self.addCleanup(self.counters.close)
         self.clock = timers.LoopTimers()
@@ -71,10 +71,10 @@
         return await asyncio.wait_for(self.reader.read(), _HANG_GUARD_S)
 
     async def test_pending_requests_have_the_time_left(self) -> None:
-        """The caller gets its answer, not a closed connection.
+        """The caller gets its reply, not a closed connection.
 
-        A request is read as the doors begin to close, and takes longer than
-        the moment in which connections are closed.  The stop has time left.
+        The request takes longer than the default timeout of a close, but less
+        than the time left for the shutdown.
         """
         close_task = self._close()
         await asyncio.sleep(2.0 * transport.CLOSE_TIMEOUT_MS / 1000.0)
@@ -86,10 +86,9 @@
     async def test_pending_requests_are_answered_at_the_limit(
         self,
     ) -> None:
-        """The caller learns what is known of its request.
+        """The caller gets the outcome known when the time is up.
 
-        Its target stays silent until the stop has no time left, as after a
-        second signal, which shortens it.
+        The time is shortened, as by a second signal, while its request waits.
         """
         close_task = self._close()
         await asyncio.sleep(0.0)
@@ -99,7 +98,7 @@
         self.assertEqual(1, self.finish_all_calls)
 
     async def test_no_time_left_still_answers_before_aborting(self) -> None:
-        """Its time may be used up before the doors begin to close."""
+        """The time may be used up before the servers begin to close."""
         self.left_ms = 0.0
         await self._close()
         self.assertIn(b' 502 ', await self._read_reply())
@@ -107,7 +106,7 @@
     async def test_unanswerable_requests_do_not_delay_the_end(
         self,
     ) -> None:
-        """The process would be killed, and nothing in it closed in order."""
+        """Otherwise the process would be killed before it closed the rest."""
         self.left_ms = 0.0
         aborted = await _server_closing.close_servers(
             self.servers, lambda: self.left_ms, lambda: None
@@ -116,7 +115,7 @@
         self.assertEqual(b'', await self._read_reply())
 
     async def test_no_server_accepts_while_another_waits(self) -> None:
-        """They would have less time than where they can still go."""
+        """New callers would have less time here than at another daemon."""
         close_task = self._close()
         await asyncio.sleep(0.0)
         await asyncio.sleep(0.0)
--- a/tests/unit/test_shutdown.py
+++ b/tests/unit/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The phases of a graceful shutdown."""
+"""Tests of the phases of a graceful shutdown."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class ShutdownTest(unittest.TestCase):
-    """Signals and ticks, phase by phase."""
+    """The phases after signals and ticks."""
 
     def setUp(self) -> None:
         self.phases: list[Phase] = []
@@ -17,15 +17,13 @@
         )
 
     def assert_phases(self, *expected: Phase) -> None:
-        """The phases entered so far."""
+        """Check which phases have been entered so far."""
         self.assertEqual(list(expected), self.phases)
 
     def test_idle_daemon_still_serves_for_the_balancers_lag(self) -> None:
-        """No request is cut that the balancer sends before it knows.
+        """The balancer sends requests until it next polls the readiness.
 
-        Readiness goes off at the signal; the balancer polls it later and
-        sends on meanwhile.  A daemon that stopped as soon as it was idle
-        would refuse those connections.
+        A daemon that stopped as soon as it was idle would refuse them.
         """
         self.shutdown.on_signal(0.0)
         self.shutdown.on_tick(1_999.0, 0)
@@ -33,7 +31,7 @@
         self.shutdown.on_tick(2_000.0, 0)
         self.assert_phases(Phase.LEAVING, Phase.DRAINING, Phase.CLOSED)
 
-    def test_requests_in_flight_hold_the_stop(self) -> None:
+    def test_requests_in_flight_delay_the_stop(self) -> None:
         self.shutdown.on_signal(0.0)
         self.shutdown.on_tick(2_500.0, 1)
         self.assert_phases(Phase.LEAVING, Phase.DRAINING)
@@ -47,7 +45,7 @@
         self.shutdown.on_tick(30_000.0, 3)
         self.assert_phases(Phase.LEAVING, Phase.CLOSED)
 
-    def test_a_second_signal_hurries_and_a_third_stops(self) -> None:
+    def test_second_signal_shortens_and_third_stops(self) -> None:
         self.shutdown.on_signal(0.0)
         self.shutdown.on_signal(100.0)
         self.assert_phases(Phase.LEAVING, Phase.DRAINING)
@@ -56,11 +54,10 @@
         self.shutdown.on_tick(1_100.0, 1)
         self.assertIs(Phase.CLOSED, self.shutdown.phase)
 
-    def test_the_last_call_comes_before_the_limit(self) -> None:
-        """Callers that keep coming have their requests answered.
+    def test_closes_before_the_limit(self) -> None:
+        """Otherwise callers that keep sending would get no reply at the limit.
 
-        They leave no moment without a request; at the limit those that are
-        open would be given up.
+        They leave the daemon no idle moment.
         """
         shutdown = _shutdown.Shutdown(
             2_000.0, 30_000.0, self.phases.append, 1_000.0
@@ -72,8 +69,8 @@
         self.assertIs(Phase.CLOSED, shutdown.phase)
         self.assertEqual(1_000.0, shutdown.left_ms(29_000.0))
 
-    def test_the_last_call_waits_for_the_balancer(self) -> None:
-        """It still sends requests here, and none of them is refused."""
+    def test_early_close_waits_for_the_balancer(self) -> None:
+        """Requests that the balancer still sends must not be refused."""
         shutdown = _shutdown.Shutdown(
             2_000.0, 2_500.0, self.phases.append, 1_000.0
         )
--- a/tests/unit/test_timers.py
+++ b/tests/unit/test_timers.py
@@ -1,4 +1,4 @@
-"""The timers of the running event loop."""
+"""Tests of the timers of the running event loop."""
 
 import asyncio
 import unittest
@@ -7,13 +7,10 @@
 
 
 class LoopTimersTest(unittest.IsolatedAsyncioTestCase):
-    """Timers of a daemon, until its end."""
+    """The timers of a daemon when it stops."""
 
-    async def test_nobody_is_called_back_after_the_end(self) -> None:
-        """A task begun then is destroyed with the loop, and told as lost.
-
-        Parts arm timers for seconds; the daemon has stopped meanwhile.
-        """
+    async def test_no_callback_after_close(self) -> None:
+        """A task that a callback starts would be destroyed with the loop."""
         clock = timers.LoopTimers()
         called: list[str] = []
         clock.after(0.0, lambda: called.append('before'))
