--- a/samphiredock/coordination/search/_admission.py
+++ b/samphiredock/coordination/search/_admission.py
@@ -13,7 +13,7 @@
 # reserved for interactive requests.
 _CLASS_SHARE = {'interactive': 1.0, 'batch': 0.8}
 
-_RATE_WINDOW = 200
+_RATE_WINDOW = 200  # ended requests from which the drain rate is computed
 _DRAIN_SHARE = 0.1
 _MIN_RETRY_MS = 50
 _MAX_RETRY_MS = 5_000
@@ -54,7 +54,8 @@
         deadline_ms
             The time that the caller allows.
         fastest_ms
-            The latency of the fastest such requests, 0 if not known.
+            A low quantile of the latency that a request like this one has
+            here, 0 if not known; hardly any would meet a shorter deadline.
 
         Returns
         -------
@@ -76,15 +77,15 @@
                 f'expected fewer than {limit} for class {request_class}',
                 self._retry_after_ms(limit),
             )
-        held = self._in_flight[service.name]
-        if held >= service.max_in_flight:
+        in_flight = self._in_flight[service.name]
+        if in_flight >= service.max_in_flight:
             return protocol.NotRun(
                 protocol.NotRunReason.SHARE_EXCEEDED,
-                f'got {held} requests of {service.name} in flight, '
+                f'got {in_flight} requests of {service.name} in flight, '
                 f'expected fewer than {service.max_in_flight}',
                 self._retry_after_ms(service.max_in_flight),
             )
-        self._enter(service.name)
+        self._acquire(service.name)
         return None
 
     def admit_run(
@@ -95,12 +96,12 @@
         """Admit an unrepeatable request, or return why it is refused.
 
         A request of an unknown service or operation is admitted and
-        counted; the runner refuses it with its own reason.
+        counted; :class:`Runner` refuses it with the exact reason.
         """
         service = configuration.services.get(request.service)
         operation = service and service.operations.get(request.operation)
         if service is None or operation is None:
-            self._enter(request.service)
+            self._acquire(request.service)
             return None
         return self.admit(
             service,
@@ -117,7 +118,7 @@
         self._total -= 1
         self._ended_ms.append(self._clock.now_ms())
 
-    def _enter(self, service: str) -> None:
+    def _acquire(self, service: str) -> None:
         self._in_flight[service] += 1
         self._total += 1
 
--- a/samphiredock/coordination/search/_hedging.py
+++ b/samphiredock/coordination/search/_hedging.py
@@ -1,4 +1,8 @@
-"""Latency quantiles for hedge delays, and detection of overload."""
+"""Latency quantiles for hedge delays, and detection of overload.
+
+A merge order, or order for short, asks another daemon to query several
+targets and to report their results merged; its attempts are called ordered.
+"""
 
 import collections
 
@@ -18,8 +22,8 @@
 
 GATHER_FACTOR = 1.3
 """For how many hedge delays a daemon gathers the results of an order before
-it reports them merged.  Most are in by then; each later one is reported by
-itself."""
+it reports them merged.  Most have arrived by then; each later one is reported
+by itself."""
 
 ORDER_SLACK_MS = 20.0
 """How long after the end of gathering an ordered attempt counts as late, if
@@ -34,7 +38,7 @@
 
 
 def gather_ms(hedge_delay_ms: float) -> float:
-    """Return for how long the results of an order are gathered."""
+    """Return for how many ms a daemon gathers the results of an order."""
     return hedge_delay_ms * GATHER_FACTOR
 
 
@@ -43,7 +47,7 @@
     return gather_ms(hedge_delay_ms) + ORDER_SLACK_MS
 
 
-class _IndexRecord:
+class _IndexStats:
     """Latencies of one index, and its share of overload signs."""
 
     __slots__ = ('_samples', '_new_samples', '_sorted', '_overload_share')
@@ -82,13 +86,13 @@
     """Latencies of attempts by index, as this daemon observes them.
 
     They include the time in the dispatcher's queue, because a hedge helps
-    whatever delays an answer.  Samples are kept by index, since a single
+    against that delay as well.  Samples are kept by index, since a single
     shard has too few for a tail quantile.
     """
 
     def __init__(self) -> None:
-        self._records: dict[str, _IndexRecord] = collections.defaultdict(
-            _IndexRecord
+        self._stats: dict[str, _IndexStats] = collections.defaultdict(
+            _IndexStats
         )
 
     def observe(self, index: str, took_ms: float) -> None:
@@ -98,7 +102,7 @@
         cancelled: without it the quantile would fall and ever more hedges
         would be sent.
         """
-        self._records[index].observe(took_ms)
+        self._stats[index].observe(took_ms)
 
     def record_overload_sign(
         self,
@@ -114,11 +118,11 @@
             and waited_ms > _QUEUED_FACTOR * service_ms
         ):
             weight = max(weight, 1.0)
-        self._records[index].record_overload_sign(weight)
+        self._stats[index].record_overload_sign(weight)
 
     def is_overloaded(self, index: str) -> bool:
-        """Return whether the index is overloaded, so that hedges add load."""
-        return self._records[index].is_overloaded()
+        """Return whether the index is overloaded; hedges would add to that."""
+        return self._stats[index].is_overloaded()
 
     def hedge_delay_ms(
         self, index: str, quantile: float, default_ms: float
@@ -127,7 +131,7 @@
 
         ``default_ms`` is the delay while too few latencies are known.
         """
-        record = self._records[index]
+        record = self._stats[index]
         if record.is_overloaded():
             return None
         delay_ms = record.quantile(quantile)
@@ -137,4 +141,4 @@
 
     def quantile_ms(self, index: str, quantile: float) -> float:
         """Return a quantile of the latency, 0 while too few are known."""
-        return self._records[index].quantile(quantile) or 0.0
+        return self._stats[index].quantile(quantile) or 0.0
--- a/samphiredock/coordination/search/_planner.py
+++ b/samphiredock/coordination/search/_planner.py
@@ -37,8 +37,9 @@
         The hedge delay while no latencies are known; None for a share of
         the search's deadline.
     uses_orders
-        A dispatcher other than the target itself is a daemon that queries
-        the target for this search and merges the answers.
+        Whether attempts are sent as merge orders, unless this daemon queries
+        the target itself.  A merge order asks another daemon to query
+        targets and to merge their answers.
     """
 
     query_id: str
@@ -87,7 +88,7 @@
     if isinstance(found, result.Failure):
         return found
     search = found.unwrap()
-    problem = _problem_with(request, search, configuration.limits)
+    problem = _find_problem(request, search, configuration.limits)
     if problem:
         return _refused(protocol.NotRunReason.BAD_REQUEST, problem)
     chosen = _choose_snapshot(request, search, snapshot)
@@ -157,11 +158,12 @@
     return result.Success(snapshot)
 
 
-def _problem_with(
+def _find_problem(
     request: protocol.SearchRequest,
     search: state.Search,
     limits: state.Limits,
 ) -> str:
+    """Return what is wrong with the request, an empty text if nothing."""
     if request.deadline_ms is not None and not (
         0 < request.deadline_ms <= limits.deadline_limit_ms
     ):
