--- a/samphiredock/daemon/_entry_forwarding.py
+++ b/samphiredock/daemon/_entry_forwarding.py
@@ -36,7 +36,6 @@
 """Coordinators connect to a new target at random times within this period, so
 that they do not occupy all its slots at once."""
 
-
 _log = logs.logger('entry')
 
 
--- a/samphiredock/daemon/_shutdown.py
+++ b/samphiredock/daemon/_shutdown.py
@@ -11,7 +11,7 @@
 
 import transitions
 
-HURRY_LIMIT_MS = 1_000.0
+SECOND_SIGNAL_LIMIT_MS = 1_000.0
 """Time that a second signal leaves for requests in flight."""
 
 
@@ -98,7 +98,7 @@
             self._started_ms = now_ms
             self._ends_ms = now_ms + self._limit_ms
         else:
-            self._ends_ms = min(self._ends_ms, now_ms + HURRY_LIMIT_MS)
+            self._ends_ms = min(self._ends_ms, now_ms + SECOND_SIGNAL_LIMIT_MS)
         self.signalled()
 
     def on_tick(self, now_ms: float, in_flight: int) -> None:
