--- a/samphiredock/daemon/_node.py
+++ b/samphiredock/daemon/_node.py
@@ -1,4 +1,4 @@
-"""One daemon: its HTTP interfaces, and its start and stop."""
+"""The daemon for searches and runs: its HTTP servers, start and shutdown."""
 
 import asyncio
 import pathlib
@@ -7,8 +7,8 @@
 
 from aiohttp import web
 
-from samphiredock.daemon import _operations
-from samphiredock.daemon import _parts
+from samphiredock.daemon import _components
+from samphiredock.daemon import _operator_handler
 from samphiredock.daemon import _shutdown
 from samphiredock import logs
 from samphiredock import protocol
@@ -17,14 +17,14 @@
 
 _BODY_LIMIT_BYTES = 1_000_000
 _SHUTDOWN_TICK_MS = 50.0
-_LAST_RECORD_MS = 1_000.0
-_ANSWER_MS = 1_000.0
-"""For the answers that are given when the time is up: an order's cancel
-takes up to 300 ms, the rest the turns of a busy event loop."""
-_ANSWER_LOOK_MS = 10.0
-_DOOR_CLOSE_S = 0.5
-"""For a body that is still being read, and for a caller that reads its
-answer slowly; the library waits for each up to twice as long."""
+_DRAIN_TIMEOUT_MS = 1_000.0
+_LAST_REPLIES_MS = 1_000.0
+"""How long to wait for the replies written at the end of a shutdown; the
+slowest ones follow the cancellation of a run order."""
+_REPLY_POLL_MS = 10.0
+_SERVER_CLOSE_S = 0.5
+"""Timeout of aiohttp at closing a server, for a body still being read and a
+caller that reads its reply slowly; aiohttp waits up to twice as long."""
 
 _SHUTTING_DOWN = protocol.NotRun(
     protocol.NotRunReason.SHUTTING_DOWN,
@@ -37,12 +37,12 @@
 
 
 class Node:
-    """A running daemon.
+    """A daemon that serves searches, runs and operators' calls.
 
     Parameters
     ----------
     settings
-        Its addresses and bounds.
+        The daemon's addresses and limits.
     keys
         The operators' token and the CURVE keys.
     """
@@ -52,45 +52,45 @@
     ) -> None:
         self._settings = settings
         self._keys = keys or state.Keys()
-        self._parts = _parts.Parts(settings, self._keys)
+        self._components = _components.Components(settings, self._keys)
         self._shutdown = _shutdown.Shutdown(
             settings.balancer_lag_ms,
             settings.shutdown_limit_ms,
             self._on_phase,
         )
-        self._desk = _operations.OperatorDesk(
-            self._parts, settings, self.is_ready
+        self._operator_handler = _operator_handler.OperatorHandler(
+            self._components, settings, self.is_ready
         )
         self._stopped = asyncio.Event()
         self._open_requests = 0
         self._runners: list[web.AppRunner] = []
 
-    # What the interface for callers asks for.
+    # Requests of callers (transport.RequestExecutor).
 
     async def search(
         self, request: protocol.SearchRequest
     ) -> protocol.SearchOutcome:
         """Run one search."""
-        return await self._serve(self._parts.coordinator.search(request))
+        return await self._serve(self._components.coordinator.search(request))
 
     async def run(
         self, request: protocol.RunRequest, idempotency_key: str
     ) -> protocol.RunOutcome:
-        """Run one unrepeatable request."""
+        """Run one request that must not be executed more than once."""
         return await self._serve(self._admitted_run(request, idempotency_key))
 
     async def _admitted_run(
         self, request: protocol.RunRequest, idempotency_key: str
     ) -> protocol.RunOutcome:
-        configuration = self._parts.configuration
+        configuration = self._components.configuration
         if configuration is None:
-            return await self._parts.runner.run(request, idempotency_key)
-        admission = self._parts.admission
+            return await self._components.runner.run(request, idempotency_key)
+        admission = self._components.admission
         refusal = admission.admit_run(request, configuration)
         if refusal is not None:
             return refusal
         try:
-            return await self._parts.runner.run(request, idempotency_key)
+            return await self._components.runner.run(request, idempotency_key)
         finally:
             admission.release(request.service)
 
@@ -99,7 +99,9 @@
     ) -> protocol.Outcome:
         if self._shutdown.phase in _REFUSING:
             work.close()
-            self._parts.metrics.add('requests_refused', reason='shutting-down')
+            self._components.metrics.add(
+                'requests_refused', reason='shutting-down'
+            )
             return _SHUTTING_DOWN
         self._open_requests += 1
         try:
@@ -109,26 +111,26 @@
 
     def is_ready(self) -> bool:
         """Whether the balancer should send requests here."""
-        parts = self._parts
+        components = self._components
         return (
             self._shutdown.phase is _shutdown.Phase.SERVING
-            and parts.configuration is not None
-            and parts.snapshot is not None
-            and parts.membership.is_settled()
-            and parts.membership.is_current()
+            and components.configuration is not None
+            and components.snapshot is not None
+            and components.membership.is_settled()
+            and components.membership.is_current()
         )
 
     def is_closing(self) -> bool:
         """Whether connections should end after the current answer."""
         return self._shutdown.phase is not _shutdown.Phase.SERVING
 
-    # Life.
+    # Start and shutdown.
 
     async def start(self) -> None:
-        """Open the addresses and begin to learn.
+        """Start all components and serve all addresses.
 
-        Raises ``OSError`` if an address cannot be listened on; nothing is
-        left open then.
+        Raises ``OSError`` if an address cannot be listened on; then
+        everything opened so far is closed again.
         """
         try:
             await self._open()
@@ -138,15 +140,17 @@
         _log.notice('started', name=self._settings.name)
 
     async def _open(self) -> None:
-        self._parts.start()
+        self._components.start()
         callers = transport.caller_application(
             self,
             _BODY_LIMIT_BYTES,
-            self._parts.metrics,
+            self._components.metrics,
             self._body_limit_bytes,
         )
         operators = transport.operator_application(
-            self._desk, self._parts.metrics, self._keys.operator_token
+            self._operator_handler,
+            self._components.metrics,
+            self._keys.operator_token,
         )
         await self._listen(
             callers,
@@ -156,7 +160,7 @@
         await self._listen(operators, self._settings.operator_address, None)
 
     def _body_limit_bytes(self) -> int:
-        configuration = self._parts.configuration
+        configuration = self._components.configuration
         limits = configuration.limits if configuration else state.Limits()
         return limits.body_limit_bytes
 
@@ -168,7 +172,7 @@
     ) -> None:
         host, _, port = address.rpartition(':')
         runner = web.AppRunner(
-            application, access_log=None, shutdown_timeout=_DOOR_CLOSE_S
+            application, access_log=None, shutdown_timeout=_SERVER_CLOSE_S
         )
         self._runners.append(runner)
         await runner.setup()
@@ -176,29 +180,30 @@
         await web.TCPSite(runner, host, int(port), ssl_context=tls).start()
 
     def on_signal(self) -> None:
-        """Begin a graceful shutdown, or hurry one."""
-        self._shutdown.on_signal(self._parts.clock.now_ms())
+        """Begin a graceful shutdown, or shorten the current one."""
+        self._shutdown.on_signal(self._components.clock.now_ms())
 
     async def wait_stopped(self) -> None:
-        """Wait until a shutdown has gone through all its phases."""
+        """Wait for the shutdown to reach its last phase, then close all."""
         await self._stopped.wait()
-        await self._answer_all()
+        await self._wait_for_replies()
         await self._stop_listening()
-        # An outcome that is not in the store yet is lost with this process,
-        # and the caller's retry finds it unknown for good.
-        await self._parts.runner.drain(_LAST_RECORD_MS)
-        await self._parts.close()
+        # An outcome not yet in the store is lost with this process, and a
+        # retry of its caller would find it unknown for good.
+        await self._components.runner.drain(_DRAIN_TIMEOUT_MS)
+        await self._components.close()
         _log.notice('stopped', name=self._settings.name)
 
-    async def _answer_all(self) -> None:
-        """Wait until what was read is answered, so that no door cuts it.
+    async def _wait_for_replies(self) -> None:
+        """Wait until all requests read so far are answered.
 
-        Every wait behind a request has been ended, and what waits on its
-        connection is refused; a caller that sends on and on is cut.
+        All pending requests have their outcome already, and new ones are
+        refused.  Callers that keep sending are disconnected after the
+        timeout.
         """
-        until_ms = self._parts.clock.now_ms() + _ANSWER_MS
-        while self._is_busy() and self._parts.clock.now_ms() < until_ms:
-            await asyncio.sleep(_ANSWER_LOOK_MS / 1000.0)
+        ends_ms = self._components.clock.now_ms() + _LAST_REPLIES_MS
+        while self._is_busy() and self._components.clock.now_ms() < ends_ms:
+            await asyncio.sleep(_REPLY_POLL_MS / 1000.0)
 
     def _is_busy(self) -> bool:
         return any(
@@ -213,16 +218,16 @@
 
     async def _close(self) -> None:
         await self._stop_listening()
-        await self._parts.close()
+        await self._components.close()
 
     def in_flight(self) -> int:
-        """Return the work that a graceful stop has to wait for."""
+        """Return how many tasks a graceful shutdown has to wait for."""
         return (
             self._open_requests
-            + self._desk.open_calls()
-            + self._parts.dispatcher.in_flight()
-            + self._parts.runner.in_flight()
-            + self._parts.runner.unrecorded_count()
+            + self._operator_handler.open_calls()
+            + self._components.dispatcher.in_flight()
+            + self._components.runner.in_flight()
+            + self._components.runner.unrecorded_count()
         )
 
     def _on_phase(self, phase: _shutdown.Phase) -> None:
@@ -230,38 +235,38 @@
         _PHASE_ACTIONS[phase](self)
 
     def _begin_leaving(self) -> None:
-        # The others take over the dispatching while this daemon still
-        # serves what the balancer sends, through them.
-        self._parts.membership.leave()
-        self._parts.ownership.refresh()
-        self._parts.clock.every(
+        # Other daemons take over dispatching to the targets, and this one
+        # passes on to them what the balancer still sends.
+        self._components.membership.leave()
+        self._components.ownership.refresh()
+        self._components.clock.every(
             _SHUTDOWN_TICK_MS,
             lambda: self._shutdown.on_tick(
-                self._parts.clock.now_ms(), self.in_flight()
+                self._components.clock.now_ms(), self.in_flight()
             ),
         )
 
     def _begin_draining(self) -> None:
-        # New requests are refused by the phase alone.
-        self._parts.metrics.add('shutdowns_draining')
-
-    def _end(self) -> None:
-        """Answer what is open: a closed connection would tell nothing."""
-        self._parts.dispatcher.stop()
-        left = self.in_flight()
-        self._parts.coordinator.finish_all()
-        self._parts.runner.finish_all()
-        self._desk.end()
-        if left:
-            _log.warning('requests given up', left=left)
-            self._parts.metrics.add('requests_given_up', left)
+        # _serve refuses new requests in this phase.
+        self._components.metrics.add('shutdowns_draining')
+
+    def _finish(self) -> None:
+        """Answer all pending requests, as closed connections say nothing."""
+        self._components.dispatcher.stop()
+        pending = self.in_flight()
+        self._components.coordinator.finish_all()
+        self._components.runner.finish_all()
+        self._operator_handler.finish_all()
+        if pending:
+            _log.warning('requests given up', left=pending)
+            self._components.metrics.add('requests_given_up', pending)
         self._stopped.set()
 
 
 _PHASE_ACTIONS = {
     _shutdown.Phase.LEAVING: Node._begin_leaving,
     _shutdown.Phase.DRAINING: Node._begin_draining,
-    _shutdown.Phase.CLOSED: Node._end,
+    _shutdown.Phase.CLOSED: Node._finish,
 }
 
 
--- a/tests/unit/test_doors.py
+++ b/tests/unit/test_server_closing.py
@@ -1,9 +1,9 @@
-"""Doors that close while requests are under way."""
+"""Tests of servers that close while requests are pending."""
 
 import asyncio
 import unittest
 
-from samphiredock.daemon import _doors
+from samphiredock.daemon import _server_closing
 from samphiredock import metrics
 from samphiredock import protocol
 from samphiredock import state
@@ -14,31 +14,31 @@
 _HANG_GUARD_S = 20.0
 
 
-class DoorsTest(unittest.IsolatedAsyncioTestCase):
-    """Two servers whose requests wait for the test."""
+class ServerClosingTest(unittest.IsolatedAsyncioTestCase):
+    """Two servers whose requests are answered by the test."""
 
     async def asyncSetUp(self) -> None:
-        """Listen at both, with one request under way at the first."""
+        """Start both, with one pending request at the first."""
         self.counters = metrics.Metrics('test')
         self.addCleanup(self.counters.close)
         self.clock = timers.LoopTimers()
         self.addCleanup(self.clock.close)
         self.replies: asyncio.Queue[protocol.HttpReply] = asyncio.Queue()
-        self.seen = 0
+        self.request_count = 0
         self.left_ms = 1_000.0
-        self.gave_up = 0
+        self.finish_all_calls = 0
         self.servers = [await self._listen(), await self._listen()]
         self.addresses = [row.address() for row in self.servers]
         self.reader, self.writer = await self._connect(0)
         self.writer.write(_REQUEST)
-        while not self.seen:
+        while not self.request_count:
             await asyncio.sleep(0.001)
 
     async def _listen(self) -> transport.EntryServer:
-        door = transport.EntryCallbacks(
+        callbacks = transport.EntryCallbacks(
             self._handle, lambda: True, state.CallerLimits
         )
-        server = transport.EntryServer(door, self.counters, self.clock)
+        server = transport.EntryServer(callbacks, self.counters, self.clock)
         await server.start('127.0.0.1:0', 16)
         return server
 
@@ -53,73 +53,74 @@
     async def _handle(
         self, method: str, path: str, headers: protocol.Headers, body: bytes
     ) -> protocol.HttpReply:
-        self.seen += 1
+        self.request_count += 1
         return await self.replies.get()
 
-    def _give_up(self) -> None:
-        self.gave_up += 1
+    def _finish_all(self) -> None:
+        self.finish_all_calls += 1
         self.replies.put_nowait(protocol.HttpReply(502))
 
     def _close(self) -> asyncio.Task[int]:
         return asyncio.create_task(
-            _doors.close_all(self.servers, lambda: self.left_ms, self._give_up)
+            _server_closing.close_servers(
+                self.servers, lambda: self.left_ms, self._finish_all
+            )
         )
 
-    async def _answer(self) -> bytes:
+    async def _read_reply(self) -> bytes:
         return await asyncio.wait_for(self.reader.read(), _HANG_GUARD_S)
 
-    async def test_what_is_under_way_has_the_time_that_is_left(self) -> None:
-        """The caller gets its answer, not a closed connection.
+    async def test_pending_requests_have_the_time_left(self) -> None:
+        """The caller gets its reply, not a closed connection.
 
-        A request is read as the doors begin to close, and takes longer than
-        the moment in which connections are closed.  The stop has time left.
+        The request takes longer than the default timeout of a close, but less
+        than the time left for the shutdown.
         """
-        closing = self._close()
+        close_task = self._close()
         await asyncio.sleep(2.0 * transport.CLOSE_TIMEOUT_MS / 1000.0)
         self.replies.put_nowait(protocol.HttpReply(207))
-        self.assertIn(b' 207 ', await self._answer())
-        await closing
-        self.assertEqual(0, self.gave_up)
+        self.assertIn(b' 207 ', await self._read_reply())
+        await close_task
+        self.assertEqual(0, self.finish_all_calls)
 
-    async def test_what_is_open_when_the_time_is_over_is_answered(
+    async def test_pending_requests_are_answered_at_the_limit(
         self,
     ) -> None:
-        """The caller learns what is known of its request.
+        """The caller gets the outcome known when the time is up.
 
-        Its target stays silent until the stop has no time left, as after a
-        second signal, which shortens it.
+        The time is shortened, as by a second signal, while its request waits.
         """
-        closing = self._close()
+        close_task = self._close()
         await asyncio.sleep(0.0)
         self.left_ms = 0.0
-        self.assertIn(b' 502 ', await self._answer())
-        self.assertEqual(0, await closing)
-        self.assertEqual(1, self.gave_up)
+        self.assertIn(b' 502 ', await self._read_reply())
+        self.assertEqual(0, await close_task)
+        self.assertEqual(1, self.finish_all_calls)
 
-    async def test_a_stop_without_time_answers_before_it_cuts(self) -> None:
-        """Its time may be used up before the doors begin to close."""
+    async def test_no_time_left_still_answers_before_aborting(self) -> None:
+        """The time may be used up before the servers begin to close."""
         self.left_ms = 0.0
         await self._close()
-        self.assertIn(b' 502 ', await self._answer())
+        self.assertIn(b' 502 ', await self._read_reply())
 
-    async def test_what_cannot_be_answered_does_not_hold_the_end(
+    async def test_unanswerable_requests_do_not_delay_the_end(
         self,
     ) -> None:
-        """The process would be killed, and nothing in it closed in order."""
+        """Otherwise the process would be killed before it closed the rest."""
         self.left_ms = 0.0
-        cut = await _doors.close_all(
+        aborted = await _server_closing.close_servers(
             self.servers, lambda: self.left_ms, lambda: None
         )
-        self.assertEqual(1, cut)
-        self.assertEqual(b'', await self._answer())
+        self.assertEqual(1, aborted)
+        self.assertEqual(b'', await self._read_reply())
 
-    async def test_no_door_takes_callers_while_another_waits(self) -> None:
-        """They would have less time than where they can still go."""
-        closing = self._close()
+    async def test_no_server_accepts_while_another_waits(self) -> None:
+        """New callers would have less time here than at another daemon."""
+        close_task = self._close()
         await asyncio.sleep(0.0)
         await asyncio.sleep(0.0)
         for server in (0, 1):
             with self.assertRaises(OSError):
                 await self._connect(server)
         self.replies.put_nowait(protocol.HttpReply(207))
-        await closing
+        await close_task
