--- a/tests/unit/test_wire_names.py
+++ b/tests/unit/test_wire_names.py
@@ -428,10 +428,10 @@
                 ),
             ),
             (
-                protocol.ObjectChanged('k', 2, 'v'),
+                protocol.ObjectChanged('k', 2, b'v'),
                 (
                     b'ObjectChanged',
-                    b'\x83\xa3key\xa1k\xa7version\x02\xa5value\xa1v',
+                    b'\x83\xa3key\xa1k\xa7version\x02\xa5value\xc4\x01v',
                 ),
             ),
             (
