--- a/samphiredock/coordination/once/_claim_acquirer.py
+++ b/samphiredock/coordination/once/_claim_acquirer.py
@@ -43,7 +43,7 @@
         replaces: str | None = None
         while True:
             ended = await self._claims.open(
-                run.admitted.place,
+                run.admitted.location,
                 run.claim,
                 run.admitted.deadline_at_ms,
                 replaces,
--- a/samphiredock/coordination/once/_claim_registry.py
+++ b/samphiredock/coordination/once/_claim_registry.py
@@ -52,7 +52,7 @@
 
     async def open(
         self,
-        place: state.ClaimLocation,
+        location: state.ClaimLocation,
         wanted: state.Claim,
         deadline_at_ms: float,
         replaces: str | None = None,
@@ -65,7 +65,7 @@
 
         Parameters
         ----------
-        place
+        location
             Bucket object and digest of the claim.
         wanted
             The claim to write.
@@ -87,9 +87,9 @@
             )
         answer = asyncio.get_running_loop().create_future()
         change = _claim_bucket.OpenChange(
-            place.digest, wanted, replaces, answer
+            location.digest, wanted, replaces, answer
         )
-        writer = self._writer(place.path)
+        writer = self._writer(location.path)
         if force_read:
             writer.drop_cache()
         writer.submit(change)
@@ -103,7 +103,7 @@
         return OpenResult(opened, granted or change.put_sent)
 
     def close(
-        self, place: state.ClaimLocation, final: state.Claim
+        self, location: state.ClaimLocation, final: state.Claim
     ) -> asyncio.Future[bool]:
         """Record how a claim ended, retrying until it is recorded.
 
@@ -113,8 +113,8 @@
         answer = asyncio.get_running_loop().create_future()
         self._unrecorded.add(answer)
         answer.add_done_callback(self._on_recorded)
-        change = _claim_bucket.CloseChange(place.digest, final, answer)
-        self._writer(place.path).submit(change)
+        change = _claim_bucket.CloseChange(location.digest, final, answer)
+        self._writer(location.path).submit(change)
         return answer
 
     async def wait_recorded(self, until_ms: float) -> bool:
--- a/samphiredock/coordination/once/_run_admission.py
+++ b/samphiredock/coordination/once/_run_admission.py
@@ -25,7 +25,7 @@
     request: protocol.RunRequest
     key: str
     operation: state.Operation
-    place: state.ClaimLocation
+    location: state.ClaimLocation
     content_digest: str
     fingerprint: str
     retention_ms: int
--- a/samphiredock/coordination/once/_run_once.py
+++ b/samphiredock/coordination/once/_run_once.py
@@ -134,7 +134,7 @@
         )
         if isinstance(admitted, protocol.NotRun):
             return self._count_not_run(admitted)
-        pending = self._runs.get(admitted.place.digest)
+        pending = self._runs.get(admitted.location.digest)
         if pending is not None:
             return self._count_not_run(await self._join(pending, admitted))
         if self._draining:
@@ -183,7 +183,7 @@
         run = _run_request.Run(
             admitted, str(token), _run_states.new_progress()
         )
-        self._runs[admitted.place.digest] = run
+        self._runs[admitted.location.digest] = run
         self._statuses.track(run.token)
         run.task = asyncio.create_task(self._run_to_outcome(run))
         return run
@@ -230,7 +230,7 @@
                 # other daemon runs the request again.
                 self._statuses.update(run.token, _Status.UNSETTLED)
             _run_states.release(run.progress)
-            del self._runs[run.admitted.place.digest]
+            del self._runs[run.admitted.location.digest]
             self._metrics.observe(
                 'request_latency_ms',
                 self._clock.now_ms() - started_ms,
--- a/samphiredock/coordination/once/_run_request.py
+++ b/samphiredock/coordination/once/_run_request.py
@@ -124,7 +124,7 @@
         self._statuses.update(token, _Status.DONE, outcome)
         self._metrics.add('runs_completed')
         self._close(
-            admitted.place,
+            admitted.location,
             state.done_claim(
                 open_claim(token, admitted), report.accepted, report.result
             ),
@@ -203,12 +203,14 @@
         self, token: str, admitted: _run_admission.AdmittedRequest
     ) -> None:
         self._close(
-            admitted.place,
+            admitted.location,
             state.not_run_claim(open_claim(token, admitted)),
         )
 
-    def _close(self, place: state.ClaimLocation, final: state.Claim) -> None:
-        recorded = self._claims.close(place, final)
+    def _close(
+        self, location: state.ClaimLocation, final: state.Claim
+    ) -> None:
+        recorded = self._claims.close(location, final)
         recorded.add_done_callback(
             lambda _: self._statuses.forget(final.token)
         )
--- a/tests/unit/test_claim_registry.py
+++ b/tests/unit/test_claim_registry.py
@@ -94,14 +94,14 @@
 
     async def test_unreadable_bucket_is_not_overwritten(self) -> None:
         """A bucket of a later format is refused, not taken for empty."""
-        place = state.locate_claim('invoices', 'key-1')
-        await self.platform_put(place.path, b'{"format":2,"claims":{}}')
+        location = state.locate_claim('invoices', 'key-1')
+        await self.platform_put(location.path, b'{"format":2,"claims":{}}')
         task = asyncio.create_task(self.open(1))
         await self.clock.pass_ms(100)
         ended = task.result()
         self.assertFalse(ended.may_be_stored)
         self.assertNotIsInstance(ended.opened, state.OpenDecision)
-        self.assertEqual(1, self.store.objects[place.path].version)
+        self.assertEqual(1, self.store.objects[location.path].version)
 
     async def test_memory_does_not_grow_with_buckets(self) -> None:
         """A writer is dropped once its bucket is idle."""
--- a/tests/unit/test_wire_names.py
+++ b/tests/unit/test_wire_names.py
@@ -591,9 +591,9 @@
 
     def test_claims_keep_their_places(self) -> None:
         """A claim looked for elsewhere would let its request run twice."""
-        place = state.locate_claim('svc', 'key')
-        self.assertEqual('claims/1e7f8', place.path)
-        self.assertEqual('a47ec7c0f3f6592208d02a7b0691e7f8', place.digest)
+        location = state.locate_claim('svc', 'key')
+        self.assertEqual('claims/1e7f8', location.path)
+        self.assertEqual('a47ec7c0f3f6592208d02a7b0691e7f8', location.digest)
         self.assertEqual(
             '6f1bbc0a97690e48c27b0f3a86416653',
             state.content_digest('op', {'b': '1', 'a': '2'}),
