--- a/samphiredock/coordination/once/_run_orders.py
+++ b/samphiredock/coordination/once/_run_orders.py
@@ -18,7 +18,7 @@
 OUTSTANDING_LIMIT = 10_000
 """How many orders without a final report are kept."""
 
-LateReport = typing.Callable[[str, protocol.RunReport], None]
+LateReportHandler = typing.Callable[[str, protocol.RunReport], None]
 
 
 @dataclasses.dataclass(slots=True)
@@ -57,7 +57,7 @@
         peers: transport.Peers,
         clock: timers.Timers,
         counters: metrics.Metrics,
-        on_late: LateReport,
+        on_late: LateReportHandler,
         cutoff: _cutoff.Cutoff | None = None,
     ) -> None:
         self._cutoff = cutoff or _cutoff.Cutoff(clock)
