--- a/samphiredock/coordination/config/_current_state.py
+++ b/samphiredock/coordination/config/_current_state.py
@@ -113,7 +113,7 @@
         self.source = source
         self._lowest_reported = source.revision
         _log.notice('configuration in force', revision=source.revision)
-        self._store_value(CONFIGURATION_KEY, source.revision, source, value)
+        self._adopt(CONFIGURATION_KEY, source.revision, source, value)
         for callback in self._subscribers:
             callback(self.configuration)
         return True
@@ -126,10 +126,10 @@
             return False
         self.snapshot = snapshot
         _log.notice('snapshot published', snapshot_id=snapshot.snapshot_id)
-        self._store_value(SNAPSHOT_KEY, snapshot.snapshot_id, snapshot, value)
+        self._adopt(SNAPSHOT_KEY, snapshot.snapshot_id, snapshot, value)
         return True
 
-    def _store_value(
+    def _adopt(
         self,
         key: str,
         version: int,
