--- a/samphiredock/coordination/config/_exchange.py
+++ b/samphiredock/coordination/config/_exchange.py
@@ -128,9 +128,9 @@
                 self._send_object(peer, key)
             else:
                 self._waiting_peers.setdefault(key, {})[peer] = wanted
-        for known, announced in list(self._origins):
-            if known == key and announced <= version:
-                origin = self._origins.pop((known, announced))
+        for origin_key, announced in list(self._origins):
+            if origin_key == key and announced <= version:
+                origin = self._origins.pop((origin_key, announced))
                 self._confirm_revision(key, announced, origin)
 
     def _confirm_revision(self, key: str, version: int, origin: str) -> None:
--- a/samphiredock/coordination/config/_watcher.py
+++ b/samphiredock/coordination/config/_watcher.py
@@ -200,7 +200,7 @@
     async def _watch_loop(self, prefix: str) -> None:
         position = 0
         retry_delay_ms = _RETRY_DELAY_MS
-        polled_ms = self._clock.now_ms()
+        called_ms = self._clock.now_ms()
         while True:
             is_watching = self._is_watcher()
             if not is_watching and self._stale_period_ms is not None:
@@ -208,11 +208,11 @@
                 await self._poll_stale(prefix)
                 continue
             if position and not is_watching:
-                waited_ms = self._clock.now_ms() - polled_ms
+                waited_ms = self._clock.now_ms() - called_ms
                 if waited_ms < self._poll_ms():
                     await _pause.pause(self._clock, _CHECK_MS)
                     continue
-            polled_ms = self._clock.now_ms()
+            called_ms = self._clock.now_ms()
             timeout_ms = self._watch_ms if is_watching else 0
             reply = await self._platform.watch(prefix, position, timeout_ms)
             self._on_read(prefix)
@@ -225,7 +225,7 @@
                 )
                 continue
             retry_delay_ms = _RETRY_DELAY_MS
-            self._on_success(prefix, polled_ms if is_watching else None)
+            self._on_success(prefix, called_ms if is_watching else None)
             page = reply.unwrap()
             if prefix in self._page_handlers:
                 self._page_handlers[prefix](page)
@@ -256,9 +256,9 @@
             callback()
         return False
 
-    def _on_success(self, prefix: str, asked_ms: float | None) -> None:
-        if asked_ms is not None:
-            self._last_watch_sent_ms[prefix] = asked_ms
+    def _on_success(self, prefix: str, sent_ms: float | None) -> None:
+        if sent_ms is not None:
+            self._last_watch_sent_ms[prefix] = sent_ms
             self._last_answer_ms[prefix] = self._clock.now_ms()
         if prefix in self._failing:
             self._failing.discard(prefix)
--- a/samphiredock/coordination/once/_claim_acquirer.py
+++ b/samphiredock/coordination/once/_claim_acquirer.py
@@ -42,23 +42,23 @@
         found: state.Claim | None = None
         replaces: str | None = None
         while True:
-            ended = await self._claims.open(
+            opening = await self._claims.open(
                 run.admitted.location,
                 run.claim,
                 run.admitted.deadline_at_ms,
                 replaces,
                 force_read=found is not None,
             )
-            run.may_be_stored |= ended.may_be_stored
-            opened = ended.opened
+            run.may_be_stored |= opening.may_be_stored
+            opened = opening.opened
             if not isinstance(opened, state.OpenDecision):
                 return self._not_acquired(run, opened)
             if opened.status is state.OpenStatus.GRANTED:
                 run.step('grant')
                 return None
-            ended_here = self._outcome_in_bucket(run, opened)
-            if ended_here is not None:
-                return ended_here
+            outcome = self._outcome_in_bucket(run, opened)
+            if outcome is not None:
+                return outcome
             assert opened.claim is not None
             if found is not None and found.token == opened.claim.token:
                 return self._recorder.answer_unknown(
--- a/samphiredock/coordination/once/_run_sending.py
+++ b/samphiredock/coordination/once/_run_sending.py
@@ -91,15 +91,15 @@
             if target is None:
                 break
             tried.add(target)
-            ended = await self._try_target(run, target)
-            if not isinstance(ended, protocol.RunReport):
-                return ended
+            result = await self._try_target(run, target)
+            if not isinstance(result, protocol.RunReport):
+                return result
             reason = _STATUS_REASON.get(
-                ended.status, protocol.NotRunReason.NO_TARGET
+                result.status, protocol.NotRunReason.NO_TARGET
             )
-            detail = f'{target}: {ended.status.value} {ended.detail}'
+            detail = f'{target}: {result.status.value} {result.detail}'
             retry_after_ms = (
-                ended.retry_after_ms or _run_request.RETRY_AFTER_MS
+                result.retry_after_ms or _run_request.RETRY_AFTER_MS
             )
         return self._recorder.answer_not_run(
             run, reason, detail, retry_after_ms
--- a/tests/failure/test_at_most_once.py
+++ b/tests/failure/test_at_most_once.py
@@ -343,7 +343,7 @@
 
 def _take_over_from_silent_holders() -> mock.Mock:
     async def ask(
-        holders: object, token: str, until_ms: float
+        statuses: object, token: str, until_ms: float
     ) -> protocol.ClaimAnswer:
         return protocol.ClaimAnswer(token, protocol.ClaimStatus.NEVER_SENT)
 
--- a/tests/failure/test_configuration.py
+++ b/tests/failure/test_configuration.py
@@ -290,9 +290,7 @@
 class StepsTest(unittest.IsolatedAsyncioTestCase):
     """Single failures, step by step."""
 
-    async def test_frozen_site_is_not_ready_until_it_has_the_newer(
-        self,
-    ) -> None:
+    async def test_woken_site_is_not_ready_on_an_old_revision(self) -> None:
         """A woken site is not ready until it has the revision in force.
 
         The change was accepted while the site was frozen; the store is down.
--- a/tests/failure/test_stopped_runs.py
+++ b/tests/failure/test_stopped_runs.py
@@ -108,7 +108,7 @@
             await self.assert_outcome_type(call, protocol.Unknown)
         self.assertEqual(1, self.system.executions())
 
-    async def test_request_after_the_end(self) -> None:
+    async def test_request_after_finish_all(self) -> None:
         """A request after ``finish_all`` is refused and not sent."""
         self.system.use('answer')
         self.first.runner.finish_all()
--- a/tests/history.py
+++ b/tests/history.py
@@ -190,12 +190,12 @@
                 f'call {call.number}: coverage {stated}, missing {missing}'
             )
         expected = set(_expected_keys(index, call.terms, missing))
-        there = set(_expected_keys(index, call.terms, ()))
+        matching = set(_expected_keys(index, call.terms, ()))
         found = [record['key'] for record in call.outcome['records']]
         lost = sorted(expected - set(found))[:3]
-        extra = sorted(set(found) - there)[:3]
+        extra = sorted(set(found) - matching)[:3]
         doubled = len(found) - len(set(found))
-        if len(there) <= limit and (lost or extra or doubled):
+        if len(matching) <= limit and (lost or extra or doubled):
             violations.append(
                 f'call {call.number}: {len(found)} records, '
                 f'{len(expected)} expected; lost {lost}, extra {extra}, '
--- a/tests/history_runs.py
+++ b/tests/history_runs.py
@@ -80,23 +80,25 @@
         event.attempt_id for event in history if isinstance(event, Executed)
     }
     answers = {
-        event.call: (place, event.outcome)
-        for place, event in enumerate(history)
+        event.call: (position, event.outcome)
+        for position, event in enumerate(history)
         if isinstance(event, Answered)
     }
     found = []
-    for place, order in enumerate(history):
+    for position, order in enumerate(history):
         if not isinstance(order, Ordered):
             continue
         if order.attempt_id not in executed:
             continue
         open_calls = [
             event
-            for event in history[:place]
+            for event in history[:position]
             if isinstance(event, Called)
             and (event.process, event.key, event.body)
             == (order.process, order.key, order.body)
-            and (event.call not in answers or answers[event.call][0] > place)
+            and (
+                event.call not in answers or answers[event.call][0] > position
+            )
         ]
         if not open_calls:
             found.append(f'{order.attempt_id}: sent when no call was open')
--- a/tests/simulation_runs.py
+++ b/tests/simulation_runs.py
@@ -187,11 +187,11 @@
         action()
 
     def _call(self, key: str | None = None, name: str | None = None) -> None:
-        other = key is None and self._random.random() < 0.05
+        is_other_body = key is None and self._random.random() < 0.05
         self.system.call(
             self.system.daemons[name or self._random.choice(self.NAMES)],
             key or self._random.choice(self._active_keys()),
-            'household-8' if other else 'household-7',
+            'household-8' if is_other_body else 'household-7',
             deadline_ms=self._random.choice((None, 300, 5_000)),
         )
 
