--- a/samphiredock/coordination/config/_accept.py
+++ b/samphiredock/coordination/config/_accept.py
@@ -2,8 +2,8 @@
 
 A change based on revision *b* can only be stored as revision *b* + 1, and
 the stored object lists its last changes.  Any later read therefore tells
-from that one row whether the change was accepted, even if the answer to the
-write was lost and other changes have followed.
+from the row of revision *b* + 1 whether the change was accepted, even if the
+answer to the write was lost and other changes have followed.
 """
 
 import enum
@@ -212,6 +212,10 @@
         status: ChangeStatus,
         newest: state.ConfigurationSource | None,
     ) -> protocol.ChangeOutcome | str:
+        """Return the outcome of a change that cannot be written now.
+
+        Returns the reason as a text if the change should be tried again.
+        """
         if status is ChangeStatus.ACCEPTED:
             self._current_state.offer_source(newest)
             return protocol.ChangeAccepted(change.base_revision + 1)
@@ -221,6 +225,7 @@
             return protocol.ChangeUnknown(
                 f'revision {change.base_revision + 1} is no longer listed', 0
             )
+        # A stale read does not show whether the change is stored already.
         self._possibly_written.add(change.change_id)
         revision = newest.revision if newest else 0
         return (
--- a/samphiredock/coordination/config/_current_state.py
+++ b/samphiredock/coordination/config/_current_state.py
@@ -72,7 +72,7 @@
         self._subscribers.append(callback)
 
     def on_adopted(self, callback: typing.Callable[[str, int], None]) -> None:
-        """Call ``callback`` with key and version of each newer object."""
+        """Call ``callback`` with key and version of each object taken."""
         self._adopted_callbacks.append(callback)
 
     def offer(self, key: str, value: bytes) -> bool:
@@ -125,7 +125,7 @@
         if snapshot.snapshot_id <= self.snapshot_id:
             return False
         self.snapshot = snapshot
-        _log.notice('snapshot published', snapshot_id=snapshot.snapshot_id)
+        _log.notice('snapshot received', snapshot_id=snapshot.snapshot_id)
         self._adopt(SNAPSHOT_KEY, snapshot.snapshot_id, snapshot, value)
         return True
 
--- a/samphiredock/coordination/config/_distribution.py
+++ b/samphiredock/coordination/config/_distribution.py
@@ -2,7 +2,9 @@
 
 A few daemons of each site watch the store and relay changed objects to the
 others.  Every daemon reads all objects at start, and polls at long intervals
-to find changes whose relay was lost.
+to find changes whose relay was lost.  Of the configuration and the snapshot
+only the version is relayed, and daemons request the object itself (see
+``_exchange``).
 """
 
 from samphiredock.coordination.config import _current_state
@@ -22,7 +24,7 @@
 def follow_configuration(
     watcher: _watcher.Watcher, current_state: _current_state.CurrentState
 ) -> None:
-    """Offer configurations and snapshots from the store to the state."""
+    """Offer configurations and snapshots from the store to a state."""
 
     def take(stored: transport.StoredObject) -> None:
         current_state.offer(stored.key, stored.value)
@@ -102,7 +104,7 @@
             _current_state.CONFIGURATION_KEY,
             _current_state.SNAPSHOT_KEY,
         ):
-            return
+            return  # the exchange takes these
         stored = transport.StoredObject(
             changed.key, changed.version, changed.value
         )
--- a/samphiredock/coordination/config/_exchange.py
+++ b/samphiredock/coordination/config/_exchange.py
@@ -6,6 +6,9 @@
 before it has the object answers once it gets it.  Probes carry the versions
 too: a daemon that missed a notice requests the object from the next peer it
 exchanges probes with, even while the store is down.
+
+A notice names its origin, the daemon that sent it first.  Daemons confirm to
+the origin that they have the announced configuration revision.
 """
 
 import typing
@@ -16,7 +19,7 @@
 from samphiredock import protocol
 from samphiredock import timers
 
-_REQUEST_RETRY_MS = 600.0  # before another peer is asked
+_REQUEST_RETRY_MS = 600.0  # before another request for the version
 _WAITING_PEERS_LIMIT = 1_000  # per object
 
 
@@ -52,9 +55,13 @@
         self._broadcast = broadcast
         self._clock = clock
         self._metrics = counters
+        # By object key: the version requested last and when.
         self._requested: dict[str, tuple[int, float]] = {}
+        # By object key: the versions that peers wait for, by peer.
         self._waiting_peers: dict[str, dict[str, int]] = {}
+        # By object key: the last version that could not be applied here.
         self._unreadable: dict[str, int] = {}
+        # By object key and version: the origin to confirm it to.
         self._origins: dict[tuple[str, int], str] = {}
         current_state.on_adopted(self._on_adopted)
         peers.subscribe(protocol.ObjectVersion, self._on_notice)
--- a/samphiredock/coordination/config/_watcher.py
+++ b/samphiredock/coordination/config/_watcher.py
@@ -26,7 +26,7 @@
 
 _POLL_MS = 20_000.0
 _CHECK_MS = 500.0
-"""How often to check whether to watch or poll now."""
+"""Interval between checks whether to watch or poll now."""
 
 _POLL_BASE_DAEMONS = 8
 """With more daemons, each polls less often, which bounds the store's load."""
@@ -142,9 +142,9 @@
         )
 
     def has_heard_within(self, span_ms: float) -> bool:
-        """Return whether a watch of every prefix was answered lately.
+        """Return whether the store has answered lately.
 
-        True if each prefix had an answer in the last ``span_ms``.
+        True if a watch of every prefix was answered in the last ``span_ms``.
         """
         since_ms = self._clock.now_ms() - span_ms
         prefixes = [*self._handlers, *self._page_handlers]
@@ -154,7 +154,10 @@
         )
 
     def on_outage(self, callback: typing.Callable[[], None]) -> None:
-        """Call ``callback`` at each call that the store failed."""
+        """Call ``callback`` after each failed call.
+
+        Not after the error ``FORGOTTEN``, for which the store is reachable.
+        """
         self._on_outage.append(callback)
 
     def watch_only_while(
@@ -231,8 +234,10 @@
                 self._page_handlers[prefix](page)
             for stored in page.changed:
                 self.deliver(stored)
+                # A read from position 0 returns all objects, not changes.
                 if position and is_watching:
                     self._relay(stored)
+            # The store answers a read from position 0 at once.
             if not page.changed and position == 0:
                 await _pause.pause(self._clock, _RETRY_DELAY_MS)
             position = page.position
--- a/samphiredock/coordination/once/__init__.py
+++ b/samphiredock/coordination/once/__init__.py
@@ -1,4 +1,4 @@
-"""Runs non-repeatable requests at most once, by claims in the store."""
+"""Runs unrepeatable requests at most once, by claims in the store."""
 
 from samphiredock import lazy
 
--- a/samphiredock/coordination/once/_claim_acquirer.py
+++ b/samphiredock/coordination/once/_claim_acquirer.py
@@ -39,6 +39,8 @@
         request: a recorded one, a refusal, or "unknown".
         """
         run.step('claim')
+        # The other daemon's open claim whose holder was asked last, and the
+        # token of a claim that its holder reported as never sent.
         found: state.Claim | None = None
         replaces: str | None = None
         while True:
@@ -61,8 +63,10 @@
                 return outcome
             assert opened.claim is not None
             if found is not None and found.token == opened.claim.token:
+                # The holder was asked and the bucket read again, and neither
+                # gave an outcome.
                 return self._recorder.answer_unknown(
-                    run, 'another daemon holds the claim and does not answer'
+                    run, 'another daemon holds the claim and gave no outcome'
                 )
             found = opened.claim
             run.step('ask')
@@ -80,7 +84,11 @@
     def _outcome_in_bucket(
         self, run: _run_request.Run, opened: state.OpenDecision
     ) -> protocol.RunOutcome | None:
-        """Return the outcome that the bucket gives, None for an open claim."""
+        """Return the outcome if the bucket decides it.
+
+        Returns None for another daemon's open claim: its holder has to be
+        asked.
+        """
         if opened.status is state.OpenStatus.FULL:
             return self._recorder.answer_not_run(
                 run,
@@ -123,7 +131,9 @@
     def _refuse_reused_key(self, run: _run_request.Run) -> protocol.RunOutcome:
         if run.progress.state is _run_states.RunState.ASKING:
             return self._recorder.answer_unknown(
-                run, 'another request replaced the claim while it was awaited'
+                run,
+                'a request with other content replaced the claim whose '
+                'outcome was awaited',
             )
         return self._recorder.refuse(run, _run_request.key_reused())
 
--- a/samphiredock/coordination/once/_claim_bucket.py
+++ b/samphiredock/coordination/once/_claim_bucket.py
@@ -1,4 +1,8 @@
-"""Commits claims in batches to one bucket object of the platform's store."""
+"""Commits claims in batches to one bucket object of the platform's store.
+
+A bucket object holds the claims of many idempotency keys, so concurrent
+claims share reads and writes.
+"""
 
 import asyncio
 import dataclasses
@@ -14,10 +18,10 @@
 from samphiredock import transport
 
 CACHE_MS = 200.0
-"""How long the version of a successful put is used without a new read."""
+"""How long the object of a successful put is used without a new read."""
 
 READ_BACK_LIMIT = 5
-"""How often to try to read back a claim whose put got no answer."""
+"""How many times to try to read back a claim whose put got no answer."""
 
 _BACKOFF_MS = 4.0
 _BACKOFF_LIMIT_MS = 2_000.0
@@ -34,6 +38,11 @@
 class OpenChange:
     """A claim to open.
 
+    ``digest`` is the claim's key within the bucket, ``wanted`` the claim to
+    write and ``replaces`` the token of a claim that it may replace.
+    ``answer`` resolves to a ``state.OpenDecision`` or ``Unavailable``, and
+    ``failures`` counts the store errors met so far.
+
     ``put_sent`` is set once a put with this change has been sent: the claim
     may be in the store then, whatever the answer was.  An HTTP client may
     send a PUT again after a lost connection, and the second PUT meets a
@@ -52,7 +61,11 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class CloseChange:
-    """The end of a claim of this daemon, retried until it is recorded."""
+    """A claim of this daemon to close, retried until it is recorded.
+
+    ``final`` is the closed claim.  ``answer`` resolves to whether it was
+    recorded, False if another claim has taken its place.
+    """
 
     digest: str
     final: state.Claim
@@ -148,7 +161,7 @@
         return self._task is not None
 
     def submit(self, change: Change) -> None:
-        """Queue a change; its ``answer`` is resolved when it is committed."""
+        """Queue a change; its ``answer`` resolves when it has a result."""
         self._queue.append(change)
         if self._task is None:
             self._task = asyncio.create_task(self._commit_queue())
@@ -191,7 +204,10 @@
         self._retry_waker = None
 
     async def _commit(self) -> float:
-        """Try one commit; return the delay before the next one in ms."""
+        """Try one commit.
+
+        Returns the delay before a retry in ms, 0 after a success.
+        """
         read = await self._read()
         if isinstance(read, transport.StoreError):
             return self._on_store_error(read)
--- a/samphiredock/coordination/once/_claim_registry.py
+++ b/samphiredock/coordination/once/_claim_registry.py
@@ -107,8 +107,8 @@
     ) -> asyncio.Future[bool]:
         """Record how a claim ended, retrying until it is recorded.
 
-        The returned future resolves to False if the stored claim did not
-        carry this token any more.
+        The returned future resolves to True once it is recorded, to False
+        if another claim has taken its place in the store.
         """
         answer = asyncio.get_running_loop().create_future()
         self._unrecorded.add(answer)
--- a/samphiredock/coordination/once/_claim_statuses.py
+++ b/samphiredock/coordination/once/_claim_statuses.py
@@ -1,7 +1,8 @@
-"""Tells other daemons the status of own claims and asks them for theirs.
+"""Exchanges the statuses of claims between daemons.
 
-Claims do not expire, so a daemon that finds another daemon's open claim can
-learn how it ended only from the store or from that claim's holder.
+The holder of a claim is the daemon that opened it.  A claim is not taken over
+because its holder is silent, so a daemon that finds it open can learn how it
+ended only from the store or from the holder.
 """
 
 import asyncio
@@ -49,7 +50,7 @@
 
 
 class ClaimStatuses:
-    """Keeps the status of own claims and asks other holders for theirs."""
+    """Tracks the claims held here; asks the holders of other claims."""
 
     def __init__(
         self,
@@ -85,7 +86,7 @@
         status: protocol.ClaimStatus,
         outcome: protocol.Completed | None = None,
     ) -> None:
-        """Change the status of an own claim and tell the waiting peers.
+        """Change the status of a claim held here and tell the waiting peers.
 
         Raises ``AssertionError`` if ``_ALLOWED_CHANGES`` does not list the
         change.
@@ -103,16 +104,16 @@
             self._drop_oldest_unsettled()
 
     def forget(self, token: str) -> None:
-        """Stop answering for a claim, as its end is in the store."""
+        """Stop tracking a claim; peers that ask for it get ``UNTRACKED``."""
         self._tracked.pop(token, None)
 
     async def ask(
         self, token: str, until_ms: float
     ) -> protocol.ClaimAnswer | None:
-        """Ask a claim's holder for its final status.
+        """Ask a claim's holder until the status is not ``RUNNING``.
 
-        The holder is asked repeatedly while the claim runs.  Returns None
-        if the holder is unreachable or silent, or the time is up.
+        Returns None if the token is malformed, the holder is unreachable or
+        silent, or the time is up.
         """
         parts = protocol.parse_token(token)
         if parts is None:
--- a/samphiredock/coordination/once/_run_admission.py
+++ b/samphiredock/coordination/once/_run_admission.py
@@ -1,4 +1,4 @@
-"""Validates a non-repeatable request before its key is claimed."""
+"""Validates an unrepeatable request before its key is claimed."""
 
 import dataclasses
 
@@ -18,8 +18,8 @@
 
     ``content_digest`` identifies operation and body; a key may be used again
     only with the same digest.  ``fingerprint`` identifies the content for
-    the quarantine.  ``since_ms`` is the Unix time from which the claim's
-    retention counts.
+    the quarantine.  The claim's retention counts from ``since_ms``, in Unix
+    time: when the key was issued or the request arrived, whichever is later.
     """
 
     request: protocol.RunRequest
@@ -42,7 +42,8 @@
 ) -> AdmittedRequest | protocol.NotRun:
     """Validate a request against the configuration and the clock.
 
-    ``now_ms`` is monotonic time, ``wall_ms`` is Unix time.
+    ``now_ms`` is monotonic time, ``wall_ms`` is Unix time.  Returns the
+    refusal of an invalid request.
     """
     if configuration is None:
         return _not_run(
--- a/samphiredock/coordination/once/_run_once.py
+++ b/samphiredock/coordination/once/_run_once.py
@@ -1,8 +1,9 @@
-"""Runs a non-repeatable request at most once and returns its outcome.
+"""Runs an unrepeatable request at most once and returns its outcome.
 
 A request is sent only after its claim is in the platform's store.  Only the
-claim's holder closes it, and a final status that the holder told a caller or
-a peer never changes.
+daemon that opened the claim, its holder, closes it.  Once the holder has told
+a caller or a peer that the claim's request completed or was never sent, that
+never changes.
 """
 
 import asyncio
@@ -121,7 +122,7 @@
     async def run(
         self, request: protocol.RunRequest, idempotency_key: str
     ) -> protocol.RunOutcome:
-        """Run one non-repeatable request and return its outcome.
+        """Run one unrepeatable request and return its outcome.
 
         A second call with the same key joins the pending request.
         """
@@ -147,8 +148,8 @@
     def finish_all(self) -> None:
         """Accept no new request and finish the pending ones early.
 
-        Each ends as at its deadline, within ``CANCEL_WAIT_MS``; nothing is
-        sent any more.
+        Each ends as at its deadline, within
+        ``_run_orders.CANCEL_WAIT_MS``; no further order is sent.
         """
         self._draining = True
         self._cutoff.trigger()
--- a/samphiredock/coordination/once/_run_orders.py
+++ b/samphiredock/coordination/once/_run_orders.py
@@ -23,6 +23,12 @@
 
 @dataclasses.dataclass(slots=True)
 class _Outstanding:
+    """An order without a final report.
+
+    ``owner`` is the dispatcher it was sent to, ``unread`` the report that
+    the next wait returns, ``waker`` the future of a wait in progress.
+    """
+
     token: str
     owner: str
     target: str
@@ -71,7 +77,11 @@
         peers.subscribe(protocol.RunReport, self._on_report)
 
     def send(self, token: str, owner: str, order: protocol.RunOrder) -> bool:
-        """Send an order; False means that it was certainly not sent."""
+        """Send an order to ``owner``, the target's dispatcher.
+
+        ``token`` is the request's claim token.  Returns False if the order
+        was certainly not sent.
+        """
         self._outstanding[order.attempt_id] = _Outstanding(
             token, owner, order.target
         )
@@ -85,7 +95,7 @@
     async def wait_report(
         self, attempt_id: str, until_ms: float
     ) -> protocol.RunReport | None:
-        """Wait for the next report on an order; None if none came.
+        """Return the next report on an order, None without one in time.
 
         The cutoff ends the wait early; the caller then cancels the order,
         as at its deadline.
@@ -117,12 +127,14 @@
         """Ask the dispatcher to cancel; return a final report if one comes.
 
         Returns None without a final report: the order may have run.  The
-        wait is at most ``CANCEL_WAIT_MS``, and the cutoff does not shorten
-        it, since most orders that were not begun are confirmed within it.
+        wait is at most ``CANCEL_WAIT_MS``.  The cutoff does not shorten it,
+        since most cancels of orders that were not begun are confirmed
+        within it.
         """
         owner = self._outstanding[attempt_id].owner
         until_ms = min(until_ms, self._clock.now_ms() + CANCEL_WAIT_MS)
         self._metrics.add('run_cancels')
+        # Only searches have a query id.
         if not self._peers.send(
             owner, protocol.CancelAttempts('', [attempt_id])
         ):
--- a/samphiredock/coordination/once/_run_request.py
+++ b/samphiredock/coordination/once/_run_request.py
@@ -1,4 +1,4 @@
-"""One non-repeatable request and the recording of its outcome.
+"""One unrepeatable request and the recording of its outcome.
 
 The answer to the caller, the status for peers and the stored claim are set
 in this module only, so that the three agree.
@@ -151,7 +151,7 @@
         settles it; otherwise the claim is abandoned.
         """
         before = run.progress.state
-        run.step('lose_track')
+        run.step('mark_unknown')
         self._metrics.add('runs_unknown')
         if before in (
             _run_states.RunState.SENT,
--- a/samphiredock/coordination/once/_run_sending.py
+++ b/samphiredock/coordination/once/_run_sending.py
@@ -21,7 +21,7 @@
 
 CANCEL_SHARE = 0.2
 CANCEL_MARGIN_LIMIT_MS = _run_orders.CANCEL_WAIT_MS
-"""Time kept for a cancel: a share of what is left, and at most this."""
+"""Time kept for a cancel: a share of the time left, and at most this."""
 
 _STATUS_REASON = {
     protocol.SubStatus.SHED: protocol.NotRunReason.OVERLOADED,
--- a/samphiredock/coordination/once/_run_states.py
+++ b/samphiredock/coordination/once/_run_states.py
@@ -1,4 +1,4 @@
-"""The state machine of one non-repeatable request."""
+"""The state machine of one unrepeatable request."""
 
 import enum
 
@@ -53,10 +53,10 @@
     ('complete', RunState.ASKING, RunState.COMPLETED),
     ('complete', RunState.SENT, RunState.COMPLETED),
     ('complete', RunState.CANCELLING, RunState.COMPLETED),
-    ('lose_track', RunState.CLAIMING, RunState.UNKNOWN),
-    ('lose_track', RunState.ASKING, RunState.UNKNOWN),
-    ('lose_track', RunState.SENT, RunState.UNKNOWN),
-    ('lose_track', RunState.CANCELLING, RunState.UNKNOWN),
+    ('mark_unknown', RunState.CLAIMING, RunState.UNKNOWN),
+    ('mark_unknown', RunState.ASKING, RunState.UNKNOWN),
+    ('mark_unknown', RunState.SENT, RunState.UNKNOWN),
+    ('mark_unknown', RunState.CANCELLING, RunState.UNKNOWN),
 )
 
 
--- a/samphiredock/coordination/once/_store_health.py
+++ b/samphiredock/coordination/once/_store_health.py
@@ -8,7 +8,7 @@
 """Without an answer for this long, the store counts as silent."""
 
 PROBE_MS = 250.0
-"""How often one call is let through to a silent store."""
+"""Interval between the calls that are let through to a silent store."""
 
 
 class StoreHealth:
@@ -22,6 +22,7 @@
     def __init__(self, clock: timers.Timers) -> None:
         self._clock = clock
         self._numbers = itertools.count(1)
+        # Start times of the calls that have not ended, by number.
         self._begun_ms: dict[int, float] = {}
         self._answered_ms = clock.now_ms()
         self._probed_ms = clock.now_ms()
--- a/tests/failure/test_at_most_once.py
+++ b/tests/failure/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A non-repeatable request runs at most once, whatever fails."""
+"""An unrepeatable request runs at most once, whatever fails."""
 
 import asyncio
 import collections
@@ -91,7 +91,8 @@
     async def test_frozen_holder_wakes_after_its_deadline(self) -> None:
         """A holder that wakes too late sends nothing and frees the key.
 
-        Another daemon runs the request only after the holder has said so.
+        Another daemon runs the request only after the holder has reported
+        that it never sent it.
         """
         call = await self.freeze_after_claim()
         await self.system.clock.pass_ms(5_000)
@@ -139,7 +140,7 @@
     async def test_retry_with_a_new_issue_time(self) -> None:
         """A retry whose key is issued anew gets the first receipt.
 
-        At another daemon, seconds and hours later.
+        The retries reach another daemon, seconds and hours later.
         """
         self.assert_completed(await self.run_request(self.first), 1)
         for pause_ms in (6_000, 20 * 3_600_000):
@@ -147,10 +148,10 @@
             self.assert_completed(await self.run_request(self.second), 1)
 
     async def test_key_with_another_body(self) -> None:
-        """A key that is used with another body is refused.
+        """A request that uses a key with another body is refused.
 
-        While the first request runs, and after it. The refusal says that it is
-        this request that was not run.
+        It is refused while the first request runs and afterwards. The refusal
+        says that the second request was not run.
         """
         call = await self.freeze_after_claim()
         self.first.host.wake(self.system.random)
@@ -236,7 +237,7 @@
     async def test_conflicts_on_one_bucket(self) -> None:
         """Forty requests on one bucket each run once despite conflicts.
 
-        Two puts of three conflict; they are retried with backoff.
+        Two of three puts conflict and are retried with backoff.
         """
         self.system.store.chances = {_Fault.CONFLICT: 0.66}
         self.use_one_bucket()
--- a/tests/failure/test_configuration.py
+++ b/tests/failure/test_configuration.py
@@ -32,7 +32,11 @@
 
 
 class Schedule:
-    """A random run of daemons, operators and faults, with its history."""
+    """A random run of daemons, operators and faults, with its history.
+
+    ``reachable_ms`` gives since when each daemon is reachable, ``unready``
+    the lowest revision with which a started daemon may become ready.
+    """
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
--- a/tests/failure/test_distribution.py
+++ b/tests/failure/test_distribution.py
@@ -118,6 +118,7 @@
                 )
                 daemon.watcher.start()
             await network.run(2_000)
+            # Two watchers in each of two sites hold a long poll per prefix.
             prefixes = 3
             self.assertEqual(prefixes * 2 * 2, network.store.waiting)
             version = network.store.write(DRAIN_KEY, b'{}')
--- a/tests/failure/test_not_run.py
+++ b/tests/failure/test_not_run.py
@@ -112,7 +112,7 @@
         self.assertEqual(1, await self.system.outcome(drain, 20_000))
 
     async def test_dispatcher_frozen_with_the_order(self) -> None:
-        """An order that a frozen dispatcher may still run is "unknown".
+        """A request that a frozen dispatcher may still run is "unknown".
 
         The dispatcher wakes long after the deadline and runs the request.
         """
--- a/tests/failure/test_stopped_runs.py
+++ b/tests/failure/test_stopped_runs.py
@@ -43,7 +43,7 @@
         self.assertEqual(executions, self.system.executions())
 
     async def test_begun(self) -> None:
-        """A request that a target has is answered "unknown"."""
+        """A request that a target has begun is answered "unknown"."""
         self.system.use('silent')
         await self._finish_early(50, protocol.Unknown)
         self.assertEqual(1, self.system.executions())
@@ -124,7 +124,7 @@
     def _kill(self) -> None:
         daemon = self._random_daemon()
         daemon.runner.finish_all()
-        self.system.faults['end'] += 1
+        self.system.faults['finish_all'] += 1
         self.system.clock.after(_EXIT_DELAY_MS, lambda: self._exit(daemon))
 
     def _exit(self, daemon: memory_runners.Daemon) -> None:
@@ -137,7 +137,7 @@
     """Random faults from a seed while daemons are stopped."""
 
     def test_random_faults(self) -> None:
-        """Each key runs at most once, and answers at a stop agree with it.
+        """Each key runs at most once, and answers at a stop agree with that.
 
         Callers retry at every daemon.
         """
@@ -155,7 +155,7 @@
                     f'seed {seed}: {text}'
                     for text in history_runs.violations(history)
                 ]
-                stops += simulation.system.faults['end']
+                stops += simulation.system.faults['finish_all']
                 refused += sum(
                     isinstance(outcome, protocol.NotRun)
                     and outcome.reason is _Reason.SHUTTING_DOWN
--- a/tests/history.py
+++ b/tests/history.py
@@ -1,4 +1,4 @@
-"""The history that a process run records, and its checkers.
+"""The history that a run of real processes records, and its checkers.
 
 Each checker is a pure function over the recorded history. It returns the
 violations it found and how many operations it judged, since a run in which
@@ -18,6 +18,7 @@
 class Call:
     """One request of a caller and its answer.
 
+    ``kind`` is ``'search'`` or ``'run'``, ``name`` the search or operation.
     ``status`` and ``outcome`` are None if the connection broke or the caller
     stopped waiting.
     """
@@ -112,7 +113,11 @@
 def check_not_run(
     calls: typing.Iterable[Call], executions: typing.Iterable[Execution]
 ) -> Verdict:
-    """Check that a key never ran if all its calls were answered "not run"."""
+    """Check that a request answered "not run" was not executed.
+
+    An execution needs a call of its key, sent before it, that was answered
+    otherwise or not at all.
+    """
     calls_by_key = collections.defaultdict(list)
     for call in calls:
         if call.kind == 'run':
@@ -303,7 +308,10 @@
     left_at_ms: typing.Mapping[str, float],
     grace_ms: float,
 ) -> Verdict:
-    """Check that a draining target begins nothing after the grace period."""
+    """Check that a draining target begins nothing after the grace period.
+
+    ``left_at_ms`` gives when each target began to drain.
+    """
     violations = []
     judged = 0
     for execution in executions:
--- a/tests/history_configuration.py
+++ b/tests/history_configuration.py
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answered:
-    """An operator got the outcome of a change."""
+    """An operator got an outcome; ``outcome`` is the name of its type."""
 
     at_ms: float
     change_id: str
--- a/tests/history_runs.py
+++ b/tests/history_runs.py
@@ -1,4 +1,4 @@
-"""The history of non-repeatable requests, and its checker.
+"""The history of unrepeatable requests, and its checker.
 
 Events are listed in the order in which they happened.
 """
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Executed:
-    """A target ran the request."""
+    """A target ran the request; ``receipt`` identifies the execution."""
 
     key: str
     attempt_id: str
@@ -113,6 +113,7 @@
 
 
 def _wrong_outcomes(history: typing.Sequence[Event]) -> list[str]:
+    """Check that "completed" carries the receipt of the only execution."""
     keys = {
         event.call: event.key for event in history if isinstance(event, Called)
     }
--- a/tests/unit/test_exchange.py
+++ b/tests/unit/test_exchange.py
@@ -17,7 +17,7 @@
     """A daemon that holds no object yet."""
 
     def setUp(self) -> None:
-        """Make the exchange with recorded peers."""
+        """Make the exchange; messages to peers are recorded."""
         self.peers = memory_peers.RecordingPeers()
         self.clock = timers.ManualTimers()
         counters = memory_daemons.Counters()
--- a/tests/unit/test_history_runs.py
+++ b/tests/unit/test_history_runs.py
@@ -1,4 +1,4 @@
-"""The checker of non-repeatable requests finds each violation."""
+"""The checker of unrepeatable requests finds each violation."""
 
 import unittest
 
--- a/tests/unit/test_run_states.py
+++ b/tests/unit/test_run_states.py
@@ -1,4 +1,4 @@
-"""The states of one non-repeatable request."""
+"""The states of one unrepeatable request."""
 
 import unittest
 
@@ -19,7 +19,7 @@
     State.CANCELLING: ('claim', 'grant', 'send', 'cancel'),
     State.NOT_RUN: ('refuse',),
     State.COMPLETED: ('claim', 'complete'),
-    State.UNKNOWN: ('claim', 'lose_track'),
+    State.UNKNOWN: ('claim', 'mark_unknown'),
 }
 
 
