--- a/tests/failure/test_quarantine.py
+++ b/tests/failure/test_quarantine.py
@@ -31,7 +31,7 @@
         """Send requests to one daemon at the same time."""
         daemon = self.tier.daemons[name]
         return await self.tier.gather(
-            *[daemon.coordinator.search(row) for row in requests]
+            *[daemon.coordinator.search(request) for request in requests]
         )
 
     def assert_refused(self, outcome: protocol.SearchOutcome) -> None:
@@ -40,7 +40,7 @@
         self.assertIs(Reason.QUARANTINED, outcome.reason)
         self.assertGreater(outcome.retry_after_ms, 0)
 
-    async def test_two_targets_die_however_often_it_is_sent(self) -> None:
+    async def test_only_two_targets_crash(self) -> None:
         """After two crashes, further copies are refused at once.
 
         The copies are sent to every daemon ten times.
@@ -48,7 +48,7 @@
         started_ms = self.tier.clock.now_ms()
         (first,) = await self.ask('d0', _POISON)
         self.assertIsInstance(first, protocol.Unknown)
-        # Two service times and one pause: no wait after the quarantine.
+        # Two service times and the pause between them, but no other wait.
         took_ms = self.tier.clock.now_ms() - started_ms
         self.assertLess(took_ms, 2 * memory_searches.SERVICE_MS + 30.0)
         await self.tier.move(1.0)
@@ -59,7 +59,7 @@
         self.assertEqual(before_ms, self.tier.clock.now_ms())
         self.assertEqual(2, len(self.tier.targets.dead))
 
-    async def test_copies_at_one_time(self) -> None:
+    async def test_copies_at_the_same_time(self) -> None:
         """Twenty copies at the same time crash no more than two targets.
 
         All canaries go to the same target, since its choice depends on the
@@ -86,7 +86,7 @@
         self.assertLessEqual(first, 8 + 2)
         self.assertEqual(first, len(self.tier.targets.dead))
 
-    async def test_harmless_contents_beside_it_are_answered(self) -> None:
+    async def test_harmless_contents_are_answered(self) -> None:
         """Harmless contents at the same targets are answered, not refused.
 
         Some run alone in the second slot of a target that crashes.
@@ -100,7 +100,9 @@
             requests.insert(round_number * 4, _POISON)
             outcomes = await self.ask('d0', *requests)
             answered = [
-                row for row in outcomes if isinstance(row, protocol.Answered)
+                outcome
+                for outcome in outcomes
+                if isinstance(outcome, protocol.Answered)
             ]
             self.assertEqual(20, len(answered))
             self.assertEqual(2, len(self.tier.targets.dead))
@@ -126,14 +128,14 @@
         quarantine.record_success('harmless')
         self.assertIsNone(quarantine.refusal('harmless'))
 
-    async def test_a_loss_beside_others_is_tried_again_alone(self) -> None:
+    async def test_content_lost_among_others_is_tried_alone(self) -> None:
         """A loss in an exchange with other contents is not counted.
 
         The shards are queried again alone, one at a time.
         """
         desk = search_desk.Desk()
         first, second, *others = desk.waiting.values()
-        desk.give(*[desk.good(row) for row in others])
+        desk.give(*[desk.good(item) for item in others])
         lost = {'target_lost': True, 'ran_alone': False}
         desk.give(
             desk.failed(first, protocol.SubStatus.BROKEN, **lost),
@@ -177,7 +179,7 @@
         await self.tier.move(1.0)
         self.assert_refused(first.refusal('suspect'))
 
-    async def test_store_tells_a_fresh_daemon(self) -> None:
+    async def test_fresh_daemon_reads_the_store(self) -> None:
         """A daemon that starts later reads the quarantine from the store.
 
         After a release, an older stored object must not bring it back.
