--- a/samphiredock/coordination/once/_claim_acquirer.py
+++ b/samphiredock/coordination/once/_claim_acquirer.py
@@ -84,7 +84,7 @@
     def _outcome_in_bucket(
         self, run: _run_request.Run, opened: state.OpenDecision
     ) -> protocol.RunOutcome | None:
-        """Return the outcome if the bucket decides it.
+        """Answer the request if its bucket decides the outcome.
 
         Returns None for another daemon's open claim: its holder has to be
         asked.
