--- a/samphiredock/coordination/once/_run_once.py
+++ b/samphiredock/coordination/once/_run_once.py
@@ -1,8 +1,9 @@
-"""Runs a non-repeatable request at most once and returns its outcome.
+"""Runs an unrepeatable request at most once and returns its outcome.
 
 A request is sent only after its claim is in the platform's store.  Only the
-claim's holder closes it, and a final status that the holder told a caller or
-a peer never changes.
+daemon that opened the claim, its holder, closes it.  Once the holder has told
+a caller or a peer that the claim's request completed or was never sent, that
+never changes.
 """
 
 import asyncio
@@ -121,7 +122,7 @@
     async def run(
         self, request: protocol.RunRequest, idempotency_key: str
     ) -> protocol.RunOutcome:
-        """Run one non-repeatable request and return its outcome.
+        """Run one unrepeatable request and return its outcome.
 
         A second call with the same key joins the pending request.
         """
@@ -134,7 +135,7 @@
         )
         if isinstance(admitted, protocol.NotRun):
             return self._count_not_run(admitted)
-        pending = self._runs.get(admitted.place.digest)
+        pending = self._runs.get(admitted.location.digest)
         if pending is not None:
             return self._count_not_run(await self._join(pending, admitted))
         if self._draining:
@@ -147,8 +148,8 @@
     def finish_all(self) -> None:
         """Accept no new request and finish the pending ones early.
 
-        Each ends as at its deadline, within ``CANCEL_WAIT_MS``; nothing is
-        sent any more.
+        Each ends as at its deadline, within
+        ``_run_orders.CANCEL_WAIT_MS``; no further order is sent.
         """
         self._draining = True
         self._cutoff.trigger()
@@ -183,7 +184,7 @@
         run = _run_request.Run(
             admitted, str(token), _run_states.new_progress()
         )
-        self._runs[admitted.place.digest] = run
+        self._runs[admitted.location.digest] = run
         self._statuses.track(run.token)
         run.task = asyncio.create_task(self._run_to_outcome(run))
         return run
@@ -230,7 +231,7 @@
                 # other daemon runs the request again.
                 self._statuses.update(run.token, _Status.UNSETTLED)
             _run_states.release(run.progress)
-            del self._runs[run.admitted.place.digest]
+            del self._runs[run.admitted.location.digest]
             self._metrics.observe(
                 'request_latency_ms',
                 self._clock.now_ms() - started_ms,
--- a/samphiredock/coordination/once/_run_request.py
+++ b/samphiredock/coordination/once/_run_request.py
@@ -1,4 +1,4 @@
-"""One non-repeatable request and the recording of its outcome.
+"""One unrepeatable request and the recording of its outcome.
 
 The answer to the caller, the status for peers and the stored claim are set
 in this module only, so that the three agree.
@@ -124,7 +124,7 @@
         self._statuses.update(token, _Status.DONE, outcome)
         self._metrics.add('runs_completed')
         self._close(
-            admitted.place,
+            admitted.location,
             state.done_claim(
                 open_claim(token, admitted), report.accepted, report.result
             ),
@@ -151,7 +151,7 @@
         settles it; otherwise the claim is abandoned.
         """
         before = run.progress.state
-        run.step('lose_track')
+        run.step('mark_unknown')
         self._metrics.add('runs_unknown')
         if before in (
             _run_states.RunState.SENT,
@@ -203,12 +203,14 @@
         self, token: str, admitted: _run_admission.AdmittedRequest
     ) -> None:
         self._close(
-            admitted.place,
+            admitted.location,
             state.not_run_claim(open_claim(token, admitted)),
         )
 
-    def _close(self, place: state.ClaimLocation, final: state.Claim) -> None:
-        recorded = self._claims.close(place, final)
+    def _close(
+        self, location: state.ClaimLocation, final: state.Claim
+    ) -> None:
+        recorded = self._claims.close(location, final)
         recorded.add_done_callback(
             lambda _: self._statuses.forget(final.token)
         )
