--- a/samphiredock/coordination/config/_watcher.py
+++ b/samphiredock/coordination/config/_watcher.py
@@ -26,7 +26,7 @@
 
 _POLL_MS = 20_000.0
 _CHECK_MS = 500.0
-"""How often to check whether to watch or poll now."""
+"""Interval between checks whether to watch or poll now."""
 
 _POLL_BASE_DAEMONS = 8
 """With more daemons, each polls less often, which bounds the store's load."""
@@ -142,9 +142,9 @@
         )
 
     def has_heard_within(self, span_ms: float) -> bool:
-        """Return whether a watch of every prefix was answered lately.
+        """Return whether the store has answered lately.
 
-        True if each prefix had an answer in the last ``span_ms``.
+        True if a watch of every prefix was answered in the last ``span_ms``.
         """
         since_ms = self._clock.now_ms() - span_ms
         prefixes = [*self._handlers, *self._page_handlers]
@@ -154,7 +154,10 @@
         )
 
     def on_outage(self, callback: typing.Callable[[], None]) -> None:
-        """Call ``callback`` at each call that the store failed."""
+        """Call ``callback`` after each failed call.
+
+        Not after the error ``FORGOTTEN``, for which the store is reachable.
+        """
         self._on_outage.append(callback)
 
     def watch_only_while(
@@ -200,7 +203,7 @@
     async def _watch_loop(self, prefix: str) -> None:
         position = 0
         retry_delay_ms = _RETRY_DELAY_MS
-        polled_ms = self._clock.now_ms()
+        called_ms = self._clock.now_ms()
         while True:
             is_watching = self._is_watcher()
             if not is_watching and self._stale_period_ms is not None:
@@ -208,11 +211,11 @@
                 await self._poll_stale(prefix)
                 continue
             if position and not is_watching:
-                waited_ms = self._clock.now_ms() - polled_ms
+                waited_ms = self._clock.now_ms() - called_ms
                 if waited_ms < self._poll_ms():
                     await _pause.pause(self._clock, _CHECK_MS)
                     continue
-            polled_ms = self._clock.now_ms()
+            called_ms = self._clock.now_ms()
             timeout_ms = self._watch_ms if is_watching else 0
             reply = await self._platform.watch(prefix, position, timeout_ms)
             self._on_read(prefix)
@@ -225,14 +228,16 @@
                 )
                 continue
             retry_delay_ms = _RETRY_DELAY_MS
-            self._on_success(prefix, polled_ms if is_watching else None)
+            self._on_success(prefix, called_ms if is_watching else None)
             page = reply.unwrap()
             if prefix in self._page_handlers:
                 self._page_handlers[prefix](page)
             for stored in page.changed:
                 self.deliver(stored)
+                # A read from position 0 returns all objects, not changes.
                 if position and is_watching:
                     self._relay(stored)
+            # The store answers a read from position 0 at once.
             if not page.changed and position == 0:
                 await _pause.pause(self._clock, _RETRY_DELAY_MS)
             position = page.position
@@ -256,9 +261,9 @@
             callback()
         return False
 
-    def _on_success(self, prefix: str, asked_ms: float | None) -> None:
-        if asked_ms is not None:
-            self._last_watch_sent_ms[prefix] = asked_ms
+    def _on_success(self, prefix: str, sent_ms: float | None) -> None:
+        if sent_ms is not None:
+            self._last_watch_sent_ms[prefix] = sent_ms
             self._last_answer_ms[prefix] = self._clock.now_ms()
         if prefix in self._failing:
             self._failing.discard(prefix)
