--- a/samphiredock/cli/_client.py
+++ b/samphiredock/cli/_client.py
@@ -27,7 +27,7 @@
     """
 
     detail: str
-    sent: bool
+    may_be_received: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
     path: str
     body: bytes | None = None
     headers: typing.Mapping[str, str] = dataclasses.field(default_factory=dict)
-    repeatable: bool = True
+    is_repeatable: bool = True
     timeout_ms: int = DEFAULT_TIMEOUT_MS
 
 
@@ -53,32 +53,32 @@
 
 async def _send(urls: typing.Sequence[str], call: Call) -> Reply | NoReply:
     failures = []
-    sent = False
-    limit = aiohttp.ClientTimeout(
+    may_be_received = False
+    client_timeout = aiohttp.ClientTimeout(
         total=call.timeout_ms / 1000.0, sock_connect=_CONNECT_TIMEOUT_S
     )
     for url in urls:
         # A session each: a kept connection that broke would be retried
         # by the library without a word.
-        async with aiohttp.ClientSession(timeout=limit) as session:
+        async with aiohttp.ClientSession(timeout=client_timeout) as session:
             try:
                 return await _exchange(session, url, call)
-            except _NOT_SENT as error:
-                failures.append(f'{url}: {_words(error)}')
+            except _CONNECT_ERRORS as error:
+                failures.append(f'{url}: {_describe_error(error)}')
                 continue
             except (
                 aiohttp.ClientError,
                 OSError,
                 asyncio.TimeoutError,
             ) as error:
-                failures.append(f'{url}: {_words(error)}')
-                sent = True
-        if not call.repeatable:
+                failures.append(f'{url}: {_describe_error(error)}')
+                may_be_received = True
+        if not call.is_repeatable:
             break
-    return NoReply('; '.join(failures), sent)
+    return NoReply('; '.join(failures), may_be_received)
 
 
-_NOT_SENT = (
+_CONNECT_ERRORS = (
     aiohttp.ClientConnectorError,
     aiohttp.ConnectionTimeoutError,
     aiohttp.InvalidURL,
@@ -96,5 +96,5 @@
         return Reply(url, response.status, await response.read())
 
 
-def _words(error: Exception) -> str:
+def _describe_error(error: Exception) -> str:
     return str(error) or type(error).__name__
--- a/samphiredock/cli/_config.py
+++ b/samphiredock/cli/_config.py
@@ -18,13 +18,13 @@
 from samphiredock import state
 
 _POLL_S = 0.2
-_PATH = click.Path(path_type=pathlib.Path)
-_CONFIGURATION = '/v1/configuration'
+_PATH_TYPE = click.Path(path_type=pathlib.Path)
+_CONFIGURATION_PATH = '/v1/configuration'
 _NOT_FOUND = protocol.OperatorErrorKind.NOT_FOUND
 
 
 @dataclasses.dataclass(frozen=True)
-class _Files:
+class _ConfigurationFiles:
     """Base and overlays as read from files."""
 
     base: dict
@@ -44,15 +44,15 @@
         param: click.Parameter | None,
         ctx: click.Context | None,
     ) -> tuple[str, pathlib.Path]:
-        site, found, file = str(value).partition('=')
-        if not (site and found and file):
+        site, separator, file = str(value).partition('=')
+        if not (site and separator and file):
             self.fail(f'got {value!r}, expected SITE=FILE', param, ctx)
         return site, pathlib.Path(file)
 
 
 def _with_files(command: typing.Callable) -> typing.Callable:
     options = (
-        click.option('--base', type=_PATH, help='The base file.'),
+        click.option('--base', type=_PATH_TYPE, help='The base file.'),
         click.option(
             '--overlay',
             'overlays',
@@ -62,7 +62,7 @@
         ),
         click.option(
             '--folder',
-            type=_PATH,
+            type=_PATH_TYPE,
             help='Instead: a folder with base.json and SITE.json files.',
         ),
     )
@@ -81,10 +81,10 @@
 @_context.with_context
 def check(context: _context.Context, **files: typing.Any) -> None:
     """Check files without asking any daemon."""
-    read = _read_checked(context, **files)
+    loaded = _load_checked(context, **files)
     context.show(
         {'type': 'valid'},
-        f'{read.base_file} and {len(read.overlays)} overlays: valid',
+        f'{loaded.base_file} and {len(loaded.overlays)} overlays: valid',
     )
 
 
@@ -93,9 +93,9 @@
 @_context.with_context
 def diff(context: _context.Context, **files: typing.Any) -> None:
     """Show what files would change of the configuration in force."""
-    read = _read_checked(context, **files)
-    current = _current(context)
-    rows = _difference.between(current, read.base, read.overlays)
+    loaded = _load_checked(context, **files)
+    current = _fetch_current(context)
+    rows = _difference.compare(current, loaded.base, loaded.overlays)
     _show_difference(context, current, rows)
 
 
@@ -130,9 +130,9 @@
     **files: typing.Any,
 ) -> None:
     """Bring files into force at every site."""
-    read = _read_checked(context, **files)
-    current = _current(context)
-    rows = _difference.between(current, read.base, read.overlays)
+    loaded = _load_checked(context, **files)
+    current = _fetch_current(context)
+    rows = _difference.compare(current, loaded.base, loaded.overlays)
     if not rows and change_id is None:
         context.show({'type': 'no-difference'}, 'no difference: nothing sent')
         return
@@ -142,36 +142,38 @@
         _show_difference(context, current, rows)
     context.note(f'made from revision {base_revision}')
     if not yes and not click.confirm('apply this?', err=True):
-        _context.finish(_exits.Exit.DECLINED)
+        _context.exit_with_code(_exits.Exit.DECLINED)
     change = protocol.ConfigurationChange(
         base_revision,
         change_id or uuid.uuid4().hex,
         author or getpass.getuser(),
-        read.base,
-        read.overlays,
+        loaded.base,
+        loaded.overlays,
         # A change sent again may have been accepted: a daemon that cannot
         # read the store then must not say that nothing was changed.
         repeated=change_id is not None,
     )
     context.note(f'change id {change.change_id} (--change-id sends it again)')
     outcome = context.ask(
-        'PUT', _CONFIGURATION, protocol.ChangeOutcome, change
+        'PUT', _CONFIGURATION_PATH, protocol.ChangeOutcome, change
     )
     if not isinstance(outcome, protocol.ChangeAccepted):
-        context.end_with(outcome)
+        context.exit_with_outcome(outcome)
     context.note(f'accepted as revision {outcome.revision}')
     if no_wait:
-        context.end_with(outcome)
-    _wait(context, outcome.revision, list(read.base['sites']), wait_ms)
+        context.exit_with_outcome(outcome)
+    _wait_for_sites(
+        context, outcome.revision, list(loaded.base['sites']), wait_ms
+    )
 
 
 @config.command()
 @_context.with_context
 def show(context: _context.Context) -> None:
     """Show the configuration in force, as it was written."""
-    current = _current(context)
+    current = _fetch_current(context)
     if current is None:
-        context.end_with(
+        context.exit_with_outcome(
             protocol.OperatorError(_NOT_FOUND, 'no configuration yet')
         )
     body = {'base': current.base, 'overlays': current.overlays}
@@ -188,33 +190,33 @@
 def history(context: _context.Context) -> None:
     """List the accepted changes, the newest first."""
     rows = context.ask(
-        'GET', f'{_CONFIGURATION}/history', list[protocol.ChangeSummary]
+        'GET', f'{_CONFIGURATION_PATH}/history', list[protocol.ChangeSummary]
     )
-    words = _context.table(
+    text = _context.table(
         ['revision', 'author', 'accepted', 'change'],
         [
             [
                 row.revision,
                 row.author,
-                _time(row.accepted_at_ms),
+                _format_time(row.accepted_at_ms),
                 row.change_id,
             ]
             for row in rows
         ],
     )
-    context.show(rows, words)
+    context.show(rows, text)
 
 
-def _time(wall_ms: int) -> str:
+def _format_time(wall_ms: int) -> str:
     return time.strftime('%Y-%m-%d %H:%M:%SZ', time.gmtime(wall_ms / 1000))
 
 
-def _read_checked(
+def _load_checked(
     context: _context.Context,
     base: pathlib.Path | None,
     overlays: tuple[tuple[str, pathlib.Path], ...],
     folder: pathlib.Path | None,
-) -> _Files:
+) -> _ConfigurationFiles:
     paths = dict(overlays)
     if folder is not None:
         base = base or folder / 'base.json'
@@ -224,9 +226,9 @@
     if base is None:
         raise click.UsageError('got no base file, expected --base or --folder')
     problems: list[state.Problem] = []
-    read_base = _read(base, problems)
+    read_base = _load_file(base, problems)
     read_overlays = {
-        site: _read(path, problems) for site, path in paths.items()
+        site: _load_file(path, problems) for site, path in paths.items()
     }
     names = {site: str(path) for site, path in paths.items()}
     if not problems:
@@ -237,36 +239,40 @@
         if isinstance(compiled, result.Failure):
             problems += compiled.failure()
     if problems:
-        _invalid(context, problems)
-    return _Files(read_base, read_overlays, str(base), names)
+        _exit_invalid(context, problems)
+    return _ConfigurationFiles(read_base, read_overlays, str(base), names)
 
 
-def _read(path: pathlib.Path, problems: list[state.Problem]) -> typing.Any:
-    read = state.read_json5(path)
-    if isinstance(read, result.Failure):
-        problems.append(read.failure())
+def _load_file(
+    path: pathlib.Path, problems: list[state.Problem]
+) -> typing.Any:
+    loaded = state.read_json5(path)
+    if isinstance(loaded, result.Failure):
+        problems.append(loaded.failure())
         return {}
-    return read.unwrap()
+    return loaded.unwrap()
 
 
-def _invalid(
+def _exit_invalid(
     context: _context.Context, problems: list[state.Problem]
 ) -> typing.NoReturn:
-    words = '\n'.join(str(row) for row in problems)
+    text = '\n'.join(str(row) for row in problems)
     context.show(
         {'type': 'invalid', 'problems': problems},
-        f'{words}\ninvalid: {len(problems)} mistakes',
+        f'{text}\ninvalid: {len(problems)} mistakes',
     )
-    _context.finish(_exits.Exit.REFUSED)
+    _context.exit_with_code(_exits.Exit.REFUSED)
 
 
-def _current(context: _context.Context) -> state.ConfigurationSource | None:
-    reply = context.call('GET', _CONFIGURATION)
+def _fetch_current(
+    context: _context.Context,
+) -> state.ConfigurationSource | None:
+    reply = context.call('GET', _CONFIGURATION_PATH)
     found = _context.decode(reply, state.ConfigurationSource)
     if not isinstance(found, protocol.OperatorError):
         return found
     if found.kind is not _NOT_FOUND:
-        context.end_with(found)
+        context.exit_with_outcome(found)
     return None
 
 
@@ -277,44 +283,48 @@
 ) -> None:
     revision = current.revision if current else 0
     if current is None:
-        words = f'the first configuration: {len(rows)} values'
+        text = f'the first configuration: {len(rows)} values'
     elif not rows:
-        words = f'no difference from revision {revision}'
+        text = f'no difference from revision {revision}'
     else:
         lines = [f'  {row}' for row in rows]
-        words = f'difference from revision {revision}:\n' + '\n'.join(lines)
-    context.show({'revision': revision, 'differences': rows}, words)
+        text = f'difference from revision {revision}:\n' + '\n'.join(lines)
+    context.show({'revision': revision, 'differences': rows}, text)
 
 
-def _wait(
+def _wait_for_sites(
     context: _context.Context, revision: int, sites: list[str], wait_ms: int
 ) -> None:
-    end = time.monotonic() + wait_ms / 1000.0
-    told = ''
+    deadline_s = time.monotonic() + wait_ms / 1000.0
+    last_progress = ''
     while True:
-        found = context.ask(
-            'GET', f'{_CONFIGURATION}/confirmations', protocol.Confirmations
+        confirmations = context.ask(
+            'GET',
+            f'{_CONFIGURATION_PATH}/confirmations',
+            protocol.Confirmations,
         )
-        rows = [_site_row(site, found.daemons, revision) for site in sites]
-        lacking = [row.site for row in rows if row.state == 'waiting']
-        progress = f'{len(rows) - len(lacking)} of {len(rows)} sites'
-        if lacking:
-            progress += ', waiting for ' + ', '.join(lacking)
-        if progress != told:
+        rows = [
+            _site_row(site, confirmations.daemons, revision) for site in sites
+        ]
+        waiting_sites = [row.site for row in rows if row.state == 'waiting']
+        progress = f'{len(rows) - len(waiting_sites)} of {len(rows)} sites'
+        if waiting_sites:
+            progress += ', waiting for ' + ', '.join(waiting_sites)
+        if progress != last_progress:
             context.note(progress)
-            told = progress
-        if not lacking or time.monotonic() > end:
+            last_progress = progress
+        if not waiting_sites or time.monotonic() > deadline_s:
             break
         time.sleep(_POLL_S)
-    words = _context.table(
+    text = _context.table(
         ['site', 'daemons', 'confirmed', 'state'],
         [[row.site, row.daemons, row.confirmed, row.state] for row in rows],
     )
-    kind = 'unconfirmed' if lacking else 'confirmed'
+    kind = 'unconfirmed' if waiting_sites else 'confirmed'
     value = {'type': kind, 'revision': revision, 'sites': rows}
-    context.show(value, f'revision {revision} {kind}\n{words}')
+    context.show(value, f'revision {revision} {kind}\n{text}')
     exits = _exits.Exit
-    _context.finish(exits.UNCONFIRMED if lacking else exits.OK)
+    _context.exit_with_code(exits.UNCONFIRMED if waiting_sites else exits.OK)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -328,11 +338,11 @@
 def _site_row(
     site: str, daemons: list[protocol.DaemonRevision], revision: int
 ) -> _SiteRow:
-    here = [row for row in daemons if row.site == site]
-    confirmed = sum(row.revision >= revision for row in here)
-    if not here:
+    site_daemons = [row for row in daemons if row.site == site]
+    confirmed = sum(row.revision >= revision for row in site_daemons)
+    if not site_daemons:
         # Nobody is there to confirm; its next daemon starts with the
         # newest revision before it is ready.
         return _SiteRow(site, 0, 0, 'no daemon')
-    state_ = 'in force' if confirmed == len(here) else 'waiting'
-    return _SiteRow(site, len(here), confirmed, state_)
+    state_ = 'in force' if confirmed == len(site_daemons) else 'waiting'
+    return _SiteRow(site, len(site_daemons), confirmed, state_)
--- a/samphiredock/cli/_context.py
+++ b/samphiredock/cli/_context.py
@@ -19,7 +19,7 @@
 _OPERATOR_ERROR = msgspec.json.Decoder(protocol.OperatorError)
 
 
-def finish(code: _exits.Exit) -> typing.NoReturn:
+def exit_with_code(code: _exits.Exit) -> typing.NoReturn:
     """End the program."""
     sys.exit(int(code))
 
@@ -56,14 +56,14 @@
         self,
         method: str,
         path: str,
-        kind: typing.Any,
+        reply_type: typing.Any,
         body: object = None,
     ) -> typing.Any:
         """Call an operator address and return the typed answer.
 
         Ends the program if no daemon answers or one answers an error.
         """
-        return self.read(self.call(method, path, body), kind)
+        return self.decode_or_exit(self.call(method, path, body), reply_type)
 
     def call(
         self, method: str, path: str, body: object = None
@@ -80,53 +80,56 @@
         call = _client.Call(method, path, data, headers)
         reply = _client.send(self.daemons, call)
         if isinstance(reply, _client.NoReply):
-            self.unreachable(reply, harmless=method == 'GET')
+            self.exit_unreachable(reply, is_repeatable=method == 'GET')
         return reply
 
-    def unreachable(
-        self, reply: _client.NoReply, harmless: bool
+    def exit_unreachable(
+        self, reply: _client.NoReply, is_repeatable: bool
     ) -> typing.NoReturn:
         """Say that no daemon answered, and end the program."""
-        unknown = reply.sent and not harmless
-        kind = 'unknown' if unknown else 'unreachable'
+        unknown = reply.may_be_received and not is_repeatable
+        error_type = 'unknown' if unknown else 'unreachable'
         self.show(
-            {'type': kind, 'detail': reply.detail}, f'{kind}: {reply.detail}'
+            {'type': error_type, 'detail': reply.detail},
+            f'{error_type}: {reply.detail}',
         )
         exits = _exits.Exit
-        finish(exits.UNKNOWN if unknown else exits.UNREACHABLE)
+        exit_with_code(exits.UNKNOWN if unknown else exits.UNREACHABLE)
 
-    def read(self, reply: _client.Reply, kind: typing.Any) -> typing.Any:
+    def decode_or_exit(
+        self, reply: _client.Reply, reply_type: typing.Any
+    ) -> typing.Any:
         """Return a reply as a typed value; an error ends the program."""
-        value = decode(reply, kind)
+        value = decode(reply, reply_type)
         if isinstance(value, protocol.OperatorError):
-            self.end_with(value)
+            self.exit_with_outcome(value)
         return value
 
-    def end_with(self, outcome: object) -> typing.NoReturn:
+    def exit_with_outcome(self, outcome: object) -> typing.NoReturn:
         """Show an outcome and end with its exit code."""
         self.show(outcome, describe(outcome))
-        finish(_exits.exit_of(outcome))
+        exit_with_code(_exits.exit_of(outcome))
 
-    def show(self, value: object, words: str) -> None:
+    def show(self, value: object, text: str) -> None:
         """Print a value: JSON for programs, words for people."""
         if self.as_json:
             click.echo(msgspec.json.encode(value).decode())
         else:
-            click.echo(words)
+            click.echo(text)
 
-    def note(self, words: str) -> None:
+    def note(self, text: str) -> None:
         """Print progress to standard error, apart from the result."""
-        click.echo(words, err=True)
+        click.echo(text, err=True)
 
 
-def decode(reply: _client.Reply, kind: typing.Any) -> typing.Any:
+def decode(reply: _client.Reply, reply_type: typing.Any) -> typing.Any:
     """Return a reply as a value of ``kind``, or the error that it is."""
     try:
         return _OPERATOR_ERROR.decode(reply.body)
     except (msgspec.DecodeError, UnicodeDecodeError):
         pass
     try:
-        return msgspec.json.decode(reply.body, type=kind)
+        return msgspec.json.decode(reply.body, type=reply_type)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return protocol.OperatorError(
             protocol.OperatorErrorKind.UNKNOWN,
@@ -150,17 +153,17 @@
     retry_after_ms = fields.pop('retry_after_ms', 0)
     for name, value in fields.items():
         if value not in ('', None, [], {}):
-            lines.append(f'  {name}: {_plain(value)}')
+            lines.append(f'  {name}: {_format_value(value)}')
     if retry_after_ms:
         lines.append(f'  ask again after {retry_after_ms} ms')
     return '\n'.join(lines)
 
 
-def _plain(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, dict):
-        return ', '.join(f'{key}={each}' for key, each in value.items())
+        return ', '.join(f'{key}={item}' for key, item in value.items())
     if isinstance(value, list):
-        return ''.join(f'\n    {each}' for each in value)
+        return ''.join(f'\n    {item}' for item in value)
     return str(value)
 
 
--- a/samphiredock/cli/_difference.py
+++ b/samphiredock/cli/_difference.py
@@ -26,14 +26,14 @@
         return f'~ {self.path}: {self.old} -> {self.new}'
 
 
-def between(
+def compare(
     old: state.ConfigurationSource | None,
     base: dict,
     overlays: typing.Mapping[str, dict],
 ) -> list[Difference]:
     """Return what a new base and overlays would change."""
-    before = _flat_source(old.base, old.overlays) if old else {}
-    after = _flat_source(base, overlays)
+    before = _flatten_source(old.base, old.overlays) if old else {}
+    after = _flatten_source(base, overlays)
     return [
         Difference(path, before.get(path, ABSENT), after.get(path, ABSENT))
         for path in sorted(before.keys() | after.keys())
@@ -41,7 +41,7 @@
     ]
 
 
-def _flat_source(
+def _flatten_source(
     base: dict, overlays: typing.Mapping[str, dict]
 ) -> dict[str, str]:
     flat: dict[str, str] = {}
@@ -55,5 +55,5 @@
     if not isinstance(value, dict) or not value:
         flat[path] = msgspec.json.encode(value).decode()
         return
-    for key, each in value.items():
-        _flatten(f'{path}.{key}', each, flat)
+    for key, item in value.items():
+        _flatten(f'{path}.{key}', item, flat)
--- a/samphiredock/cli/_explain.py
+++ b/samphiredock/cli/_explain.py
@@ -8,10 +8,10 @@
 
 _Row = dict[str, typing.Any]
 
-_COORDINATORS = ['coordinators']
+_UNANSWERED_COORDINATORS = ['coordinators']
 """What a daemon that handed a request over names as without an answer."""
 
-_REFUSED_BECAUSE = {
+_REFUSAL_REASONS = {
     'not-ready': 'the daemon had no routing table yet',
     'unknown-route': 'no route of the version in force fits its path',
     'no-target': 'too few services had a target that could be reached',
@@ -20,7 +20,7 @@
     'quarantined': 'its content had crashed targets before',
 }
 
-_FAILED_BECAUSE = {
+_FAILURE_REASONS = {
     'broken': 'broke off, or failed, while it may have been running it',
     'silent': 'gave no answer in time',
     'bad-answer': 'sent bytes that are no whole answer to it',
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Line:
+class LogLine:
     """One log line; ``source`` is what stood before the object."""
 
     source: str
@@ -53,7 +53,7 @@
         return str(self.row.get('event', ''))
 
 
-def read_lines(rows: typing.Iterable[str]) -> list[Line]:
+def read_lines(rows: typing.Iterable[str]) -> list[LogLine]:
     """Return the log lines among others; collectors may put text before.
 
     Lines that hold no object are passed over: a log may begin or end in
@@ -70,40 +70,54 @@
             continue
         words = before.split()
         if isinstance(row, dict) and 'event' in row:
-            found.append(Line(words[-1] if words else '', row))
+            found.append(LogLine(words[-1] if words else '', row))
     return found
 
 
-def story_of(lines: list[Line], request_id: str) -> list[Line]:
+def select_request_lines(
+    lines: list[LogLine], request_id: str
+) -> list[LogLine]:
     """Return a request's lines in order, across daemons."""
-    own = [line for line in lines if line.row.get('request') == request_id]
-    return sorted(own, key=lambda line: line.time)
+    own_lines = [
+        line for line in lines if line.row.get('request') == request_id
+    ]
+    return sorted(own_lines, key=lambda line: line.time)
 
 
-def cause_of(story: list[Line]) -> str:
+def find_cause(lines: list[LogLine]) -> str:
     """Return in a sentence why a request ended as it did."""
-    ends = [line.row for line in story if line.event == 'request ended']
+    ends = [line.row for line in lines if line.event == 'request ended']
     if not ends:
         return 'no end is in these logs: a daemon was lost, or lines are'
     # Where it was handed over, the coordinator's end tells more.
-    own = [row for row in ends if row.get('unanswered') != _COORDINATORS]
-    bad = [row for row in [*own, *ends] if _went_badly(row)]
-    end = bad[0] if bad else ends[-1]
-    failed = [line.row for line in story if line.event == 'failed']
-    return _CAUSES[end['outcome']](end, failed) + _late_orders(story)
+    coordinator_ends = [
+        row
+        for row in ends
+        if row.get('unanswered') != _UNANSWERED_COORDINATORS
+    ]
+    bad_ends = [
+        row
+        for row in [*coordinator_ends, *ends]
+        if _has_failed_or_was_late(row)
+    ]
+    end = bad_ends[0] if bad_ends else ends[-1]
+    failed = [line.row for line in lines if line.event == 'failed']
+    return _EXPLAIN_BY_OUTCOME[end['outcome']](
+        end, failed
+    ) + _describe_late_orders(lines)
 
 
-def _late_orders(story: list[Line]) -> str:
+def _describe_late_orders(lines: list[LogLine]) -> str:
     """Name the daemons that asked targets of their site and said nothing."""
-    late = {
-        str(line.row.get('by')) for line in story if line.event == 'order late'
+    late_daemons = {
+        str(line.row.get('by')) for line in lines if line.event == 'order late'
     }
-    if not late:
+    if not late_daemons:
         return ''
-    return f'; nothing came in time from {", ".join(sorted(late))}'
+    return f'; nothing came in time from {", ".join(sorted(late_daemons))}'
 
 
-def _went_badly(row: _Row) -> bool:
+def _has_failed_or_was_late(row: _Row) -> bool:
     return bool(
         row['outcome'] not in ('passed', 'gathered')
         or row.get('missing')
@@ -112,10 +126,10 @@
     )
 
 
-def _of_targets(failed: list[_Row]) -> str:
+def _describe_target_failures(failed: list[_Row]) -> str:
     texts = [
         f'target {row["target"]} of {row["shard"]} '
-        f'{_FAILED_BECAUSE.get(row["status"], row["status"])} '
+        f'{_FAILURE_REASONS.get(row["status"], row["status"])} '
         f'({row.get("why", "")})'
         for row in failed[:4]
     ]
@@ -123,47 +137,50 @@
     return '; '.join(texts) + (f'; and {more} more' if more > 0 else '')
 
 
-def _refused(end: _Row, failed: list[_Row]) -> str:
-    because = _REFUSED_BECAUSE.get(end.get('reason', ''), 'see why')
-    return f'refused, and it has not run: {because} ({end.get("why", "")})'
+def _explain_refused(end: _Row, failed: list[_Row]) -> str:
+    reason = _REFUSAL_REASONS.get(end.get('reason', ''), 'see why')
+    return f'refused, and it has not run: {reason} ({end.get("why", "")})'
 
 
-def _notrun(end: _Row, failed: list[_Row]) -> str:
-    return f'not run: {end.get("why", "")}; {_of_targets(failed)}'
+def _explain_not_run(end: _Row, failed: list[_Row]) -> str:
+    return (
+        f'not run: {end.get("why", "")}; {_describe_target_failures(failed)}'
+    )
 
 
-def _unknown(end: _Row, failed: list[_Row]) -> str:
+def _explain_unknown(end: _Row, failed: list[_Row]) -> str:
     return (
         'it may have run, and was not sent again: '
-        + (_of_targets(failed) or end.get('why', ''))
-        + _denied(end)
+        + (_describe_target_failures(failed) or end.get('why', ''))
+        + _describe_denied_attempts(end)
     )
 
 
-def _timed_out(end: _Row, failed: list[_Row]) -> str:
-    silent = ', '.join(end.get('unanswered', []))
+def _explain_timed_out(end: _Row, failed: list[_Row]) -> str:
+    unanswered = ', '.join(end.get('unanswered', []))
     return (
-        f'no answer from {silent or "any target"} in {end["took_ms"]} ms'
-        + (f'; {_of_targets(failed)}' if failed else '')
-        + _denied(end)
+        f'no answer from {unanswered or "any target"} in {end["took_ms"]} ms'
+        + (f'; {_describe_target_failures(failed)}' if failed else '')
+        + _describe_denied_attempts(end)
     )
 
 
-def _left(end: _Row, failed: list[_Row]) -> str:
-    silent = ', '.join(end.get('unanswered', []))
+def _explain_caller_left(end: _Row, failed: list[_Row]) -> str:
+    unanswered = ', '.join(end.get('unanswered', []))
     return (
         f'the caller left after {end["took_ms"]} ms, while '
-        f'{silent or "nothing"} had not answered' + _denied(end)
+        f'{unanswered or "nothing"} had not answered'
+        + _describe_denied_attempts(end)
     )
 
 
-def _gathered(end: _Row, failed: list[_Row]) -> str:
+def _explain_gathered(end: _Row, failed: list[_Row]) -> str:
     parts = []
     if end.get('missing'):
-        silent = ', '.join(end.get('unanswered', []))
+        unanswered = ', '.join(end.get('unanswered', []))
         parts.append(
             f'answered without {end["missing"]} of {end["shards"]} shards, '
-            f'which had not answered when it was due: {silent}'
+            f'which had not answered when it was due: {unanswered}'
         )
     if end['took_ms'] > end.get('aim_ms', end['took_ms']):
         parts.append(
@@ -171,38 +188,40 @@
             f'too few shards had answered'
         )
     if failed:
-        parts.append(_of_targets(failed))
-    return ('; '.join(parts) or 'it was answered whole and in time') + _denied(
-        end
-    )
+        parts.append(_describe_target_failures(failed))
+    return (
+        '; '.join(parts) or 'it was answered whole and in time'
+    ) + _describe_denied_attempts(end)
 
 
-def _passed(end: _Row, failed: list[_Row]) -> str:
+def _explain_passed(end: _Row, failed: list[_Row]) -> str:
     status = end.get('status') or 200
     if status >= 300:
         return f'the target answered {status} itself, which is passed on'
     if end['took_ms'] > end.get('aim_ms', end['took_ms']):
         return f'late: {end["took_ms"]} ms of {end["aim_ms"]} ms' + (
-            f'; {_of_targets(failed)}' if failed else ''
+            f'; {_describe_target_failures(failed)}' if failed else ''
         )
     return 'it was answered in time'
 
 
-def _denied(end: _Row) -> str:
+def _describe_denied_attempts(end: _Row) -> str:
     denied = (end.get('hedges_denied') or 0) + (end.get('retries_denied') or 0)
     if not denied:
         return ''
     return f'; the retry budget refused {denied} more attempts'
 
 
-_CAUSES: typing.Mapping[str, typing.Callable[[_Row, list[_Row]], str]] = {
-    'refused': _refused,
-    'notrun': _notrun,
-    'unknown': _unknown,
-    'timedout': _timed_out,
-    'caller left': _left,
-    'gathered': _gathered,
-    'passed': _passed,
+_EXPLAIN_BY_OUTCOME: typing.Mapping[
+    str, typing.Callable[[_Row, list[_Row]], str]
+] = {
+    'refused': _explain_refused,
+    'notrun': _explain_not_run,
+    'unknown': _explain_unknown,
+    'timedout': _explain_timed_out,
+    'caller left': _explain_caller_left,
+    'gathered': _explain_gathered,
+    'passed': _explain_passed,
 }
 
 _READINESS_EVENTS = frozenset(
@@ -224,14 +243,14 @@
 )
 
 
-def _text(line: Line) -> str:
-    facts = {
+def _format_line(line: LogLine) -> str:
+    fields = {
         key: value
         for key, value in line.row.items()
         if key not in ('time', 'event', 'level', 'part', 'request')
         and value not in (None, '', [], 0)
     }
-    words = ' '.join(f'{key}={value}' for key, value in facts.items())
+    words = ' '.join(f'{key}={value}' for key, value in fields.items())
     return f'{line.time} {line.source} {line.event}: {words}'
 
 
@@ -258,33 +277,33 @@
     """
     if why_not_ready:
         opened = [open(request_id, errors='replace')] if request_id else []
-        lines = _read([*opened, *files])
-        story = [
+        lines = _read_files([*opened, *files])
+        selected = [
             line
             for line in sorted(lines, key=lambda line: line.time)
             if line.event in _READINESS_EVENTS and line.time >= since
         ]
-        cause = _text(story[-1]) if story else 'no line tells'
+        cause = _format_line(selected[-1]) if selected else 'no line tells'
     elif not request_id:
         raise click.UsageError('got no REQUEST_ID, expected one')
     else:
-        story = story_of(_read(files), request_id)
-        story = [line for line in story if line.time >= since]
-        if not story:
+        selected = select_request_lines(_read_files(files), request_id)
+        selected = [line for line in selected if line.time >= since]
+        if not selected:
             raise click.ClickException(
                 f'got no line of request {request_id}, expected some; the '
                 f'daemons log a sample of the requests that go well'
             )
-        cause = cause_of(story)
+        cause = find_cause(selected)
     if as_json:
-        rows = [{'source': line.source, **line.row} for line in story]
+        rows = [{'source': line.source, **line.row} for line in selected]
         click.echo(json.dumps({'cause': cause, 'lines': rows}))
         return
-    for line in story:
-        click.echo(_text(line))
+    for line in selected:
+        click.echo(_format_line(line))
     click.echo(f'cause: {cause}')
 
 
-def _read(files: typing.Iterable[typing.TextIO]) -> list[Line]:
+def _read_files(files: typing.Iterable[typing.TextIO]) -> list[LogLine]:
     opened = list(files) or [click.get_text_stream('stdin')]
     return [line for file in opened for line in read_lines(file)]
--- a/samphiredock/cli/_fleet.py
+++ b/samphiredock/cli/_fleet.py
@@ -16,14 +16,14 @@
 @_context.with_context
 def status(context: _context.Context) -> None:
     """Show daemons, sites, revisions in force, and targets."""
-    found = context.ask('GET', '/v1/status', dict)
-    context.show(found, _status_words(found))
+    body = context.ask('GET', '/v1/status', dict)
+    context.show(body, _format_status(body))
 
 
-def _status_words(found: dict[str, typing.Any]) -> str:
-    members = msgspec.convert(found['members'], list[state.Member])
-    targets = msgspec.convert(found['target_rows'], list[protocol.TargetRow])
-    revisions = found['revisions']
+def _format_status(body: dict[str, typing.Any]) -> str:
+    members = msgspec.convert(body['members'], list[state.Member])
+    targets = msgspec.convert(body['target_rows'], list[protocol.TargetRow])
+    revisions = body['revisions']
     daemons = _context.table(
         ['daemon', 'site', 'region', 'revision', 'callers', 'operators'],
         [
@@ -53,8 +53,8 @@
         ],
     )
     head = (
-        f'seen by {found["name"]}: revision {found["revision"]}, '
-        f'snapshot {found["snapshot_id"]}'
+        f'seen by {body["name"]}: revision {body["revision"]}, '
+        f'snapshot {body["snapshot_id"]}'
     )
     return f'{head}\n\n{daemons}\n\n{rows}'
 
@@ -69,7 +69,7 @@
 @_context.with_context
 def drain(context: _context.Context, name: str) -> None:
     """Give a target no new work; what runs there is let finish."""
-    _set_leaving(context, name, 'drain')
+    _set_draining(context, name, 'drain')
 
 
 @target.command()
@@ -77,13 +77,13 @@
 @_context.with_context
 def undrain(context: _context.Context, name: str) -> None:
     """Give a drained target new work again."""
-    _set_leaving(context, name, 'undrain')
+    _set_draining(context, name, 'undrain')
 
 
-def _set_leaving(context: _context.Context, name: str, verb: str) -> None:
+def _set_draining(context: _context.Context, name: str, verb: str) -> None:
     quoted = urllib.parse.quote(name, safe='')
     path = f'/v1/targets/{quoted}/{verb}'
-    context.end_with(context.ask('POST', path, protocol.OperatorDone))
+    context.exit_with_outcome(context.ask('POST', path, protocol.OperatorDone))
 
 
 @click.group()
@@ -96,20 +96,20 @@
 def list_entries(context: _context.Context) -> None:
     """List what is refused, since when and until when."""
     rows = context.ask('GET', '/v1/quarantine', list[protocol.QuarantineEntry])
-    words = _context.table(
+    text = _context.table(
         ['fingerprint', 'service', 'targets lost', 'since', 'until'],
         [
             [
                 row.fingerprint,
                 row.service,
                 ', '.join(row.targets),
-                _time(row.since_ms),
-                _time(row.until_ms),
+                _format_time(row.since_ms),
+                _format_time(row.until_ms),
             ]
             for row in rows
         ],
     )
-    context.show(rows, words)
+    context.show(rows, text)
 
 
 @quarantine.command()
@@ -119,8 +119,10 @@
     """Let a request content run again."""
     quoted = urllib.parse.quote(fingerprint, safe='')
     path = f'/v1/quarantine/{quoted}'
-    context.end_with(context.ask('DELETE', path, protocol.OperatorDone))
+    context.exit_with_outcome(
+        context.ask('DELETE', path, protocol.OperatorDone)
+    )
 
 
-def _time(wall_ms: int) -> str:
+def _format_time(wall_ms: int) -> str:
     return time.strftime('%Y-%m-%d %H:%M:%SZ', time.gmtime(wall_ms / 1000))
--- a/samphiredock/cli/_keys.py
+++ b/samphiredock/cli/_keys.py
@@ -33,26 +33,28 @@
     """
     if folder is None and len(members) > 1:
         raise click.UsageError('got several members, expected --folder')
-    texts = _make(members)
+    texts = _make_keys_files(members)
     if folder is None:
         click.echo(texts[members[0]])
         return
     folder.mkdir(parents=True, exist_ok=True)
     for member, text in texts.items():
-        _write(folder / f'{member}.keys.json', text)
+        _write_new_file(folder / f'{member}.keys.json', text)
 
 
-def _make(members: tuple[str, ...]) -> dict[str, str]:
+def _make_keys_files(members: tuple[str, ...]) -> dict[str, str]:
     pairs = {member: zmq.curve_keypair() for member in members}
     admitted = {member: pair[0].decode() for member, pair in pairs.items()}
     token = secrets.token_urlsafe(_TOKEN_BYTES)
     return {
-        member: _text(token, public.decode(), secret.decode(), admitted)
+        member: _format_keys_file(
+            token, public.decode(), secret.decode(), admitted
+        )
         for member, (public, secret) in pairs.items()
     }
 
 
-def _text(
+def _format_keys_file(
     token: str, public: str, secret: str, admitted: dict[str, str]
 ) -> str:
     body = {
@@ -63,7 +65,7 @@
     return msgspec.json.format(msgspec.json.encode(body), indent=2).decode()
 
 
-def _write(path: pathlib.Path, text: str) -> None:
+def _write_new_file(path: pathlib.Path, text: str) -> None:
     # Made with its mode, so that nobody can read it even for a moment;
     # an existing file is never overwritten, for a fleet may depend on it.
     flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL
--- a/samphiredock/cli/_requests.py
+++ b/samphiredock/cli/_requests.py
@@ -12,8 +12,8 @@
 from samphiredock import protocol
 from samphiredock import transport
 
-_ANSWER_SLACK_MS = 5_000
-_LONGEST_DEADLINE_MS = 30_000
+_REPLY_MARGIN_MS = 5_000
+_MAX_DEADLINE_MS = 30_000
 
 
 class _Pair(click.ParamType):
@@ -27,13 +27,13 @@
         param: click.Parameter | None,
         ctx: click.Context | None,
     ) -> tuple[str, str]:
-        key, found, text = str(value).partition('=')
-        if not (key and found):
+        key, separator, text = str(value).partition('=')
+        if not (key and separator):
             self.fail(f'got {value!r}, expected NAME=VALUE', param, ctx)
         return key, text
 
 
-_CALLER = click.option(
+_CALLER_OPTION = click.option(
     '--caller',
     'callers',
     multiple=True,
@@ -41,7 +41,7 @@
     metavar='URL',
     help='Caller address; if not given, a daemon is asked for it.',
 )
-_DEADLINE = click.option(
+_DEADLINE_OPTION = click.option(
     '--deadline-ms',
     type=click.IntRange(1),
     help="Milliseconds; the configuration's own if not stated.",
@@ -53,8 +53,8 @@
 @click.argument('search_name', metavar='SEARCH')
 @click.argument('terms', nargs=-1, type=_Pair(), metavar='[FIELD=VALUE]...')
 @click.option('--limit', type=click.IntRange(1), help='Records at most.')
-@_DEADLINE
-@_CALLER
+@_DEADLINE_OPTION
+@_CALLER_OPTION
 @_context.with_context
 def search(
     context: _context.Context,
@@ -77,12 +77,12 @@
     )
     reply = _client.send(_caller_urls(context, callers), call)
     if isinstance(reply, _client.NoReply):
-        context.unreachable(reply, harmless=True)
-    outcome = context.read(reply, protocol.SearchOutcome)
+        context.exit_unreachable(reply, is_repeatable=True)
+    outcome = context.decode_or_exit(reply, protocol.SearchOutcome)
     if not context.as_json and hasattr(outcome, 'records'):
         click.echo(_records_table(outcome.records))
         outcome = msgspec.structs.replace(outcome, records=[])
-    context.end_with(outcome)
+    context.exit_with_outcome(outcome)
 
 
 @click.command()
@@ -92,8 +92,8 @@
 @click.option(
     '--key', help='Idempotency key (UUID version 7); a new one if not stated.'
 )
-@_DEADLINE
-@_CALLER
+@_DEADLINE_OPTION
+@_CALLER_OPTION
 @_context.with_context
 def run(
     context: _context.Context,
@@ -109,7 +109,7 @@
         int(time.time() * 1000), random.SystemRandom()
     )
     urls = _caller_urls(context, callers)
-    again = f'--key {key}'
+    retry_option = f'--key {key}'
     # Before it is sent: whatever happens next, the key is on the screen.
     context.note(f'idempotency key {key}')
     request = protocol.RunBody(service, operation, dict(body), deadline_ms)
@@ -118,18 +118,18 @@
         '/v1/run',
         msgspec.json.encode(request),
         {transport.IDEMPOTENCY_KEY_HEADER: key},
-        repeatable=False,
+        is_repeatable=False,
         timeout_ms=_timeout_ms(deadline_ms),
     )
     reply = _client.send(urls, call)
     if isinstance(reply, _client.NoReply):
-        if reply.sent:
-            _say_again(context, again)
-        context.unreachable(reply, harmless=False)
+        if reply.may_be_received:
+            _print_retry_hint(context, retry_option)
+        context.exit_unreachable(reply, is_repeatable=False)
     outcome = _run_outcome(reply)
     if isinstance(outcome, protocol.Unknown):
-        _say_again(context, again)
-    context.end_with(outcome)
+        _print_retry_hint(context, retry_option)
+    context.exit_with_outcome(outcome)
 
 
 def _run_outcome(reply: _client.Reply) -> protocol.RunOutcome:
@@ -143,22 +143,22 @@
         )
 
 
-def _say_again(context: _context.Context, again: str) -> None:
+def _print_retry_hint(context: _context.Context, retry_option: str) -> None:
     context.note(
         'it may or may not have run; the same request is safe to send '
-        f'again with: {again}'
+        f'again with: {retry_option}'
     )
 
 
 def _timeout_ms(deadline_ms: int | None) -> int:
-    return (deadline_ms or _LONGEST_DEADLINE_MS) + _ANSWER_SLACK_MS
+    return (deadline_ms or _MAX_DEADLINE_MS) + _REPLY_MARGIN_MS
 
 
 def _caller_urls(
-    context: _context.Context, given: tuple[str, ...]
+    context: _context.Context, stated_urls: tuple[str, ...]
 ) -> list[str]:
-    if given:
-        return list(given)
+    if stated_urls:
+        return list(stated_urls)
     status = context.ask('GET', '/v1/status', dict)
     own = status['caller_url']
     scheme = own.partition(':')[0]
--- a/tests/process/test_explain_day.py
+++ b/tests/process/test_explain_day.py
@@ -22,10 +22,10 @@
     async def _cause(self, request_id: str) -> str:
         text = await self.system.log_with_end_of('one', request_id)
         rows = _explain.read_lines(text.splitlines())
-        story = _explain.story_of(rows, request_id)
+        story = _explain.select_request_lines(rows, request_id)
         self.assertTrue(story, request_id)
         self.assertTrue(all(json.dumps(line.row) for line in story))
-        return _explain.cause_of(story)
+        return _explain.find_cause(story)
 
     async def _ask(self, path: str, request_id: str, **words: object) -> int:
         status, _, _ = await self.system.ask('one', path, request_id, **words)
