--- a/samphiredock/cli/_explain.py
+++ b/samphiredock/cli/_explain.py
@@ -96,15 +96,13 @@
         if row.get('unanswered') != _UNANSWERED_COORDINATORS
     ]
     bad_ends = [
-        row
-        for row in [*coordinator_ends, *ends]
-        if _has_failed_or_was_late(row)
+        row for row in [*coordinator_ends, *ends] if _is_failure_or_late(row)
     ]
     end = bad_ends[0] if bad_ends else ends[-1]
     failed = [line.row for line in lines if line.event == 'failed']
-    return _EXPLAIN_BY_OUTCOME[end['outcome']](
-        end, failed
-    ) + _describe_late_orders(lines)
+    return _EXPLAINERS[end['outcome']](end, failed) + _describe_late_orders(
+        lines
+    )
 
 
 def _describe_late_orders(lines: list[LogLine]) -> str:
@@ -117,7 +115,7 @@
     return f'; nothing came in time from {", ".join(sorted(late_daemons))}'
 
 
-def _has_failed_or_was_late(row: _Row) -> bool:
+def _is_failure_or_late(row: _Row) -> bool:
     return bool(
         row['outcome'] not in ('passed', 'gathered')
         or row.get('missing')
@@ -212,9 +210,7 @@
     return f'; the retry budget refused {denied} more attempts'
 
 
-_EXPLAIN_BY_OUTCOME: typing.Mapping[
-    str, typing.Callable[[_Row, list[_Row]], str]
-] = {
+_EXPLAINERS: typing.Mapping[str, typing.Callable[[_Row, list[_Row]], str]] = {
     'refused': _explain_refused,
     'notrun': _explain_not_run,
     'unknown': _explain_unknown,
