--- a/samphiredock/cli/__init__.py
+++ b/samphiredock/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""Command line for operators."""
--- a/samphiredock/cli/__main__.py
+++ b/samphiredock/cli/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m samphiredock.cli``."""
+"""Runs the command line as ``python -m samphiredock.cli``."""
 
 from samphiredock.cli import main
 
--- a/samphiredock/cli/_client.py
+++ b/samphiredock/cli/_client.py
@@ -1,4 +1,4 @@
-"""Calls to daemons, trying the next address where that is safe."""
+"""HTTP calls to daemons, with failover to other addresses where safe."""
 
 import asyncio
 import dataclasses
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer of a daemon."""
+    """A daemon's HTTP response; ``url`` is the address that sent it."""
 
     url: str
     status: int
@@ -21,9 +21,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoReply:
-    """No daemon answered.
+    """No daemon replied.
 
-    ``sent`` tells that one of them may have received the request.
+    ``may_be_received`` is False if no connection was made, so that no daemon
+    can have received the request.
     """
 
     detail: str
@@ -32,10 +33,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """One request.
+    """One HTTP request.
 
-    A call that is not ``repeatable`` goes to the next address only if no
-    connection was made, for else it may have been received and begun.
+    If a daemon does not reply, the request is sent to the next address.  A
+    request that is not repeatable is sent again only if no connection was
+    made, since the first daemon may otherwise have started to run it.
     """
 
     method: str
@@ -47,7 +49,7 @@
 
 
 def send(urls: typing.Sequence[str], call: Call) -> Reply | NoReply:
-    """Send a call to the first of ``urls`` that answers."""
+    """Send a request to each of ``urls`` in turn until one replies."""
     return asyncio.run(_send(urls, call))
 
 
@@ -58,8 +60,8 @@
         total=call.timeout_ms / 1000.0, sock_connect=_CONNECT_TIMEOUT_S
     )
     for url in urls:
-        # A session each: a kept connection that broke would be retried
-        # by the library without a word.
+        # A new session for each address: aiohttp silently sends a request
+        # again if a reused connection turns out to be closed.
         async with aiohttp.ClientSession(timeout=client_timeout) as session:
             try:
                 return await _exchange(session, url, call)
--- a/samphiredock/cli/_config.py
+++ b/samphiredock/cli/_config.py
@@ -1,4 +1,4 @@
-"""``samphiredock config``: check, diff, apply, show, history."""
+"""``samphiredock config``: check, compare, apply and show configurations."""
 
 import dataclasses
 import getpass
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _ConfigurationFiles:
-    """Base and overlays as read from files."""
+    """A base and overlays by site, with the names of their files."""
 
     base: dict
     overlays: dict[str, dict]
@@ -34,7 +34,7 @@
 
 
 class _OverlayOption(click.ParamType):
-    """``SITE=FILE``."""
+    """An option value ``SITE=FILE``, converted to a tuple."""
 
     name = 'SITE=FILE'
 
@@ -63,7 +63,7 @@
         click.option(
             '--folder',
             type=_PATH_TYPE,
-            help='Instead: a folder with base.json and SITE.json files.',
+            help='A folder with base.json and SITE.json files, instead.',
         ),
     )
     for option in reversed(options):
@@ -80,7 +80,7 @@
 @_with_files
 @_context.with_context
 def check(context: _context.Context, **files: typing.Any) -> None:
-    """Check files without asking any daemon."""
+    """Validate files without calling a daemon."""
     loaded = _load_checked(context, **files)
     context.show(
         {'type': 'valid'},
@@ -92,7 +92,7 @@
 @_with_files
 @_context.with_context
 def diff(context: _context.Context, **files: typing.Any) -> None:
-    """Show what files would change of the configuration in force."""
+    """Show what files would change in the configuration in force."""
     loaded = _load_checked(context, **files)
     current = _fetch_current(context)
     rows = _difference.compare(current, loaded.base, loaded.overlays)
@@ -105,11 +105,15 @@
 @click.option(
     '--base-revision',
     type=int,
-    help='The revision the files were made from; the one in force if not '
-    'stated. Another one in force is a conflict.',
+    help='The revision the files were made from; default: the one in force. '
+    'If another one is in force, the change is a conflict.',
+)
+@click.option(
+    '--change-id', help='Send an earlier change again; it is applied once.'
+)
+@click.option(
+    '--author', help='Who makes the change; default: the login name.'
 )
-@click.option('--change-id', help='Send an earlier change again, safely.')
-@click.option('--author', help='Who makes the change; the login name if not.')
 @click.option('--no-wait', is_flag=True, help='Do not wait for the sites.')
 @click.option(
     '--wait-ms',
@@ -129,7 +133,7 @@
     wait_ms: int,
     **files: typing.Any,
 ) -> None:
-    """Bring files into force at every site."""
+    """Apply files as the new configuration of all sites."""
     loaded = _load_checked(context, **files)
     current = _fetch_current(context)
     rows = _difference.compare(current, loaded.base, loaded.overlays)
@@ -149,8 +153,9 @@
         author or getpass.getuser(),
         loaded.base,
         loaded.overlays,
-        # A change sent again may have been accepted: a daemon that cannot
-        # read the store then must not say that nothing was changed.
+        # An earlier attempt at this change may have been accepted, so a
+        # daemon that cannot read the store must report an unknown outcome
+        # and not that nothing was changed.
         repeated=change_id is not None,
     )
     context.note(f'change id {change.change_id} (--change-id sends it again)')
@@ -188,7 +193,7 @@
 @config.command()
 @_context.with_context
 def history(context: _context.Context) -> None:
-    """List the accepted changes, the newest first."""
+    """List the accepted changes, newest first."""
     rows = context.ask(
         'GET', f'{_CONFIGURATION_PATH}/history', list[protocol.ChangeSummary]
     )
@@ -259,7 +264,7 @@
     text = '\n'.join(str(row) for row in problems)
     context.show(
         {'type': 'invalid', 'problems': problems},
-        f'{text}\ninvalid: {len(problems)} mistakes',
+        f'{text}\ninvalid: {len(problems)} problems',
     )
     _context.exit_with_code(_exits.Exit.REFUSED)
 
@@ -341,8 +346,8 @@
     site_daemons = [row for row in daemons if row.site == site]
     confirmed = sum(row.revision >= revision for row in site_daemons)
     if not site_daemons:
-        # Nobody is there to confirm; its next daemon starts with the
-        # newest revision before it is ready.
+        # No daemon can confirm.  A daemon that starts here later loads the
+        # newest revision before it becomes ready.
         return _SiteRow(site, 0, 0, 'no daemon')
     state_ = 'in force' if confirmed == len(site_daemons) else 'waiting'
     return _SiteRow(site, len(site_daemons), confirmed, state_)
--- a/samphiredock/cli/_context.py
+++ b/samphiredock/cli/_context.py
@@ -1,4 +1,4 @@
-"""What every command shares: addresses, token, and how to print."""
+"""The options and functions that all commands share."""
 
 import dataclasses
 import functools
@@ -20,13 +20,13 @@
 
 
 def exit_with_code(code: _exits.Exit) -> typing.NoReturn:
-    """End the program."""
+    """Exit the program."""
     sys.exit(int(code))
 
 
 @dataclasses.dataclass(frozen=True)
 class Context:
-    """The options that stand before or after a command's name."""
+    """Values of the shared options, and calls and output that use them."""
 
     daemons: tuple[str, ...]
     token_file: pathlib.Path | None
@@ -34,9 +34,10 @@
 
     @functools.cached_property
     def token(self) -> str | None:
-        """The operators' token, if a file was named.
+        """The operator token, None without ``--token-file``.
 
-        The file holds the token alone or is a daemon's keys file.
+        The file contains just the token, or is a daemon's keys file.
+        Raises ``click.UsageError`` if it cannot be read.
         """
         if self.token_file is None:
             return None
@@ -59,16 +60,16 @@
         reply_type: typing.Any,
         body: object = None,
     ) -> typing.Any:
-        """Call an operator address and return the typed answer.
+        """Call an operator address and return the decoded reply.
 
-        Ends the program if no daemon answers or one answers an error.
+        Exits the program if no daemon replies or if the reply is an error.
         """
         return self.decode_or_exit(self.call(method, path, body), reply_type)
 
     def call(
         self, method: str, path: str, body: object = None
     ) -> _client.Reply:
-        """Call an operator address; ends the program if none answers."""
+        """Return a daemon's reply; exit the program if no daemon replies."""
         if not self.daemons:
             raise click.UsageError(
                 'got no daemon, expected --daemon URL or SAMPHIREDOCK_DAEMON'
@@ -86,7 +87,11 @@
     def exit_unreachable(
         self, reply: _client.NoReply, is_repeatable: bool
     ) -> typing.NoReturn:
-        """Say that no daemon answered, and end the program."""
+        """Print that no daemon replied, and exit the program.
+
+        A request that is not repeatable and may have been received has an
+        unknown outcome.
+        """
         unknown = reply.may_be_received and not is_repeatable
         error_type = 'unknown' if unknown else 'unreachable'
         self.show(
@@ -99,31 +104,34 @@
     def decode_or_exit(
         self, reply: _client.Reply, reply_type: typing.Any
     ) -> typing.Any:
-        """Return a reply as a typed value; an error ends the program."""
+        """Return a decoded reply; exit the program if it is an error."""
         value = decode(reply, reply_type)
         if isinstance(value, protocol.OperatorError):
             self.exit_with_outcome(value)
         return value
 
     def exit_with_outcome(self, outcome: object) -> typing.NoReturn:
-        """Show an outcome and end with its exit code."""
+        """Print an outcome and exit with its exit code."""
         self.show(outcome, describe(outcome))
         exit_with_code(_exits.exit_of(outcome))
 
     def show(self, value: object, text: str) -> None:
-        """Print a value: JSON for programs, words for people."""
+        """Print ``value`` as JSON if ``--json`` is given, else ``text``."""
         if self.as_json:
             click.echo(msgspec.json.encode(value).decode())
         else:
             click.echo(text)
 
     def note(self, text: str) -> None:
-        """Print progress to standard error, apart from the result."""
+        """Print progress to standard error, separate from the result."""
         click.echo(text, err=True)
 
 
 def decode(reply: _client.Reply, reply_type: typing.Any) -> typing.Any:
-    """Return a reply as a value of ``kind``, or the error that it is."""
+    """Return a reply decoded as ``reply_type``, or an ``OperatorError``.
+
+    A reply that cannot be decoded becomes an error of kind ``UNKNOWN``.
+    """
     try:
         return _OPERATOR_ERROR.decode(reply.body)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -134,19 +142,23 @@
         return protocol.OperatorError(
             protocol.OperatorErrorKind.UNKNOWN,
             f'{reply.url} answered {reply.status} with a body that cannot '
-            f'be read: {error}',
+            f'be decoded: {error}',
         )
 
 
 def table(
     headers: typing.Sequence[str], rows: typing.Iterable[typing.Sequence]
 ) -> str:
-    """Return rows as a table for people."""
+    """Return rows formatted as a text table."""
     return tabulate.tabulate(list(rows), headers, disable_numparse=True)
 
 
 def describe(outcome: typing.Any) -> str:
-    """Return an outcome in words."""
+    """Return an outcome as text.
+
+    The first line is the outcome's type; a line for each field that is not
+    empty follows.
+    """
     fields = msgspec.to_builtins(outcome)
     kind = fields.pop('type')
     lines = [f'{kind.replace("-", " ")}']
@@ -168,10 +180,7 @@
 
 
 def with_context(command: typing.Callable) -> typing.Callable:
-    """Give a command the shared options and a :class:`Context`.
-
-    The options may be stated after the command's name, too.
-    """
+    """Add the shared options to a command, which gets a :class:`Context`."""
 
     @click.option(
         '--daemon',
@@ -179,8 +188,8 @@
         multiple=True,
         envvar='SAMPHIREDOCK_DAEMON',
         metavar='URL',
-        help='Operator address of a daemon; may be given more than once, '
-        'the next is tried if one cannot be reached.',
+        help='Operator address of a daemon; if given more than once, '
+        'the next is tried when one cannot be reached.',
     )
     @click.option(
         '--token-file',
--- a/samphiredock/cli/_difference.py
+++ b/samphiredock/cli/_difference.py
@@ -1,4 +1,4 @@
-"""Differences between two configurations, path by path."""
+"""Comparison of two configurations, field by field."""
 
 import dataclasses
 import typing
@@ -12,7 +12,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Difference:
-    """One path whose value differs."""
+    """One field whose value differs.
+
+    ``path`` is dotted and starts with ``base`` or ``overlay SITE``.  ``old``
+    and ``new`` are JSON texts or :data:`ABSENT`.
+    """
 
     path: str
     old: str
@@ -31,7 +35,7 @@
     base: dict,
     overlays: typing.Mapping[str, dict],
 ) -> list[Difference]:
-    """Return what a new base and overlays would change."""
+    """Return what a new base and overlays would change, sorted by path."""
     before = _flatten_source(old.base, old.overlays) if old else {}
     after = _flatten_source(base, overlays)
     return [
--- a/samphiredock/cli/_exits.py
+++ b/samphiredock/cli/_exits.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command line: part of its public interface."""
+"""Exit codes of the command line, part of its public interface."""
 
 import enum
 import typing
@@ -7,7 +7,7 @@
 
 
 class Exit(enum.IntEnum):
-    """How a command ended."""
+    """Exit codes; :data:`EXIT_HELP` describes each."""
 
     OK = 0
     DECLINED = 1
@@ -59,7 +59,7 @@
 
 
 def exit_of(outcome: object) -> Exit:
-    """Return the exit code that an outcome stands for."""
+    """Return the exit code for an outcome or an ``OperatorError``."""
     if isinstance(outcome, protocol.OperatorError):
         return _ERROR_EXITS.get(outcome.kind, Exit.REFUSED)
     if isinstance(outcome, protocol.Completed) and not outcome.accepted:
--- a/samphiredock/cli/_explain.py
+++ b/samphiredock/cli/_explain.py
@@ -1,4 +1,8 @@
-"""``samphiredock explain``: one request's story from the daemons' logs."""
+"""``samphiredock explain``: why a request ended as it did.
+
+Reads the log lines of daemons that forward requests.  Events, field names and
+values are those that the daemons log.
+"""
 
 import dataclasses
 import json
@@ -9,55 +13,62 @@
 _Row = dict[str, typing.Any]
 
 _UNANSWERED_COORDINATORS = ['coordinators']
-"""What a daemon that handed a request over names as without an answer."""
+"""The ``unanswered`` field of a daemon that handed a request over.
+
+Such a daemon waits for a coordinator and not for targets.
+"""
 
 _REFUSAL_REASONS = {
     'not-ready': 'the daemon had no routing table yet',
     'unknown-route': 'no route of the version in force fits its path',
     'no-target': 'too few services had a target that could be reached',
-    'overloaded': 'every target refused it as too much, or no retry budget '
+    'overloaded': 'every target refused it as overloaded, or no retry budget '
     'was left',
     'quarantined': 'its content had crashed targets before',
 }
 
 _FAILURE_REASONS = {
-    'broken': 'broke off, or failed, while it may have been running it',
+    'broken': 'broke off the exchange or failed, and may have run it',
     'silent': 'gave no answer in time',
-    'bad-answer': 'sent bytes that are no whole answer to it',
-    'unreachable': 'took no connection',
-    'shed': 'refused it as too much',
+    'bad-answer': 'sent something that is not a complete answer to it',
+    'unreachable': 'accepted no connection',
+    'shed': 'refused it as overloaded',
     'not-owner': 'has the address of another target',
-    'draining': 'was leaving',
+    'draining': 'was draining',
     'expired': 'had no time left for it',
-    'not-ordered': 'was to be asked by a daemon of its site that did not',
-    'order-lost': 'was to be asked by a daemon of its site that was lost, '
-    'so it may have run it',
+    'not-ordered': 'was assigned to a daemon of its site, which did not ask it',
+    'order-lost': 'was assigned to a daemon of its site, which was lost; '
+    'the target may have run it',
 }
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogLine:
-    """One log line; ``source`` is what stood before the object."""
+    """One log line.
+
+    ``row`` is its JSON object, ``source`` the last word before the object, as
+    log collectors add it.
+    """
 
     source: str
     row: _Row
 
     @property
     def time(self) -> str:
-        """When it was written, by the daemon's own clock."""
+        """When the event happened, by the daemon's clock, in ISO format."""
         return str(self.row.get('time', ''))
 
     @property
     def event(self) -> str:
-        """What happened."""
+        """The text of the event."""
         return str(self.row.get('event', ''))
 
 
 def read_lines(rows: typing.Iterable[str]) -> list[LogLine]:
-    """Return the log lines among others; collectors may put text before.
+    """Return the log lines among lines of text.
 
-    Lines that hold no object are passed over: a log may begin or end in
-    the middle of one.
+    A line may have text before its JSON object.  Lines without a complete
+    object are skipped: a log may begin or end in the middle of a line.
     """
     found = []
     for text in rows:
@@ -77,7 +88,7 @@
 def select_request_lines(
     lines: list[LogLine], request_id: str
 ) -> list[LogLine]:
-    """Return a request's lines in order, across daemons."""
+    """Return the lines of a request from all daemons, sorted by time."""
     own_lines = [
         line for line in lines if line.row.get('request') == request_id
     ]
@@ -85,11 +96,12 @@
 
 
 def find_cause(lines: list[LogLine]) -> str:
-    """Return in a sentence why a request ended as it did."""
+    """Return a sentence that says why a request ended as it did."""
     ends = [line.row for line in lines if line.event == 'request ended']
     if not ends:
-        return 'no end is in these logs: a daemon was lost, or lines are'
-    # Where it was handed over, the coordinator's end tells more.
+        return "no line 'request ended' in these logs: a daemon or lines were lost"
+    # After a handover both daemons log an end; the coordinator's is preferred
+    # because it names the targets.
     coordinator_ends = [
         row
         for row in ends
@@ -106,7 +118,7 @@
 
 
 def _describe_late_orders(lines: list[LogLine]) -> str:
-    """Name the daemons that asked targets of their site and said nothing."""
+    """Return the daemons that did not report on their merge orders in time."""
     late_daemons = {
         str(line.row.get('by')) for line in lines if line.event == 'order late'
     }
@@ -136,7 +148,7 @@
 
 
 def _explain_refused(end: _Row, failed: list[_Row]) -> str:
-    reason = _REFUSAL_REASONS.get(end.get('reason', ''), 'see why')
+    reason = _REFUSAL_REASONS.get(end.get('reason', ''), 'see the reason')
     return f'refused, and it has not run: {reason} ({end.get("why", "")})'
 
 
@@ -182,13 +194,13 @@
         )
     if end['took_ms'] > end.get('aim_ms', end['took_ms']):
         parts.append(
-            f'late: {end["took_ms"]} ms of {end["aim_ms"]} ms; before that '
-            f'too few shards had answered'
+            f'late: {end["took_ms"]} ms of {end["aim_ms"]} ms; too few '
+            f'shards had answered by then'
         )
     if failed:
         parts.append(_describe_target_failures(failed))
     return (
-        '; '.join(parts) or 'it was answered whole and in time'
+        '; '.join(parts) or 'it was answered completely and in time'
     ) + _describe_denied_attempts(end)
 
 
@@ -253,13 +265,13 @@
 @click.command()
 @click.argument('request_id', required=False)
 @click.argument('files', nargs=-1, type=click.File('r', errors='replace'))
-@click.option('--since', default='', help='Only lines from this time on.')
+@click.option('--since', default='', help='Ignore lines before this time.')
 @click.option(
     '--why-not-ready',
     is_flag=True,
-    help='Show what decides readiness; REQUEST_ID is a file then.',
+    help='Show the events that decide readiness; all arguments are files then.',
 )
-@click.option('--json', 'as_json', is_flag=True, help='One JSON value.')
+@click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
 def explain(
     request_id: str | None,
     files: tuple[typing.TextIO, ...],
@@ -267,9 +279,10 @@
     why_not_ready: bool,
     as_json: bool,
 ) -> None:
-    """Tell one request's story from log FILES, or standard input.
+    """Explain how one request ended, from log FILES or standard input.
 
-    The files may be of any number of daemons; the last line is the cause.
+    The files may be from any number of daemons. The request's log lines are
+    printed in order, then a line with the cause.
     """
     if why_not_ready:
         opened = [open(request_id, errors='replace')] if request_id else []
@@ -279,7 +292,11 @@
             for line in sorted(lines, key=lambda line: line.time)
             if line.event in _READINESS_EVENTS and line.time >= since
         ]
-        cause = _format_line(selected[-1]) if selected else 'no line tells'
+        cause = (
+            _format_line(selected[-1])
+            if selected
+            else 'no line about readiness in these logs'
+        )
     elif not request_id:
         raise click.UsageError('got no REQUEST_ID, expected one')
     else:
@@ -287,8 +304,8 @@
         selected = [line for line in selected if line.time >= since]
         if not selected:
             raise click.ClickException(
-                f'got no line of request {request_id}, expected some; the '
-                f'daemons log a sample of the requests that go well'
+                f'got no line of request {request_id}, expected some; of '
+                f'successful requests, the daemons log only a sample'
             )
         cause = find_cause(selected)
     if as_json:
--- a/samphiredock/cli/_fleet.py
+++ b/samphiredock/cli/_fleet.py
@@ -61,14 +61,14 @@
 
 @click.group()
 def target() -> None:
-    """Drain targets and put them back."""
+    """Drain targets and end the drain."""
 
 
 @target.command()
 @click.argument('name')
 @_context.with_context
 def drain(context: _context.Context, name: str) -> None:
-    """Give a target no new work; what runs there is let finish."""
+    """Send a target no new work; running work finishes."""
     _set_draining(context, name, 'drain')
 
 
@@ -76,7 +76,7 @@
 @click.argument('name')
 @_context.with_context
 def undrain(context: _context.Context, name: str) -> None:
-    """Give a drained target new work again."""
+    """Send a drained target new work again."""
     _set_draining(context, name, 'undrain')
 
 
@@ -94,7 +94,7 @@
 @quarantine.command('list')
 @_context.with_context
 def list_entries(context: _context.Context) -> None:
-    """List what is refused, since when and until when."""
+    """List the request contents in quarantine, since when and until when."""
     rows = context.ask('GET', '/v1/quarantine', list[protocol.QuarantineEntry])
     text = _context.table(
         ['fingerprint', 'service', 'targets lost', 'since', 'until'],
@@ -116,7 +116,7 @@
 @click.argument('fingerprint')
 @_context.with_context
 def release(context: _context.Context, fingerprint: str) -> None:
-    """Let a request content run again."""
+    """Remove a request content from quarantine, so that it can run again."""
     quoted = urllib.parse.quote(fingerprint, safe='')
     path = f'/v1/quarantine/{quoted}'
     context.exit_with_outcome(
--- a/samphiredock/cli/_keys.py
+++ b/samphiredock/cli/_keys.py
@@ -1,4 +1,4 @@
-"""``samphiredock keys``: make keys files."""
+"""``samphiredock keys``: create keys files."""
 
 import os
 import pathlib
@@ -14,7 +14,7 @@
 
 @click.group()
 def keys() -> None:
-    """Make the keys files of daemons."""
+    """Create the keys files of daemons."""
 
 
 @keys.command()
@@ -26,10 +26,10 @@
     'needed for more than one member.',
 )
 def new(members: tuple[str, ...], folder: pathlib.Path | None) -> None:
-    """Make keys files for daemons that admit each other.
+    """Create keys files for daemons that admit each other.
 
-    All get one operator token; each gets a CURVE key pair and the public
-    keys of all.
+    All share one operator token; each file has a CURVE key pair of its own
+    and the public keys of all members.
     """
     if folder is None and len(members) > 1:
         raise click.UsageError('got several members, expected --folder')
@@ -66,8 +66,8 @@
 
 
 def _write_new_file(path: pathlib.Path, text: str) -> None:
-    # Made with its mode, so that nobody can read it even for a moment;
-    # an existing file is never overwritten, for a fleet may depend on it.
+    # The file is created with its final mode, so that no other user can read
+    # it at any time.  O_EXCL: an existing file may be in use by a fleet.
     flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL
     try:
         descriptor = os.open(path, flags, _OWNER_ONLY)
--- a/samphiredock/cli/_requests.py
+++ b/samphiredock/cli/_requests.py
@@ -1,4 +1,4 @@
-"""``samphiredock search`` and ``samphiredock run``: ask as a caller."""
+"""``samphiredock search`` and ``run``: send requests as a caller."""
 
 import random
 import time
@@ -13,11 +13,14 @@
 from samphiredock import transport
 
 _REPLY_MARGIN_MS = 5_000
+"""How long after a request's deadline its reply may still arrive."""
+
 _MAX_DEADLINE_MS = 30_000
+"""Assumed for a request whose deadline the configuration decides."""
 
 
 class _Pair(click.ParamType):
-    """``NAME=VALUE``."""
+    """An argument ``NAME=VALUE``, converted to a tuple."""
 
     name = 'NAME=VALUE'
 
@@ -39,12 +42,12 @@
     multiple=True,
     envvar='SAMPHIREDOCK_CALLER',
     metavar='URL',
-    help='Caller address; if not given, a daemon is asked for it.',
+    help='Caller address of a daemon; default: as a daemon reports them.',
 )
 _DEADLINE_OPTION = click.option(
     '--deadline-ms',
     type=click.IntRange(1),
-    help="Milliseconds; the configuration's own if not stated.",
+    help='Deadline in milliseconds; default: as configured.',
 )
 
 
@@ -52,7 +55,9 @@
 @click.argument('service')
 @click.argument('search_name', metavar='SEARCH')
 @click.argument('terms', nargs=-1, type=_Pair(), metavar='[FIELD=VALUE]...')
-@click.option('--limit', type=click.IntRange(1), help='Records at most.')
+@click.option(
+    '--limit', type=click.IntRange(1), help='Maximum number of records.'
+)
 @_DEADLINE_OPTION
 @_CALLER_OPTION
 @_context.with_context
@@ -65,7 +70,7 @@
     deadline_ms: int | None,
     callers: tuple[str, ...],
 ) -> None:
-    """Run a search and print its records, snapshot and true coverage."""
+    """Run a search and print its records, snapshot and coverage."""
     request = protocol.SearchRequest(
         service, search_name, dict(terms), deadline_ms, limit
     )
@@ -90,7 +95,7 @@
 @click.argument('operation')
 @click.argument('body', nargs=-1, type=_Pair(), metavar='[NAME=VALUE]...')
 @click.option(
-    '--key', help='Idempotency key (UUID version 7); a new one if not stated.'
+    '--key', help='Idempotency key (UUID version 7); default: a new one.'
 )
 @_DEADLINE_OPTION
 @_CALLER_OPTION
@@ -104,13 +109,14 @@
     deadline_ms: int | None,
     callers: tuple[str, ...],
 ) -> None:
-    """Run an unrepeatable request, at most once for a key."""
+    """Run a request that is executed at most once per idempotency key."""
     key = key or protocol.new_idempotency_key(
         int(time.time() * 1000), random.SystemRandom()
     )
     urls = _caller_urls(context, callers)
     retry_option = f'--key {key}'
-    # Before it is sent: whatever happens next, the key is on the screen.
+    # Printed before the request is sent, so that the user has the key to
+    # retry with even if this program is killed.
     context.note(f'idempotency key {key}')
     request = protocol.RunBody(service, operation, dict(body), deadline_ms)
     call = _client.Call(
@@ -136,8 +142,8 @@
     try:
         return msgspec.json.decode(reply.body, type=protocol.RunOutcome)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        # Something answered that cannot be read, perhaps a balancer: it
-        # may have come after the request had been passed on.
+        # The reply is not a daemon's, perhaps a load balancer's, which may
+        # have passed the request on before it failed.
         return protocol.Unknown(
             f'{reply.url} answered {reply.status}, not readable: {error}', 0
         )
--- a/samphiredock/cli/main.py
+++ b/samphiredock/cli/main.py
@@ -1,4 +1,4 @@
-"""The program ``samphiredock`` for operators and scripts."""
+"""The command ``samphiredock`` for operators and scripts."""
 
 import click
 
@@ -11,11 +11,11 @@
 
 _HELP = f"""Operate a samphiredock query tier.
 
-Commands talk to the operator address of a daemon: give --daemon URL, more
-than once for others to try, or set SAMPHIREDOCK_DAEMON. Daemons with a
-keys file want --token-file (or SAMPHIREDOCK_TOKEN_FILE). Tables are for
-people; --json prints one JSON value for programs. Progress and questions
-go to standard error.
+Commands call the operator address of a daemon: give --daemon URL, more
+than once to name others to try, or set SAMPHIREDOCK_DAEMON. Daemons with a
+keys file require --token-file (or SAMPHIREDOCK_TOKEN_FILE). Results are
+printed as text and tables, with --json as one JSON value. Progress and
+questions go to standard error.
 
 \b
 Examples:
