--- a/samphiredock/cli/_config.py
+++ b/samphiredock/cli/_config.py
@@ -264,7 +264,7 @@
     text = '\n'.join(str(row) for row in problems)
     context.show(
         {'type': 'invalid', 'problems': problems},
-        f'{text}\ninvalid: {len(problems)} problems',
+        f'{text}\ninvalid: {len(problems)} mistakes',
     )
     _context.exit_with_code(_exits.Exit.REFUSED)
 
--- a/samphiredock/cli/_context.py
+++ b/samphiredock/cli/_context.py
@@ -142,7 +142,7 @@
         return protocol.OperatorError(
             protocol.OperatorErrorKind.UNKNOWN,
             f'{reply.url} answered {reply.status} with a body that cannot '
-            f'be decoded: {error}',
+            f'be read: {error}',
         )
 
 
--- a/samphiredock/cli/_explain.py
+++ b/samphiredock/cli/_explain.py
@@ -36,7 +36,8 @@
     'not-owner': 'has the address of another target',
     'draining': 'was draining',
     'expired': 'had no time left for it',
-    'not-ordered': 'was assigned to a daemon of its site, which did not ask it',
+    'not-ordered': 'was assigned to a daemon of its site, which did not '
+    'ask it',
     'order-lost': 'was assigned to a daemon of its site, which was lost; '
     'the target may have run it',
 }
@@ -99,7 +100,10 @@
     """Return a sentence that says why a request ended as it did."""
     ends = [line.row for line in lines if line.event == 'request ended']
     if not ends:
-        return "no line 'request ended' in these logs: a daemon or lines were lost"
+        return (
+            "no line 'request ended' in these logs: "
+            'a daemon or lines were lost'
+        )
     # After a handover both daemons log an end; the coordinator's is preferred
     # because it names the targets.
     coordinator_ends = [
@@ -195,7 +199,7 @@
     if end['took_ms'] > end.get('aim_ms', end['took_ms']):
         parts.append(
             f'late: {end["took_ms"]} ms of {end["aim_ms"]} ms; too few '
-            f'shards had answered by then'
+            f'shards had answered earlier'
         )
     if failed:
         parts.append(_describe_target_failures(failed))
@@ -269,9 +273,10 @@
 @click.option(
     '--why-not-ready',
     is_flag=True,
-    help='Show the events that decide readiness; all arguments are files then.',
+    help='Show the events that decide readiness; '
+    'all arguments are files then.',
 )
-@click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
+@click.option('--json', 'as_json', is_flag=True, help='Print one JSON value.')
 def explain(
     request_id: str | None,
     files: tuple[typing.TextIO, ...],
--- a/tests/unit/test_ablate.py
+++ b/tests/unit/test_ablate.py
@@ -1,4 +1,4 @@
-"""Copies of the project in which one mechanism is switched off."""
+"""The command that copies the project with one mechanism disabled."""
 
 import unittest
 
@@ -8,17 +8,17 @@
 
 
 class AblateTest(unittest.TestCase):
-    """The patches and the command."""
+    """The patches apply, and the command reports wrong arguments."""
 
     def test_every_patch_fits_the_sources(self) -> None:
-        """Else a figure could not be measured again."""
+        """The effect of a mechanism cannot be measured without its patch."""
         self.assertGreater(len(ablate.mechanisms()), 10)
         for name in ablate.mechanisms():
             with self.subTest(name):
                 self.assertTrue(ablate.applies(name))
 
     def test_a_wrong_call_says_what_was_expected(self) -> None:
-        """Nothing is written."""
+        """The error names the argument; no copy is written."""
         run = testing.CliRunner().invoke
         for arguments, word in (
             (['none', 'x'], 'expected one of'),
--- a/tests/unit/test_cli.py
+++ b/tests/unit/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line against the real HTTP applications, with fakes behind."""
+"""The command line, called against HTTP applications with fake services."""
 
 import json
 import os
@@ -27,13 +27,13 @@
 _APPLY = ('config', 'apply', '--yes', '--folder')
 
 
-def _nowhere() -> str:
+def _unused_url() -> str:
     (port,) = cluster.free_ports(1)
     return f'http://127.0.0.1:{port}'
 
 
-def _dropping() -> web.Application:
-    """Return an application that reads a request and then hangs up."""
+def _dropping_application() -> web.Application:
+    """Return an application that reads a request and drops the connection."""
 
     async def drop(request: web.Request) -> web.Response:
         await request.read()
@@ -46,10 +46,10 @@
 
 
 class CliTest(unittest.TestCase):
-    """Each way a command can end has its own exit code."""
+    """Each outcome of a command has its own exit code."""
 
     def setUp(self) -> None:
-        """Start an operator and a caller address."""
+        """Start an operator address and a caller address."""
         self.operations = memory_services.MemoryOperations(
             base_files.make_source(base_files.example_base())
         )
@@ -104,11 +104,11 @@
         (folder / 'base.json').write_text(json.dumps(base), encoding='utf-8')
         return folder
 
-    def _lighter(self, base: dict) -> None:
+    def _reduce_weight(self, base: dict) -> None:
         base['services']['field-claims']['weight'] = 3.0
 
     def test_config_check_reports_all_files(self) -> None:
-        """A wrong base and a wrong overlay, both with their file names."""
+        """Errors in the base and in an overlay are printed with their files."""
         folder = self._write_base(lambda base: base.update(limits=[]))
         overlay = folder / 'yeka-c.json'
         overlay.write_text('{"share_cap": 2}', encoding='utf-8')
@@ -121,8 +121,8 @@
         self._assert_exit(2, 'config', 'check')
 
     def test_apply_names_the_base_revision_and_waits(self) -> None:
-        """Only sites with a daemon can confirm; the rest are shown."""
-        folder = self._write_base(self._lighter)
+        """Sites without a daemon cannot confirm, and are shown as such."""
+        folder = self._write_base(self._reduce_weight)
         got = self._assert_exit(0, *_APPLY, folder)
         self.assertIn('made from revision 1', got.output)
         self.assertIn(
@@ -133,8 +133,8 @@
         self.assertEqual(1, self.operations.changes[0].base_revision)
 
     def test_apply_ends_by_the_outcome(self) -> None:
-        """Conflict, refusal, unknown and slow sites are told apart."""
-        folder = self._write_base(self._lighter)
+        """Conflict, refusal, unknown and unconfirmed have own exit codes."""
+        folder = self._write_base(self._reduce_weight)
         cases = (
             (4, protocol.ChangeConflict(7, 'other')),
             (3, protocol.ChangeInvalid(['why'])),
@@ -154,17 +154,17 @@
         self.assertEqual({True}, repeated)
 
     def test_apply_sends_nothing_without_need_or_consent(self) -> None:
-        """No difference is no change; "no" at the question ends it."""
+        """Nothing is sent without a difference or without confirmation."""
         self._assert_exit(0, *_APPLY, self._write_base())
-        folder = self._write_base(self._lighter)
+        folder = self._write_base(self._reduce_weight)
         self._assert_exit(1, 'config', 'apply', '--folder', folder)
         self.assertEqual([], self.operations.changes)
 
     def test_wrong_token_and_unreachable(self) -> None:
-        """The next address is tried if one does not answer."""
-        both = f'{_nowhere()} {self.operators}'
+        """The next address is tried if one cannot be reached."""
+        both = f'{_unused_url()} {self.operators}'
         self._assert_exit(0, 'config', 'show', daemon=both)
-        self._assert_exit(6, 'config', 'show', daemon=_nowhere())
+        self._assert_exit(6, 'config', 'show', daemon=_unused_url())
         self._assert_exit(2, 'config', 'show', daemon='')
         self.token_file.write_text('wrong', encoding='utf-8')
         for command in (
@@ -175,7 +175,7 @@
             self._assert_exit(8, *command)
 
     def test_search_and_run_end_by_the_outcome(self) -> None:
-        """Partial, refused and unknown answers are told apart."""
+        """Partial, refused and unknown outcomes have own exit codes."""
         reason = protocol.NotRunReason.OVERLOADED
         cases = (
             (0, protocol.Answered([], 1, 1.0), 'search'),
@@ -203,26 +203,26 @@
             self.assertEqual(type(outcome).__struct_config__.tag, kind)
 
     def test_run_goes_on_only_if_nothing_was_sent(self) -> None:
-        """The first daemon cannot be reached, or reads and hangs up.
+        """A request that may have been received is not sent elsewhere.
 
-        In the second case it may have begun: sent to another daemon under
-        the same key at once, an answer would hide that the first is not
-        known; so the user is told how to ask again.
+        The first daemon cannot be reached, or it reads the request and drops
+        the connection.  In the second case it may have started to run the
+        request, so the command prints how to retry with the same key.
         """
         self.service.outcome = protocol.Completed({}, True, False)
-        self._assert_exit(0, *_RUN, _nowhere(), '--caller', self.callers)
+        self._assert_exit(0, *_RUN, _unused_url(), '--caller', self.callers)
         self.assertEqual([_KEY], self.service.asked)
-        dropping = self._serve(_dropping())
+        dropping = self._serve(_dropping_application())
         got = self._assert_exit(5, *_RUN, dropping, '--caller', self.callers)
         self.assertEqual([_KEY], self.service.asked)
         self.assertIn(f'--key {_KEY}', got.output)
-        self._assert_exit(6, *_RUN, _nowhere())
+        self._assert_exit(6, *_RUN, _unused_url())
         search = ('search', 's', 'q', '--caller', dropping)
         self.service.outcome = protocol.Answered([], 1, 1.0)
         self._assert_exit(0, *search, '--caller', self.callers)
 
     def test_targets_and_quarantine(self) -> None:
-        """A sign is set; an unknown target and a dead store are refused."""
+        """Drain and list succeed; an unknown target or entry is refused."""
         self._assert_exit(0, 'target', 'drain', 'desk-1')
         self.assertEqual({'desk-1': True}, self.operations.leaving)
         self._assert_exit(3, 'target', 'undrain', 'desk-9')
@@ -230,7 +230,7 @@
         self._assert_exit(3, 'quarantine', 'release', 'f/1')
 
     def test_keys_are_for_their_owner_only(self) -> None:
-        """Files admit each other, are private, and are not overwritten."""
+        """Keys files are private, list all members and are not overwritten."""
         folder = self.folder / 'keys'
         command = ('keys', 'new', 'a', 'b', '--folder', folder)
         self._assert_exit(0, *command)
--- a/tests/unit/test_docs.py
+++ b/tests/unit/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages name every field and counter that the code has."""
+"""The pages describe every setting, counter and exit code."""
 
 import ast
 import dataclasses
@@ -18,7 +18,7 @@
 
 
 def _counters() -> typing.Iterator[str]:
-    """Yield the counter names that are written out in the code."""
+    """Yield the counter names that are literals in the code."""
     for path in (ROOT / 'samphiredock').rglob('*.py'):
         for node in ast.walk(ast.parse(path.read_text(encoding='utf-8'))):
             if not isinstance(node, ast.Call) or not node.args:
@@ -37,10 +37,10 @@
 
 
 class PagesTest(unittest.TestCase):
-    """A reader finds what the code can do."""
+    """A setting, counter or exit code that is not described is reported."""
 
     def test_every_field_is_described(self) -> None:
-        """Settings, limits and the parts of the base file."""
+        """CONFIGURATION.md describes all fields of settings and base files."""
         page = _page('CONFIGURATION.md')
         kinds = (
             state.Settings,
@@ -60,7 +60,7 @@
         self.assertEqual([], missing)
 
     def test_every_counter_and_exit_code_is_described(self) -> None:
-        """A counter that nobody can look up helps nobody."""
+        """OPERATIONS.md describes what an operator needs to look up."""
         page = _page('OPERATIONS.md')
         found = {*_counters(), *_scatter_types.COUNTER_NAMES}
         self.assertGreater(len(found), 10)
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -1,4 +1,4 @@
-"""The operator's command that tells a request's story."""
+"""``samphiredock explain`` finds the cause of a request's end in logs."""
 
 import json
 import pathlib
@@ -23,10 +23,10 @@
 
 
 class ExplainTest(unittest.TestCase):
-    """Log files written by the test."""
+    """The command reads log files that the tests write."""
 
     def setUp(self) -> None:
-        """Make a folder."""
+        """Create a folder for the log file."""
         holder = tempfile.TemporaryDirectory()
         self.addCleanup(holder.cleanup)
         self.path = pathlib.Path(holder.name) / 'log'
@@ -40,8 +40,8 @@
         self.exit_code = run.exit_code
         return run.output.strip().splitlines()[-1]
 
-    def test_a_daemon_that_said_nothing_is_named(self) -> None:
-        """It was to ask targets of its site for the search."""
+    def test_a_daemon_that_has_not_reported_is_named(self) -> None:
+        """A daemon that is late with a merge order is part of the cause."""
         late = _row(1, 'order late', request='r1', by='edge-b-1', at_ms=60.0)
         end = _end(
             2, 'gathered', request='r1', missing=1, unanswered=['s4']
@@ -51,7 +51,7 @@
         )
 
     def test_six_ways_to_fail_each_with_its_cause(self) -> None:
-        """The last line names what decided it."""
+        """The last line names the cause."""
         failed = _row(
             1, 'failed', request='r1', shard='s1', target='t1',
             status='broken', why='ConnectionResetError', at_ms=3.0,
@@ -94,8 +94,8 @@
                 for word in words:
                     self.assertIn(word, cause)
 
-    def test_the_coordinators_end_tells_more_than_the_entrys(self) -> None:
-        """The daemon that handed over only saw a 502 that it passed on."""
+    def test_the_coordinators_end_is_preferred(self) -> None:
+        """The daemon that handed over logs just the 502 that it passed on."""
         rows = [
             f'12.1 entry-2 {_end(3, "passed", request="r1", status=502)}',
             f'12.0 entry-1 {_end(2, "unknown", request="r1", why="lost")}',
@@ -107,15 +107,15 @@
         )
 
     def test_a_coordinator_without_an_answer_is_no_cause(self) -> None:
-        """Its own end says which target it waited for."""
+        """The coordinator's own end names the target that it waited for."""
         rows = [
             _end(2, 'timedout', request='r1', unanswered=['coordinators']),
             _end(2, 'timedout', request='r1', unanswered=['s7']),
         ]
         self.assertIn('no answer from s7', self._explain(rows))
 
-    def test_other_requests_and_broken_lines_are_passed_over(self) -> None:
-        """A log may begin in the middle of a line."""
+    def test_other_requests_and_incomplete_lines_are_skipped(self) -> None:
+        """A log may begin in the middle of a line, which is skipped."""
         rows = ['"event": "x"}', '{"event": ', _end(2, 'passed', request='r1')]
         self.assertIn('in time', self._explain(rows))
         self._explain(rows, 'r2')
@@ -123,13 +123,13 @@
         self.assertIn('expected some', self.output)
 
     def test_json_for_programs(self) -> None:
-        """One value with the cause and the lines."""
+        """``--json`` prints one value with the cause and the lines."""
         self._explain([_end(2, 'passed', request='r1')], '--json', 'r1')
         told = json.loads(self.output)
         self.assertEqual('request ended', told['lines'][0]['event'])
 
     def test_why_a_daemon_is_not_ready(self) -> None:
-        """The lines that decide it, from a time on."""
+        """``--why-not-ready`` shows lines about readiness after a time."""
         rows = [
             _row(1, 'started'),
             _row(2, 'sent', request='r1'),
@@ -143,8 +143,8 @@
         self.assertNotIn('started', self.output)
         self.assertIn('store lost', self.output)
 
-    def test_a_daemon_that_was_only_told_of_the_others_says_so(self) -> None:
-        """It hands over and is not ready, since the store is away."""
+    def test_a_daemon_introduced_by_another_is_shown(self) -> None:
+        """It hands requests over but is not ready without the store."""
         rows = [
             _row(1, 'started'),
             _row(2, 'store lost', kind='unavailable'),
--- a/tests/unit/test_prepared_hosts.py
+++ b/tests/unit/test_prepared_hosts.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform: names, wire, settings."""
+"""The adapter translates the users' platform's requests and objects."""
 
 import json
 import pathlib
@@ -47,7 +47,7 @@
                 {'Service': 'q', 'Weight': 0.3},
             ],
             'MaxAttempts': 1,
-            'Unheard': True,
+            'UnknownField': True,
         },
     ],
     'Services': [{'Name': 's1', 'HealthPath': '/x', 'MaxConns': 26}],
@@ -71,7 +71,7 @@
 
 
 class AdapterTest(unittest.TestCase):
-    """What is said in the platform's words, in samphiredock's."""
+    """Translation between the platform's formats and samphiredock's types."""
 
     def setUp(self) -> None:
         """Make an adapter."""
@@ -85,7 +85,7 @@
         )
 
     def test_a_configuration_becomes_a_routing_table(self) -> None:
-        """Also with fields that nobody has heard of."""
+        """Fields that samphiredock does not know are ignored."""
         value = json.dumps(CONFIGURATION).encode()
         table = self.adapter.read_routing(value).unwrap()
         self.assertEqual(7, table.version)
@@ -100,7 +100,7 @@
         self.assertEqual(262144, table.limits.body_bytes)
 
     def test_an_entry_becomes_a_target(self) -> None:
-        """Its id is in the key alone."""
+        """The target id comes from the key, the rest from the entry."""
         entry = {
             'Service': 's1', 'Addr': '10.0.0.9:80', 'Zone': 'z',
             'Version': 'v1', 'Slots': 2, 'State': 'draining',
@@ -117,10 +117,10 @@
         self.assertEqual(1764700000123, again.started_at_ms)
 
     def test_an_entry_of_another_writer_names_no_target(self) -> None:
-        """Work would go to what is no target, or to none.
+        """Requests must not be sent to an address that is not a target's.
 
-        Fields are missing or of another type, the state is one that nobody
-        has heard of, or the address is none.
+        A field is missing or has a wrong type, the state is unknown, or the
+        address is invalid.
         """
         entry = {
             'Service': 's1', 'Addr': '10.0.0.9:80', 'Zone': 'z',
@@ -176,14 +176,14 @@
         )
     )
     def test_no_entry_raises(self, changed: dict[str, object]) -> None:
-        """A raised error would end the task that follows the store."""
+        """An exception would end the task that watches the store."""
         value = json.dumps({'WarmupLeftMs': 0} | changed).encode()
         read = self.adapter.read_target('servers/i', value)
         if isinstance(read, result.Success):
             self.assertIn(changed['State'], ('ready', 'draining'))
 
-    def test_what_cannot_be_read_is_a_value(self) -> None:
-        """A raised error would end the task that follows the store."""
+    def test_an_undecodable_object_is_a_failure(self) -> None:
+        """An exception would end the task that watches the store."""
         for value in (b'', b'null', b'{"Version": "x"}', b'[]'):
             with self.subTest(value):
                 read = self.adapter.read_routing(value)
@@ -191,8 +191,8 @@
                 read = self.adapter.read_target('servers/i', value)
                 self.assertIsInstance(read, result.Failure)
 
-    def test_headers_of_one_connection_stay_on_it(self) -> None:
-        """Nor may a caller set what this system sets."""
+    def test_hop_by_hop_headers_are_not_forwarded(self) -> None:
+        """A caller cannot set the headers that the adapter sets, either."""
         request = self._request().unwrap()
         target = state.LiveTarget('i-1', 's1', '10.0.0.9:80', 'z', 2)
         sent = self.adapter.target_request(request, target, 199.9)
@@ -207,7 +207,7 @@
         self.assertNotIn('Connection', headers)
 
     def test_bad_requests_say_what_is_wrong(self) -> None:
-        """A clear error each; nothing is sent to a target."""
+        """The error names the header that is missing or invalid."""
         for headers, word in (
             ((('Host', 'h'),), 'Request-Id'),
             ((('Request-Id', 'a'), ('Deadline-Ms', '-5')), 'Deadline-Ms'),
@@ -217,12 +217,16 @@
             with self.subTest(headers):
                 self.assertIn(word, self._request(*headers).failure())
 
-    def test_what_a_targets_answer_means(self) -> None:
-        """Only what says so has not run; nothing else promises that."""
+    def test_replies_of_targets_get_a_status(self) -> None:
+        """Only a refusal that is marked as such proves that nothing has run.
+
+        An error that may be passed on must not have a status that promises
+        the caller the same.
+        """
         request = self._request().unwrap()
         receipt = ('Answer-Stamp', 'x')
         refused = ('Not-Run', '1')
-        for status, headers, meaning, passed in (
+        for status, headers, expected, is_forwardable in (
             (200, (receipt,), Status.ANSWERED, False),
             (200, (), Status.BAD_ANSWER, False),
             (503, (refused,), Status.SHED, False),
@@ -235,11 +239,11 @@
             with self.subTest(status=status, headers=headers):
                 reply = protocol.HttpReply(status, headers)
                 read = self.adapter.read_reply(request, reply)
-                self.assertIs(meaning, read.status)
-                self.assertEqual(passed, read.is_forwardable)
+                self.assertIs(expected, read.status)
+                self.assertEqual(is_forwardable, read.is_forwardable)
 
-    def test_an_answer_belongs_to_the_request_whose_id_it_bears(self) -> None:
-        """A success without an id belongs to none."""
+    def test_a_reply_must_have_the_id_of_its_request(self) -> None:
+        """A success without a request id is not accepted."""
         request = self._request().unwrap()
         for status, headers, expected in (
             (200, (('request-id', 'id-1'),), True),
@@ -254,8 +258,8 @@
                     expected, self.adapter.is_reply_to(request, reply)
                 )
 
-    def test_every_outcome_has_an_answer(self) -> None:
-        """Only "not run" promises that the request has not run."""
+    def test_every_outcome_has_a_reply(self) -> None:
+        """Only ``NotRun`` gives a status that promises that nothing has run."""
         reasons = protocol.NotRunReason
         for outcome, status in (
             (protocol.NotRun(reasons.NO_TARGET, 'why', 300), 503),
@@ -272,7 +276,7 @@
         self.assertEqual('0.250', reply.header('Retry-After'))
 
     def test_a_merged_answer_names_its_parts(self) -> None:
-        """The receipts of the parts, and how many are missing."""
+        """Headers list the parts' receipts and the number of missing parts."""
         outcome = protocol.Gathered(('a', 'b'), 1, b'body')
         reply = self.adapter.caller_reply(outcome)
         self.assertEqual('a, b', reply.header('Part-Stamps'))
