--- a/tests/unit/test_cli.py
+++ b/tests/unit/test_cli.py
@@ -108,7 +108,7 @@
         base['services']['field-claims']['weight'] = 3.0
 
     def test_config_check_reports_all_files(self) -> None:
-        """Errors in the base and in an overlay are printed with their files."""
+        """Mistakes in a base and an overlay are printed with their files."""
         folder = self._write_base(lambda base: base.update(limits=[]))
         overlay = folder / 'yeka-c.json'
         overlay.write_text('{"share_cap": 2}', encoding='utf-8')
--- a/tests/unit/test_prepared_hosts.py
+++ b/tests/unit/test_prepared_hosts.py
@@ -259,7 +259,7 @@
                 )
 
     def test_every_outcome_has_a_reply(self) -> None:
-        """Only ``NotRun`` gives a status that promises that nothing has run."""
+        """Only ``NotRun`` becomes a status that promises no run."""
         reasons = protocol.NotRunReason
         for outcome, status in (
             (protocol.NotRun(reasons.NO_TARGET, 'why', 300), 503),
