--- a/samphiredock/cli/_config.py
+++ b/samphiredock/cli/_config.py
@@ -51,6 +51,7 @@
 
 
 def _with_files(command: typing.Callable) -> typing.Callable:
+    """Add the options that name configuration files to a command."""
     options = (
         click.option('--base', type=_PATH_TYPE, help='The base file.'),
         click.option(
@@ -222,6 +223,7 @@
     overlays: tuple[tuple[str, pathlib.Path], ...],
     folder: pathlib.Path | None,
 ) -> _ConfigurationFiles:
+    """Return the files' content; exit the program if it is not valid."""
     paths = dict(overlays)
     if folder is not None:
         base = base or folder / 'base.json'
@@ -231,26 +233,29 @@
     if base is None:
         raise click.UsageError('got no base file, expected --base or --folder')
     problems: list[state.Problem] = []
-    read_base = _load_file(base, problems)
-    read_overlays = {
+    base_content = _load_file(base, problems)
+    overlay_contents = {
         site: _load_file(path, problems) for site, path in paths.items()
     }
-    names = {site: str(path) for site, path in paths.items()}
+    overlay_files = {site: str(path) for site, path in paths.items()}
     if not problems:
         source = state.ConfigurationSource(
-            0, '', '', 0, read_base, read_overlays
+            0, '', '', 0, base_content, overlay_contents
         )
-        compiled = state.compile_source(source, str(base), names)
+        compiled = state.compile_source(source, str(base), overlay_files)
         if isinstance(compiled, result.Failure):
             problems += compiled.failure()
     if problems:
         _exit_invalid(context, problems)
-    return _ConfigurationFiles(read_base, read_overlays, str(base), names)
+    return _ConfigurationFiles(
+        base_content, overlay_contents, str(base), overlay_files
+    )
 
 
 def _load_file(
     path: pathlib.Path, problems: list[state.Problem]
 ) -> typing.Any:
+    """Return a file's content; add a problem if it cannot be read."""
     loaded = state.read_json5(path)
     if isinstance(loaded, result.Failure):
         problems.append(loaded.failure())
@@ -272,6 +277,7 @@
 def _fetch_current(
     context: _context.Context,
 ) -> state.ConfigurationSource | None:
+    """Return the configuration in force, None if there is none yet."""
     reply = context.call('GET', _CONFIGURATION_PATH)
     found = _context.decode(reply, state.ConfigurationSource)
     if not isinstance(found, protocol.OperatorError):
@@ -300,6 +306,7 @@
 def _wait_for_sites(
     context: _context.Context, revision: int, sites: list[str], wait_ms: int
 ) -> None:
+    """Wait until all sites have confirmed a revision; print them and exit."""
     deadline_s = time.monotonic() + wait_ms / 1000.0
     last_progress = ''
     while True:
@@ -334,6 +341,8 @@
 
 @dataclasses.dataclass(frozen=True)
 class _SiteRow:
+    """How many daemons of a site there are and have confirmed a revision."""
+
     site: str
     daemons: int
     confirmed: int
--- a/samphiredock/cli/_context.py
+++ b/samphiredock/cli/_context.py
@@ -81,18 +81,18 @@
         call = _client.Call(method, path, data, headers)
         reply = _client.send(self.daemons, call)
         if isinstance(reply, _client.NoReply):
-            self.exit_unreachable(reply, is_repeatable=method == 'GET')
+            self.exit_unreachable(reply, is_read_only=method == 'GET')
         return reply
 
     def exit_unreachable(
-        self, reply: _client.NoReply, is_repeatable: bool
+        self, reply: _client.NoReply, is_read_only: bool
     ) -> typing.NoReturn:
         """Print that no daemon replied, and exit the program.
 
-        A request that is not repeatable and may have been received has an
+        A request that may have been received and is not read-only has an
         unknown outcome.
         """
-        unknown = reply.may_be_received and not is_repeatable
+        unknown = reply.may_be_received and not is_read_only
         error_type = 'unknown' if unknown else 'unreachable'
         self.show(
             {'type': error_type, 'detail': reply.detail},
--- a/samphiredock/cli/_explain.py
+++ b/samphiredock/cli/_explain.py
@@ -13,7 +13,7 @@
 _Row = dict[str, typing.Any]
 
 _UNANSWERED_COORDINATORS = ['coordinators']
-"""The ``unanswered`` field of a daemon that handed a request over.
+"""The ``unanswered`` field in the log of a daemon that handed a request over.
 
 Such a daemon waits for a coordinator and not for targets.
 """
--- a/samphiredock/cli/_requests.py
+++ b/samphiredock/cli/_requests.py
@@ -82,7 +82,7 @@
     )
     reply = _client.send(_caller_urls(context, callers), call)
     if isinstance(reply, _client.NoReply):
-        context.exit_unreachable(reply, is_repeatable=True)
+        context.exit_unreachable(reply, is_read_only=True)
     outcome = context.decode_or_exit(reply, protocol.SearchOutcome)
     if not context.as_json and hasattr(outcome, 'records'):
         click.echo(_records_table(outcome.records))
@@ -131,7 +131,7 @@
     if isinstance(reply, _client.NoReply):
         if reply.may_be_received:
             _print_retry_hint(context, retry_option)
-        context.exit_unreachable(reply, is_repeatable=False)
+        context.exit_unreachable(reply, is_read_only=False)
     outcome = _run_outcome(reply)
     if isinstance(outcome, protocol.Unknown):
         _print_retry_hint(context, retry_option)
@@ -163,6 +163,7 @@
 def _caller_urls(
     context: _context.Context, stated_urls: tuple[str, ...]
 ) -> list[str]:
+    """Return the stated URLs, or those that a daemon reports, own first."""
     if stated_urls:
         return list(stated_urls)
     status = context.ask('GET', '/v1/status', dict)
