--- a/samphiredock/logs.py
+++ b/samphiredock/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs: one JSON object a line.
+"""Structured logs, one JSON object a line.
 
-Writing never blocks: a reader that is too slow costs lines, which are
-counted, and not the requests.
+Writing to a :class:`BoundedStream` never blocks: if the reader is too slow,
+lines are dropped and counted.
 """
 
 import datetime
@@ -21,22 +21,24 @@
     'debug',
     'trace',
 )
-"""Names of levels that settings may state."""
+"""Log levels accepted in settings, the most severe first."""
 
 BUFFER_LIMIT_BYTES = 262_144
-"""What waits for a slow reader at most: some seconds of lines at 1,000 a
-second, and a small part of a daemon's memory."""
+"""Limit of buffered log lines, enough for a few seconds."""
 
 
 class BoundedStream:
-    """A text stream on a descriptor that does not block.
+    """A non-blocking text stream with a bounded buffer.
+
+    ``dropped`` counts the lines that did not fit into the buffer or were lost
+    because the reader had closed its end.
 
     Parameters
     ----------
     descriptor
         An open file or pipe; it is made non-blocking.
     limit_bytes
-        What may wait; lines beyond are left out and counted.
+        The size of the buffer; lines beyond it are dropped.
     """
 
     def __init__(
@@ -45,61 +47,61 @@
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._limit_bytes = limit_bytes
-        self._waiting = bytearray()
+        self._buffer = bytearray()
         self._unreported = 0
-        self.left_out = 0
+        self.dropped = 0
 
     def write(self, text: str) -> int:
-        """Write as much as goes without waiting, and keep the rest."""
+        """Write as much as possible without blocking; buffer the rest."""
         data = text.encode('utf-8', 'replace')
-        if len(self._waiting) + len(data) > self._limit_bytes:
-            self.left_out += 1
+        if len(self._buffer) + len(data) > self._limit_bytes:
+            self.dropped += 1
             self._unreported += 1
             return len(text)
-        if self._unreported and not self._waiting:
-            self._waiting += _line(
-                event='log lines left out', count=self._unreported
+        if self._unreported and not self._buffer:
+            self._buffer += _line(
+                event='log lines dropped', count=self._unreported
             )
             self._unreported = 0
-        self._waiting += data
+        self._buffer += data
         self.flush()
         return len(text)
 
     def flush(self) -> None:
-        """Write what waits, as far as it goes."""
+        """Write as much of the buffer as possible without blocking."""
         try:
-            while self._waiting:
-                written = os.write(self._descriptor, self._waiting)
-                del self._waiting[:written]
+            while self._buffer:
+                written = os.write(self._descriptor, self._buffer)
+                del self._buffer[:written]
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more; there is no place left to say so.
-            self.left_out += 1
-            self._waiting.clear()
+            # The reader is gone, and there is nowhere to report it.
+            self.dropped += 1
+            self._buffer.clear()
 
 
 def _line(**fields: object) -> bytes:
     return msgspec.json.encode(fields, enc_hook=str) + b'\n'
 
 
-def _text_of(moment: datetime.datetime) -> str:
+def _time_text(moment: datetime.datetime) -> str:
     return moment.isoformat(timespec='milliseconds')
 
 
 def time_text(wall_ms: float) -> str:
-    """Return a time of day in ms since the epoch as lines state it, in UTC.
+    """Return a time in ms since the epoch as log lines show it, in UTC.
 
-    For lines about something that happened earlier; given as ``time``, it
-    takes the place of the time at which the line is written.
+    Passed as the field ``time``, it replaces the time at which the line is
+    written, for lines about an earlier event.
     """
     moment = datetime.datetime.fromtimestamp(wall_ms / 1000.0, datetime.UTC)
-    return _text_of(moment.replace(tzinfo=None))
+    return _time_text(moment.replace(tzinfo=None))
 
 
 def _format(record: logbook.LogRecord, handler: logbook.Handler) -> str:
     row = {
-        'time': _text_of(record.time),
+        'time': _time_text(record.time),
         'level': record.level_name.lower(),
         'part': record.channel,
         'event': record.message,
@@ -118,9 +120,9 @@
 
 
 def logger(part: str) -> logbook.Logger:
-    """Return the logger of one part.
+    """Return the logger of one part of the program.
 
-    Log with a fixed event text and keyword arguments for the facts:
+    Log a constant event text, with the facts as keyword arguments:
     ``log.notice('configuration applied', revision=7)``.
     """
     return logbook.Logger(part)
--- a/tests/unit/test_early.py
+++ b/tests/unit/test_early_listener.py
@@ -4,11 +4,11 @@
 import sys
 import unittest
 
-from samphiredock.daemon import early
+from samphiredock.daemon import early_listener
 
 ROOT = pathlib.Path(__file__).parents[2]
 
-_OTHER_DOOR = (
+_OTHER_DAEMON_MODULES = (
     'aiohttp',
     'zmq',
     'opentelemetry',
@@ -21,35 +21,37 @@
     'samphiredock.transport._caller_http',
     'samphiredock.transport._peers',
 )
-"""Libraries and modules that a daemon which passes requests on never needs,
-or not for a start."""
+"""Libraries and modules that the entry daemon does not need to start."""
 
 
-class EarlyTest(unittest.TestCase):
-    """Callers connect before the daemon has been imported."""
+class EarlyListenerTest(unittest.TestCase):
+    """Callers can connect before the daemon's modules are imported."""
 
     def _listen(self, *arguments: str) -> socket.socket | None:
-        found = early.listen(arguments, '--callers')
-        if found is not None:
-            self.addCleanup(found.close)
-        return found
+        listener = early_listener.listen(arguments, '--callers')
+        if listener is not None:
+            self.addCleanup(listener.close)
+        return listener
 
     def test_callers_wait_in_the_queue(self) -> None:
-        """Refused at once, they would have no attempt left for later."""
-        listening = self._listen('entry', '--callers', '127.0.0.1:0')
-        host, _, port = early.address_of(listening).rpartition(':')
+        """Refused callers would have no attempt left after the start."""
+        listener = self._listen('entry', '--callers', '127.0.0.1:0')
+        host, _, port = early_listener.address_of(listener).rpartition(':')
         with socket.create_connection((host, int(port)), 1.0) as caller:
             caller.sendall(b'GET / HTTP/1.1\r\n\r\n')
-            accepted, _ = listening.accept()
+            accepted, _ = listener.accept()
             with accepted:
                 self.assertEqual(b'GET', accepted.recv(3))
 
-    def test_what_cannot_be_listened_on_is_left_to_the_daemon(self) -> None:
-        """It reads the settings and says what is wrong."""
-        taken = self._listen('entry', '--callers', '127.0.0.1:0')
+    def test_unusable_addresses_are_left_to_the_daemon(self) -> None:
+        """The daemon reports the error once it has read its settings."""
+        listener = self._listen('entry', '--callers', '127.0.0.1:0')
         for text in (
-            early.address_of(taken), 'nothing', '127.0.0.1:x', ':99999999',
-        ):  # fmt: skip
+            early_listener.address_of(listener),
+            'nothing',
+            '127.0.0.1:x',
+            ':99999999',
+        ):
             with self.subTest(text):
                 self.assertIsNone(self._listen('entry', '--callers', text))
 
@@ -58,10 +60,10 @@
             with self.subTest(arguments):
                 self.assertIsNone(self._listen(*arguments))
 
-    def test_it_comes_before_what_takes_time(self) -> None:
-        """The libraries of the doors must not be imported by it."""
+    def test_importing_it_loads_no_large_library(self) -> None:
+        """Otherwise it would not listen early."""
         code = (
-            'import sys; from samphiredock.daemon import early;'
+            'import sys; from samphiredock.daemon import early_listener;'
             'sys.exit("aiohttp" in sys.modules)'
         )
         done = subprocess.run(
@@ -69,11 +71,10 @@
         )
         self.assertEqual(0, done.returncode)
 
-    def test_a_start_loads_one_door_only(self) -> None:
-        """Callers wait while a daemon starts, for what it loads.
+    def test_entry_daemon_loads_only_its_own_modules(self) -> None:
+        """A needless import breaks nothing, but delays each start.
 
-        What only the other door uses comes in by one import too many, and
-        nothing fails: each start is a little longer.
+        Callers wait until all imports are done.
         """
         code = (
             'import sys; sys.path[:0] = ["platform"];'
@@ -88,5 +89,7 @@
             text=True,
         )
         loaded = set(done.stdout.split())
-        found = [name for name in loaded if name.startswith(_OTHER_DOOR)]
-        self.assertEqual([], found)
+        unneeded = [
+            name for name in loaded if name.startswith(_OTHER_DAEMON_MODULES)
+        ]
+        self.assertEqual([], unneeded)
--- a/tests/unit/test_operations.py
+++ b/tests/unit/test_operator_handler.py
@@ -1,4 +1,4 @@
-"""What operators are told by a daemon whose time is up."""
+"""Tests of the replies to operators' calls when the daemon stops."""
 
 import asyncio
 import types
@@ -8,7 +8,7 @@
 from returns import result
 
 from samphiredock.coordination.config import _accept
-from samphiredock.daemon import _operations
+from samphiredock.daemon import _operator_handler
 from samphiredock import metrics
 from samphiredock import protocol
 from samphiredock import state
@@ -19,19 +19,19 @@
 _Kind = protocol.OperatorErrorKind
 
 
-class _SilentStore:
-    """Takes calls and answers none of those it is told to be silent to."""
+class _UnresponsiveStore:
+    """A store that never replies to the given kinds of calls."""
 
     def __init__(self, *silent: str) -> None:
         self.silent = silent
         self.calls: list[str] = []
 
     async def get(self, key: str) -> result.Result:
-        """Read: there is nothing."""
+        """Fail with NOT_FOUND."""
         return await self._call('get', transport.StoreErrorKind.NOT_FOUND)
 
     async def put(self, key: str, value: bytes, version: int) -> object:
-        """Write."""
+        """Fail with UNAVAILABLE."""
         return await self._call('put', transport.StoreErrorKind.UNAVAILABLE)
 
     async def _call(
@@ -43,18 +43,18 @@
         return result.Failure(transport.StoreError(kind, name))
 
 
-class OperatorDeskTest(unittest.IsolatedAsyncioTestCase):
-    """A call waits for the store, and the daemon ends."""
+class OperatorHandlerTest(unittest.IsolatedAsyncioTestCase):
+    """The daemon stops while a call waits for the store."""
 
-    def _make(self, *silent: str) -> _operations.OperatorDesk:
-        self.store = _SilentStore(*silent)
+    def _make(self, *silent: str) -> _operator_handler.OperatorHandler:
+        self.store = _UnresponsiveStore(*silent)
         counters = metrics.Metrics('test')
         self.addCleanup(counters.close)
         current_state = types.SimpleNamespace(source=None)
         acceptor = _accept.Acceptor(
             self.store, current_state, memory_hosts.SteppedTimers(), counters
         )
-        parts = types.SimpleNamespace(
+        components = types.SimpleNamespace(
             acceptor=acceptor,
             configuration=types.SimpleNamespace(targets={'desk-1': None}),
             signs=types.SimpleNamespace(
@@ -65,26 +65,26 @@
                 release=lambda name: self.store.put('', b'', 0),
             ),
         )
-        return _operations.OperatorDesk(
-            typing.cast(typing.Any, parts),
+        return _operator_handler.OperatorHandler(
+            typing.cast(typing.Any, components),
             typing.cast(state.Settings, None),
             lambda: True,
         )
 
     async def _ended(
         self,
-        desk: _operations.OperatorDesk,
+        handler: _operator_handler.OperatorHandler,
         call: typing.Coroutine,
         store_call: str,
     ) -> object:
-        """End the daemon when the store has the call; return the outcome."""
+        """Stop the daemon when the store has the call; return the outcome."""
         task = asyncio.create_task(call)
         while store_call not in self.store.calls:
             await asyncio.sleep(0)
-        self.assertEqual(1, desk.open_calls())
-        desk.end()
+        self.assertEqual(1, handler.open_calls())
+        handler.finish_all()
         outcome = await task
-        self.assertEqual(0, desk.open_calls())
+        self.assertEqual(0, handler.open_calls())
         return outcome
 
     def _change(self, repeated: bool = False) -> protocol.ConfigurationChange:
@@ -93,46 +93,50 @@
         )
 
     async def test_change_not_written(self) -> None:
-        """It waited for a read: nothing was, and will be, changed."""
-        desk = self._make('get')
-        ended = await self._ended(desk, desk.apply(self._change()), 'get')
+        """A change that waits for a read is not made, now or later."""
+        handler = self._make('get')
+        ended = await self._ended(
+            handler, handler.apply(self._change()), 'get'
+        )
         self.assertIsInstance(ended, protocol.ChangeUnavailable)
         await asyncio.sleep(0)
         self.assertEqual(['get'], self.store.calls)
 
     async def test_change_perhaps_written(self) -> None:
-        """The write is out: nobody knows here whether it takes effect."""
-        desk = self._make('put')
-        ended = await self._ended(desk, desk.apply(self._change()), 'put')
+        """A write already sent may take effect."""
+        handler = self._make('put')
+        ended = await self._ended(
+            handler, handler.apply(self._change()), 'put'
+        )
         self.assertIsInstance(ended, protocol.ChangeUnknown)
 
     async def test_change_tried_before(self) -> None:
-        """An earlier call for it may have changed something."""
-        desk = self._make('get')
+        """An earlier call for the same change may have taken effect."""
+        handler = self._make('get')
         change = self._change(repeated=True)
-        ended = await self._ended(desk, desk.apply(change), 'get')
+        ended = await self._ended(handler, handler.apply(change), 'get')
         self.assertIsInstance(ended, protocol.ChangeUnknown)
 
     async def test_writes_that_wait(self) -> None:
-        """Both may be in the store."""
+        """Other writes already sent may take effect as well."""
         for make in (
-            lambda desk: desk.set_leaving('desk-1', True),
-            lambda desk: desk.release('f'),
+            lambda handler: handler.set_leaving('desk-1', True),
+            lambda handler: handler.release('f'),
         ):
-            desk = self._make('put')
-            ended = await self._ended(desk, make(desk), 'put')
+            handler = self._make('put')
+            ended = await self._ended(handler, make(handler), 'put')
             self.assertIs(_Kind.UNKNOWN, ended.failure().kind)
 
     async def test_calls_after_the_end(self) -> None:
-        """They are refused, and the store is not asked."""
-        desk = self._make()
-        desk.end()
-        changed = await desk.apply(self._change())
+        """Later calls are refused without a call to the store."""
+        handler = self._make()
+        handler.finish_all()
+        changed = await handler.apply(self._change())
         self.assertIsInstance(changed, protocol.ChangeUnavailable)
         for ended in (
-            await desk.set_leaving('desk-1', True),
-            await desk.release('f'),
-            await desk.history(),
+            await handler.set_leaving('desk-1', True),
+            await handler.release('f'),
+            await handler.history(),
         ):
             self.assertIs(_Kind.UNAVAILABLE, ended.failure().kind)
         self.assertEqual([], self.store.calls)
--- a/tests/unit/test_wire_names.py
+++ b/tests/unit/test_wire_names.py
@@ -23,7 +23,7 @@
 from samphiredock.coordination.quarantine import _quarantine
 from samphiredock.coordination.search import _scatter_types
 from samphiredock.coordination.targets import _target_signs
-from samphiredock.daemon import _parts
+from samphiredock.daemon import _components
 from samphiredock import protocol
 from samphiredock import state
 from samphiredock.state import _checks
@@ -403,15 +403,15 @@
 
     def test_names_in_the_first_frame_are_pinned(self) -> None:
         """A message under another name is dropped by the receiver."""
-        codec = protocol.Codec(_parts.PEER_MESSAGES)
+        codec = protocol.Codec(_components.PEER_MESSAGES)
         names = {name.encode() for name in _PEER_MESSAGES.split()}
         self.assertEqual(names, set(codec._decoders))
-        for kind in _parts.PEER_MESSAGES:
+        for kind in _components.PEER_MESSAGES:
             self.assertIn(kind.__name__, {**_ARRAYS, **_MAPS})
 
     def test_peer_messages_keep_their_bytes(self) -> None:
         """Both frames of a message are unchanged, byte for byte."""
-        codec = protocol.Codec(_parts.PEER_MESSAGES)
+        codec = protocol.Codec(_components.PEER_MESSAGES)
         versions = protocol.HeldVersions(3, 4)
         row = protocol.MemberRow(
             'a', 's', 'r', 'tcp://p', 'c', 'o', 7, 1,
@@ -428,10 +428,10 @@
                 ),
             ),
             (
-                protocol.ObjectChanged('k', 2, 'v'),
+                protocol.ObjectChanged('k', 2, b'v'),
                 (
                     b'ObjectChanged',
-                    b'\x83\xa3key\xa1k\xa7version\x02\xa5value\xa1v',
+                    b'\x83\xa3key\xa1k\xa7version\x02\xa5value\xc4\x01v',
                 ),
             ),
             (
@@ -591,9 +591,9 @@
 
     def test_claims_keep_their_places(self) -> None:
         """A claim looked for elsewhere would let its request run twice."""
-        place = state.locate_claim('svc', 'key')
-        self.assertEqual('claims/1e7f8', place.path)
-        self.assertEqual('a47ec7c0f3f6592208d02a7b0691e7f8', place.digest)
+        location = state.locate_claim('svc', 'key')
+        self.assertEqual('claims/1e7f8', location.path)
+        self.assertEqual('a47ec7c0f3f6592208d02a7b0691e7f8', location.digest)
         self.assertEqual(
             '6f1bbc0a97690e48c27b0f3a86416653',
             state.content_digest('op', {'b': '1', 'a': '2'}),
