--- a/samphiredock/cli/_client.py
+++ b/samphiredock/cli/_client.py
@@ -80,6 +80,7 @@
     return NoReply('; '.join(failures), may_be_received)
 
 
+# Raised only before a connection exists, so that nothing has been sent.
 _CONNECT_ERRORS = (
     aiohttp.ClientConnectorError,
     aiohttp.ConnectionTimeoutError,
