--- a/samphiredock/cli/_requests.py
+++ b/samphiredock/cli/_requests.py
@@ -1,4 +1,4 @@
-"""``samphiredock search`` and ``samphiredock run``: ask as a caller."""
+"""``samphiredock search`` and ``run``: send requests as a caller."""
 
 import random
 import time
@@ -12,12 +12,15 @@
 from samphiredock import protocol
 from samphiredock import transport
 
-_ANSWER_SLACK_MS = 5_000
-_LONGEST_DEADLINE_MS = 30_000
+_REPLY_MARGIN_MS = 5_000
+"""How long after a request's deadline its reply may still arrive."""
+
+_MAX_DEADLINE_MS = 30_000
+"""Assumed for a request whose deadline the configuration decides."""
 
 
 class _Pair(click.ParamType):
-    """``NAME=VALUE``."""
+    """An argument ``NAME=VALUE``, converted to a tuple."""
 
     name = 'NAME=VALUE'
 
@@ -27,24 +30,24 @@
         param: click.Parameter | None,
         ctx: click.Context | None,
     ) -> tuple[str, str]:
-        key, found, text = str(value).partition('=')
-        if not (key and found):
+        key, separator, text = str(value).partition('=')
+        if not (key and separator):
             self.fail(f'got {value!r}, expected NAME=VALUE', param, ctx)
         return key, text
 
 
-_CALLER = click.option(
+_CALLER_OPTION = click.option(
     '--caller',
     'callers',
     multiple=True,
     envvar='SAMPHIREDOCK_CALLER',
     metavar='URL',
-    help='Caller address; if not given, a daemon is asked for it.',
+    help='Caller address of a daemon; default: as a daemon reports them.',
 )
-_DEADLINE = click.option(
+_DEADLINE_OPTION = click.option(
     '--deadline-ms',
     type=click.IntRange(1),
-    help="Milliseconds; the configuration's own if not stated.",
+    help='Deadline in milliseconds; default: as configured.',
 )
 
 
@@ -52,9 +55,11 @@
 @click.argument('service')
 @click.argument('search_name', metavar='SEARCH')
 @click.argument('terms', nargs=-1, type=_Pair(), metavar='[FIELD=VALUE]...')
-@click.option('--limit', type=click.IntRange(1), help='Records at most.')
-@_DEADLINE
-@_CALLER
+@click.option(
+    '--limit', type=click.IntRange(1), help='Maximum number of records.'
+)
+@_DEADLINE_OPTION
+@_CALLER_OPTION
 @_context.with_context
 def search(
     context: _context.Context,
@@ -65,7 +70,7 @@
     deadline_ms: int | None,
     callers: tuple[str, ...],
 ) -> None:
-    """Run a search and print its records, snapshot and true coverage."""
+    """Run a search and print its records, snapshot and coverage."""
     request = protocol.SearchRequest(
         service, search_name, dict(terms), deadline_ms, limit
     )
@@ -77,12 +82,12 @@
     )
     reply = _client.send(_caller_urls(context, callers), call)
     if isinstance(reply, _client.NoReply):
-        context.unreachable(reply, harmless=True)
-    outcome = context.read(reply, protocol.SearchOutcome)
+        context.exit_unreachable(reply, is_read_only=True)
+    outcome = context.decode_or_exit(reply, protocol.SearchOutcome)
     if not context.as_json and hasattr(outcome, 'records'):
         click.echo(_records_table(outcome.records))
         outcome = msgspec.structs.replace(outcome, records=[])
-    context.end_with(outcome)
+    context.exit_with_outcome(outcome)
 
 
 @click.command()
@@ -90,10 +95,10 @@
 @click.argument('operation')
 @click.argument('body', nargs=-1, type=_Pair(), metavar='[NAME=VALUE]...')
 @click.option(
-    '--key', help='Idempotency key (UUID version 7); a new one if not stated.'
+    '--key', help='Idempotency key (UUID version 7); default: a new one.'
 )
-@_DEADLINE
-@_CALLER
+@_DEADLINE_OPTION
+@_CALLER_OPTION
 @_context.with_context
 def run(
     context: _context.Context,
@@ -104,13 +109,14 @@
     deadline_ms: int | None,
     callers: tuple[str, ...],
 ) -> None:
-    """Run an unrepeatable request, at most once for a key."""
+    """Run a request that is executed at most once per idempotency key."""
     key = key or protocol.new_idempotency_key(
         int(time.time() * 1000), random.SystemRandom()
     )
     urls = _caller_urls(context, callers)
-    again = f'--key {key}'
-    # Before it is sent: whatever happens next, the key is on the screen.
+    retry_option = f'--key {key}'
+    # Printed before the request is sent, so that the user has the key to
+    # retry with even if this program is killed.
     context.note(f'idempotency key {key}')
     request = protocol.RunBody(service, operation, dict(body), deadline_ms)
     call = _client.Call(
@@ -118,47 +124,48 @@
         '/v1/run',
         msgspec.json.encode(request),
         {transport.IDEMPOTENCY_KEY_HEADER: key},
-        repeatable=False,
+        is_repeatable=False,
         timeout_ms=_timeout_ms(deadline_ms),
     )
     reply = _client.send(urls, call)
     if isinstance(reply, _client.NoReply):
-        if reply.sent:
-            _say_again(context, again)
-        context.unreachable(reply, harmless=False)
+        if reply.may_be_received:
+            _print_retry_hint(context, retry_option)
+        context.exit_unreachable(reply, is_read_only=False)
     outcome = _run_outcome(reply)
     if isinstance(outcome, protocol.Unknown):
-        _say_again(context, again)
-    context.end_with(outcome)
+        _print_retry_hint(context, retry_option)
+    context.exit_with_outcome(outcome)
 
 
 def _run_outcome(reply: _client.Reply) -> protocol.RunOutcome:
     try:
         return msgspec.json.decode(reply.body, type=protocol.RunOutcome)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        # Something answered that cannot be read, perhaps a balancer: it
-        # may have come after the request had been passed on.
+        # The reply is not a daemon's, perhaps a load balancer's, which may
+        # have passed the request on before it failed.
         return protocol.Unknown(
             f'{reply.url} answered {reply.status}, not readable: {error}', 0
         )
 
 
-def _say_again(context: _context.Context, again: str) -> None:
+def _print_retry_hint(context: _context.Context, retry_option: str) -> None:
     context.note(
         'it may or may not have run; the same request is safe to send '
-        f'again with: {again}'
+        f'again with: {retry_option}'
     )
 
 
 def _timeout_ms(deadline_ms: int | None) -> int:
-    return (deadline_ms or _LONGEST_DEADLINE_MS) + _ANSWER_SLACK_MS
+    return (deadline_ms or _MAX_DEADLINE_MS) + _REPLY_MARGIN_MS
 
 
 def _caller_urls(
-    context: _context.Context, given: tuple[str, ...]
+    context: _context.Context, stated_urls: tuple[str, ...]
 ) -> list[str]:
-    if given:
-        return list(given)
+    """Return the stated URLs, or those that a daemon reports, own first."""
+    if stated_urls:
+        return list(stated_urls)
     status = context.ask('GET', '/v1/status', dict)
     own = status['caller_url']
     scheme = own.partition(':')[0]
