--- a/samphiredock/transport/_caller_http.py
+++ b/samphiredock/transport/_caller_http.py
@@ -76,7 +76,7 @@
 
     def response(self) -> web.Response:
         """Return the refusal as a response with a ``NotRun`` body."""
-        return _respond(_bad_request(self.detail), self.status)
+        return _outcome_response(_bad_request(self.detail), self.status)
 
 
 def caller_application(
@@ -144,13 +144,17 @@
         self._body_limit_bytes = body_limit_bytes
 
     async def search(self, request: web.Request) -> web.Response:
-        body = await _read(request, _SEARCH_DECODER, self._body_limit_bytes())
+        body = await _read_body(
+            request, _SEARCH_DECODER, self._body_limit_bytes()
+        )
         if isinstance(body, _Refusal):
             return body.response()
-        return _respond(await self._executor.search(body))
+        return _outcome_response(await self._executor.search(body))
 
     async def run(self, request: web.Request) -> web.Response:
-        body = await _read(request, _RUN_DECODER, self._body_limit_bytes())
+        body = await _read_body(
+            request, _RUN_DECODER, self._body_limit_bytes()
+        )
         if isinstance(body, _Refusal):
             return body.response()
         key = _idempotency_key(request)
@@ -163,7 +167,7 @@
             protocol.issue_time_ms(key),
             body.deadline_ms,
         )
-        return _respond(await self._executor.run(run_request, key))
+        return _outcome_response(await self._executor.run(run_request, key))
 
     async def live(self, request: web.Request) -> web.Response:
         return web.Response(text='live\n')
@@ -174,7 +178,7 @@
         return web.Response(status=503, text='not ready\n')
 
 
-async def _read(
+async def _read_body(
     request: web.Request,
     decoder: msgspec.json.Decoder,
     body_limit_bytes: int,
@@ -236,7 +240,7 @@
     return msgspec.json.encode(_bad_request(detail))
 
 
-def _respond(
+def _outcome_response(
     outcome: protocol.Outcome, status: int | None = None
 ) -> web.Response:
     headers = {}
--- a/samphiredock/transport/_connection_pool.py
+++ b/samphiredock/transport/_connection_pool.py
@@ -59,13 +59,13 @@
 class _IdleConnection:
     """A connection without a running exchange.
 
-    ``since_ms`` is when it was opened or last used; from ``expires_ms`` on
+    ``idle_since_ms`` is when it was opened or last used; from ``expires_ms`` on
     the target may close it.  ``was_pooled`` says that it has been returned
     to the pool at least once.
     """
 
     connection: _http_connection.HttpConnection
-    since_ms: float
+    idle_since_ms: float
     expires_ms: float
     was_pooled: bool = False
 
@@ -181,7 +181,9 @@
         on_send()
         connection = acquired.connection
         sent_ms = self._clock.now_ms()
-        idle_ms = sent_ms - acquired.since_ms if acquired.was_pooled else 0.0
+        idle_ms = (
+            sent_ms - acquired.idle_since_ms if acquired.was_pooled else 0.0
+        )
         keepalive_ms: float | None = None
         try:
             outcome = await connection.exchange(
@@ -235,7 +237,7 @@
             for idle in pool.idle:
                 idle.connection.close()
 
-    def _left_s(self, ends_ms: float) -> float:
+    def _remaining_s(self, ends_ms: float) -> float:
         return max(0.001, (ends_ms - self._clock.now_ms()) / 1000.0)
 
     async def _acquire(
@@ -264,7 +266,7 @@
                 opened = await self._connect(pool, target, ends_ms)
                 if isinstance(opened, _link_errors.LinkError):
                     return opened
-                return self._idle_from_now(opened, None)
+                return self._as_idle(opened, None)
             if self._clock.now_ms() >= ends_ms:
                 return _link_errors.LinkError(
                     _Kind.NO_CONNECTION, 'no free connection'
@@ -285,7 +287,7 @@
             pool.waiters.appendleft(waiter)
         else:
             pool.waiters.append(waiter)
-        limit_s = min(self._left_s(ends_ms), _RECHECK_MS / 1000.0)
+        limit_s = min(self._remaining_s(ends_ms), _RECHECK_MS / 1000.0)
         try:
             await asyncio.wait((waiter,), timeout=limit_s)
         except asyncio.CancelledError:
@@ -302,7 +304,7 @@
         pool = self._pools[target.target_id]
         return bool(pool.idle) or pool.open_count < max(1, self._limit(target))
 
-    def _idle_from_now(
+    def _as_idle(
         self,
         connection: _http_connection.HttpConnection,
         keepalive_ms: float | None,
@@ -333,7 +335,7 @@
         pool.wake()
 
     def _idle_ms(self, idle: _IdleConnection) -> float:
-        return self._clock.now_ms() - idle.since_ms
+        return self._clock.now_ms() - idle.idle_since_ms
 
     def _drop_stale(self, pool: _TargetPool) -> None:
         """Close connections that must not be reused, the last one first.
@@ -356,7 +358,7 @@
     ) -> _http_connection.HttpConnection | _link_errors.LinkError:
         pool.open_count += 1
         connected = False
-        limit_s = min(CONNECT_TIMEOUT_MS / 1000.0, self._left_s(ends_ms))
+        limit_s = min(CONNECT_TIMEOUT_MS / 1000.0, self._remaining_s(ends_ms))
         try:
             async with asyncio.timeout(limit_s):
                 connection = await _http_connection.open_connection(
@@ -390,7 +392,7 @@
             # The limit fell, as when more daemons share the target.
             connection.close()
         if connection.is_open:
-            idle = self._idle_from_now(connection, keepalive_ms)
+            idle = self._as_idle(connection, keepalive_ms)
             idle.was_pooled = True
             pool.idle.append(idle)
         else:
--- a/samphiredock/transport/_entry_connection.py
+++ b/samphiredock/transport/_entry_connection.py
@@ -76,7 +76,7 @@
 class _Request:
     """One request, from its first byte until it is answered.
 
-    ``refusal`` is the error status of a request that is not handled, 0 for
+    ``refusal_status`` is the error status of a request that is not handled, 0 for
     any other, and ``detail`` its reason.  The connection ends after a
     refusal: where the next request would begin is unknown.
     """
@@ -90,7 +90,7 @@
     body_bytes: int = 0
     keep_alive: bool = True
     expects_continue: bool = False
-    refusal: int = 0
+    refusal_status: int = 0
     detail: str = ''
 
 
@@ -124,13 +124,13 @@
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
         self._queued: collections.deque[_Request] = collections.deque()
-        self._reading: _Request | None = None
+        self._partial_request: _Request | None = None
         self._in_head = False
         self._head_bytes_received = 0
-        self._task: asyncio.Task | None = None
+        self._answer_task: asyncio.Task | None = None
         self._write_paused = False
         self._read_paused = False
-        self._stops_reading = False
+        self._reading_ended = False
         self._is_lingering = False
         self._idle_since_ms: float | None = clock.now_ms()
         self._idle_limit_ms = callbacks.limits().idle_ms
@@ -138,22 +138,22 @@
 
     # asyncio.Protocol callbacks.
 
-    def connection_made(self, connection: asyncio.BaseTransport) -> None:
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport."""
-        self._transport = typing.cast(asyncio.Transport, connection)
+        self._transport = typing.cast(asyncio.Transport, transport)
         self._open_connections.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
         """Cancel the running request: its caller is gone."""
-        self._stops_reading = True
+        self._reading_ended = True
         self._queued.clear()
-        if self._task is not None:
-            self._task.cancel()
+        if self._answer_task is not None:
+            self._answer_task.cancel()
         self._open_connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
         """Parse received bytes and start the next request."""
-        if self._stops_reading:
+        if self._reading_ended:
             return
         self._idle_since_ms = None
         self._head_bytes_received += len(data)
@@ -171,7 +171,7 @@
 
     def _is_idle(self) -> bool:
         """Whether no request is being read, queued or being answered."""
-        return not (self._task or self._queued or self._reading)
+        return not (self._answer_task or self._queued or self._partial_request)
 
     def _limit_head(self) -> None:
         """Limit the size of an incomplete head, and start its time limit."""
@@ -194,20 +194,20 @@
 
     def on_message_begin(self) -> None:
         """Begin a request, unless reading has ended."""
-        if self._stops_reading:
+        if self._reading_ended:
             return
-        self._reading = _Request()
+        self._partial_request = _Request()
         self._in_head = True
 
     def on_url(self, part: bytes) -> None:
         """Append a part of the raw path."""
-        if self._reading is not None:
-            self._reading.path += part
-            self._reading.head_bytes += len(part)
+        if self._partial_request is not None:
+            self._partial_request.path += part
+            self._partial_request.head_bytes += len(part)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Append a header."""
-        request = self._reading
+        request = self._partial_request
         if request is None:
             return
         request.headers.append(
@@ -221,7 +221,7 @@
 
     def on_headers_complete(self) -> None:
         """Refuse a request whose head or announced body is too large."""
-        request = self._reading
+        request = self._partial_request
         if request is None:
             return
         self._in_head = False
@@ -244,16 +244,16 @@
         Only once all earlier requests are answered, since replies go out in
         order.
         """
-        request = self._reading
+        request = self._partial_request
         if request is None or self._in_head or not request.expects_continue:
             return
-        if self._task is None and not self._queued:
+        if self._answer_task is None and not self._queued:
             request.expects_continue = False
             self._write(_CONTINUE_RESPONSE)
 
     def on_body(self, part: bytes) -> None:
         """Append a part of the body; refuse a body that is too large."""
-        request = self._reading
+        request = self._partial_request
         if request is None:
             return
         request.body.append(part)
@@ -263,14 +263,14 @@
 
     def on_message_complete(self) -> None:
         """Queue a request that has been read completely."""
-        request, self._reading = self._reading, None
+        request, self._partial_request = self._partial_request, None
         self._head_bytes_received = 0
         if request is None:
             return
         self._queued.append(request)
         if len(self._queued) >= _PIPELINE_LIMIT and not self._read_paused:
             self._read_paused = True
-            self._open_transport().pause_reading()
+            self._connected_transport().pause_reading()
 
     # Refusals.
 
@@ -286,18 +286,18 @@
 
     def _refuse(self, status: int, detail: str) -> None:
         """Queue an error reply and stop reading."""
-        if self._stops_reading:
+        if self._reading_ended:
             return
         self._metrics.add('http_errors', interface='entry', status=status)
         self._queued.append(
-            _Request(keep_alive=False, refusal=status, detail=detail)
+            _Request(keep_alive=False, refusal_status=status, detail=detail)
         )
         self._end_reading()
 
     def _end_reading(self) -> None:
         """Stop reading; requests that are queued are still answered."""
-        self._stops_reading = True
-        self._reading = None
+        self._reading_ended = True
+        self._partial_request = None
 
     # Time limits.
 
@@ -326,7 +326,7 @@
         reply without ``Connection: close`` and may send another request.
         One that lingers closes by itself.
         """
-        transport = self._open_transport()
+        transport = self._connected_transport()
         if self._is_lingering or transport.get_write_buffer_size():
             return
         if self._is_idle():
@@ -338,7 +338,7 @@
         Returns whether a request had no reply yet, or a reply was not sent
         completely.
         """
-        transport = self._open_transport()
+        transport = self._connected_transport()
         loses_reply = (
             not self._is_idle() or transport.get_write_buffer_size() > 0
         )
@@ -347,32 +347,36 @@
 
     # Replies.
 
-    def _open_transport(self) -> asyncio.Transport:
+    def _connected_transport(self) -> asyncio.Transport:
         assert self._transport is not None
         return self._transport
 
     def _answer_next(self) -> None:
         """Start the next queued request, unless one is running."""
-        if self._task is not None or self._write_paused or not self._queued:
+        if (
+            self._answer_task is not None
+            or self._write_paused
+            or not self._queued
+        ):
             return
         request = self._queued.popleft()
         if self._read_paused and len(self._queued) <= _PIPELINE_RESUME:
             self._read_paused = False
-            self._open_transport().resume_reading()
-        self._task = asyncio.create_task(self._answer_request(request))
+            self._connected_transport().resume_reading()
+        self._answer_task = asyncio.create_task(self._answer_request(request))
 
     async def _answer_request(self, request: _Request) -> None:
         reply = await self._make_reply(request)
         if isinstance(reply, protocol.StreamedReply):
             is_complete = await self._write_pieces(request, reply)
             if not is_complete:
-                self._task = None
+                self._answer_task = None
                 # The missing last chunk shows that the reply is incomplete;
                 # a reset could also destroy earlier replies.
                 self._close_after_reply()
                 return
-        self._task = None
-        if self._open_transport().is_closing():
+        self._answer_task = None
+        if self._connected_transport().is_closing():
             return
         is_last = self._is_last_reply(request)
         if isinstance(reply, protocol.HttpReply):
@@ -395,10 +399,10 @@
         """
         if not request.keep_alive:
             return True
-        if self._queued or self._reading is not None:
+        if self._queued or self._partial_request is not None:
             return False
         # Reading has ended after an Upgrade request.
-        return self._stops_reading or self._callbacks.is_closing()
+        return self._reading_ended or self._callbacks.is_closing()
 
     async def _write_pieces(
         self, request: _Request, reply: protocol.StreamedReply
@@ -420,9 +424,9 @@
     async def _make_reply(
         self, request: _Request
     ) -> protocol.HttpReply | protocol.StreamedReply:
-        if request.refusal:
+        if request.refusal_status:
             return protocol.HttpReply(
-                request.refusal, body=request.detail.encode()
+                request.refusal_status, body=request.detail.encode()
             )
         path = request.path.decode('latin-1')
         try:
@@ -440,14 +444,14 @@
             return protocol.HttpReply(500, body=b'internal error, see the log')
 
     def _write(self, data: bytes) -> None:
-        self._open_transport().write(data)
+        self._connected_transport().write(data)
 
     def _close_after_reply(self) -> None:
         """Close after the last reply; discard what still arrives."""
         self._queued.clear()
-        self._stops_reading = True
+        self._reading_ended = True
         self._is_lingering = True
-        transport = self._open_transport()
+        transport = self._connected_transport()
         if self._read_paused:
             self._read_paused = False
             transport.resume_reading()
@@ -458,7 +462,7 @@
 
     def _end_lingering(self) -> None:
         """Close once everything written has been sent."""
-        transport = self._open_transport()
+        transport = self._connected_transport()
         if transport.get_write_buffer_size():
             self._clock.after(LINGER_MS, self._end_lingering)
             return
--- a/samphiredock/transport/_entry_http.py
+++ b/samphiredock/transport/_entry_http.py
@@ -40,29 +40,29 @@
         self._clock = clock
         self._connections: set[_entry_connection.EntryConnection] = set()
         self._server: asyncio.Server | None = None
-        self._checking: timers.TimerHandle | None = None
+        self._check_timer: timers.TimerHandle | None = None
 
     async def start(
         self,
         address: str,
         backlog: int,
-        listening: socket.socket | None = None,
+        listener: socket.socket | None = None,
     ) -> None:
         """Serve at ``IP:port``; raises ``OSError`` if it cannot listen there.
 
-        ``listening`` is a socket that already listens at the address.
+        ``listener`` is a socket that already listens at the address.
         """
         loop = asyncio.get_running_loop()
-        if listening is not None:
+        if listener is not None:
             self._server = await loop.create_server(
-                self._connect, sock=listening, backlog=backlog
+                self._connect, sock=listener, backlog=backlog
             )
         else:
             host, _, port = address.rpartition(':')
             self._server = await loop.create_server(
                 self._connect, host, int(port), backlog=backlog
             )
-        self._checking = self._clock.every(_CHECK_INTERVAL_MS, self._check)
+        self._check_timer = self._clock.every(_CHECK_INTERVAL_MS, self._check)
 
     def address(self) -> str:
         """Return ``IP:port`` of the running server."""
@@ -92,8 +92,8 @@
         self.abort()
         # Cancelled last: until here the checks refuse overdue heads, which
         # would delay the close.
-        if self._checking is not None:
-            self._checking.cancel()
+        if self._check_timer is not None:
+            self._check_timer.cancel()
 
     def abort(self) -> int:
         """Abort the remaining connections.
--- a/samphiredock/transport/_http_connection.py
+++ b/samphiredock/transport/_http_connection.py
@@ -21,9 +21,9 @@
 
 _MIN_TIMEOUT_MS = 1.0
 
-_KEEPALIVE_IDLE_S = 2
-_KEEPALIVE_INTERVAL_S = 1
-_KEEPALIVE_PROBES = 2
+_PROBE_IDLE_S = 2
+_PROBE_INTERVAL_S = 1
+_PROBE_COUNT = 2
 """A host that lost power never closes its connections.  The kernel's
 keepalive probes detect that within about 4 s and close them here."""
 
@@ -171,10 +171,10 @@
 
     # asyncio.Protocol callbacks.
 
-    def connection_made(self, connection: asyncio.BaseTransport) -> None:
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport and enable keepalive probes."""
-        self._transport = typing.cast(asyncio.Transport, connection)
-        _set_keepalive(connection.get_extra_info('socket'))
+        self._transport = typing.cast(asyncio.Transport, transport)
+        _set_socket_options(transport.get_extra_info('socket'))
 
     def data_received(self, data: bytes) -> None:
         """Parse a part of a reply; close on bytes outside of an exchange."""
@@ -291,16 +291,16 @@
     return connection
 
 
-def _set_keepalive(connection: socket.socket) -> None:
+def _set_socket_options(sock: socket.socket) -> None:
     options = (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_IDLE_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_INTERVAL_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBE_COUNT),
     )
     for level, option, value in options:
-        connection.setsockopt(level, option, value)
+        sock.setsockopt(level, option, value)
 
 
 def _encode(request: protocol.HttpRequest) -> bytes:
--- a/samphiredock/transport/_operator_http.py
+++ b/samphiredock/transport/_operator_http.py
@@ -131,7 +131,7 @@
             given.encode('utf-8', 'surrogateescape'), expected
         ):
             counters.add('operator_calls_refused')
-            return _failure(
+            return _error_response(
                 _Kind.WRONG_TOKEN,
                 'got no token or a wrong one, expected '
                 "'Authorization: Bearer TOKEN' from the keys file",
@@ -151,32 +151,32 @@
         self._metrics = counters
 
     async def status(self, request: web.Request) -> web.Response:
-        return _json(self._operations.status())
+        return _json_response(self._operations.status())
 
     async def configuration(self, request: web.Request) -> web.Response:
         source = self._operations.configuration_source()
         if source is None:
-            return _failure(_Kind.NOT_FOUND, 'no configuration yet')
-        return _json(source)
+            return _error_response(_Kind.NOT_FOUND, 'no configuration yet')
+        return _json_response(source)
 
     async def apply(self, request: web.Request) -> web.Response:
         if not _http_guard.has_json_type(request):
-            return _failure(
+            return _error_response(
                 _Kind.WRONG_CONTENT_TYPE,
                 f'got {request.content_type}, expected application/json',
             )
         try:
             change = _CHANGE_DECODER.decode(await request.read())
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            return _failure(_Kind.BAD_REQUEST, str(error))
+            return _error_response(_Kind.BAD_REQUEST, str(error))
         outcome = await self._operations.apply(change)
-        return _json(outcome, _CHANGE_STATUS[type(outcome)])
+        return _json_response(outcome, _CHANGE_STATUS[type(outcome)])
 
     async def history(self, request: web.Request) -> web.Response:
         return _from_result(await self._operations.history())
 
     async def confirmations(self, request: web.Request) -> web.Response:
-        return _json(self._operations.confirmations())
+        return _json_response(self._operations.confirmations())
 
     async def drain(self, request: web.Request) -> web.Response:
         return await self._set_leaving(request, True)
@@ -210,13 +210,17 @@
 ) -> web.Response:
     if isinstance(outcome, result.Failure):
         error = outcome.failure()
-        return _json(error, _KIND_STATUS[error.kind])
+        return _json_response(error, _KIND_STATUS[error.kind])
     value = outcome.unwrap()
-    return _json(protocol.OperatorDone() if value is None else value)
+    return _json_response(protocol.OperatorDone() if value is None else value)
 
 
-def _failure(kind: protocol.OperatorErrorKind, detail: str) -> web.Response:
-    return _json(protocol.OperatorError(kind, detail), _KIND_STATUS[kind])
+def _error_response(
+    kind: protocol.OperatorErrorKind, detail: str
+) -> web.Response:
+    return _json_response(
+        protocol.OperatorError(kind, detail), _KIND_STATUS[kind]
+    )
 
 
 def _error_body(status: int, detail: str) -> bytes:
@@ -224,7 +228,7 @@
     return msgspec.json.encode(protocol.OperatorError(kind, detail))
 
 
-def _json(value: object, status: int = 200) -> web.Response:
+def _json_response(value: object, status: int = 200) -> web.Response:
     headers = {}
     retry_after_ms = getattr(value, 'retry_after_ms', 0)
     if retry_after_ms:
--- a/samphiredock/transport/_peers.py
+++ b/samphiredock/transport/_peers.py
@@ -18,7 +18,7 @@
 from samphiredock import protocol
 
 _HIGH_WATER_MESSAGES = 5_000
-_DRAIN_LIMIT = 100
+_MAX_READS_PER_TURN = 100
 """Messages read in one turn of the event loop."""
 
 _LINGER_MS = 200
@@ -88,7 +88,7 @@
         self._authenticator.configure_curve_callback('*', self)
         self._authenticator.start()
         self._socket = self._authenticator.zap_socket
-        self._loop.add_reader(self._socket.fd, self._drain)
+        self._loop.add_reader(self._socket.fd, self._receive_available)
 
     def callback(self, domain: str, key: bytes) -> bool:
         """Return whether a client's public key is admitted."""
@@ -102,7 +102,7 @@
         self._loop.remove_reader(self._socket.fd)
         self._authenticator.stop()
 
-    def _drain(self) -> None:
+    def _receive_available(self) -> None:
         while not self._socket.closed:
             try:
                 zap_request = self._socket.recv_multipart(zmq.NOBLOCK)
@@ -152,7 +152,7 @@
         self._handlers: dict[type, list[MessageHandler]] = {}
         self._addresses: dict[str, str] = {}
         self._outgoing: dict[str, zmq.Socket] = {}
-        self._used: set[str] = set()
+        self._recently_used: set[str] = set()
         self._unsent_frames: dict[str, list[bytes]] = {}
         self._held_answers: dict[str, collections.deque[msgspec.Struct]] = {}
         self._loop = asyncio.get_running_loop()
@@ -169,7 +169,7 @@
         except zmq.ZMQError:
             self.close()
             raise
-        self._loop.add_reader(self._incoming.fd, self._drain)
+        self._loop.add_reader(self._incoming.fd, self._receive_available)
 
     def set_address(self, member: str, address: str) -> None:
         """Set where a member listens, and send the answers held for it.
@@ -201,9 +201,9 @@
         Each open connection takes memory at both ends, and among hundreds
         of daemons most are rarely used.
         """
-        for member in self._outgoing.keys() - self._used:
+        for member in self._outgoing.keys() - self._recently_used:
             self._outgoing.pop(member).close(linger=_LINGER_MS)
-        self._used.clear()
+        self._recently_used.clear()
 
     def subscribe(self, kind: type, handler: MessageHandler) -> None:
         """Call ``handler(sender, message)`` for messages of type ``kind``."""
@@ -262,7 +262,7 @@
 
     def _send_frames(self, member: str, frames: list[bytes]) -> None:
         messages = len(frames) // 2
-        self._used.add(member)
+        self._recently_used.add(member)
         socket = self._socket_to(member)
         if socket is None:
             self._metrics.add(
@@ -340,10 +340,10 @@
             return ''
         return self._keys.admitted.get(member)
 
-    def _drain(self) -> None:
+    def _receive_available(self) -> None:
         # ZeroMQ's descriptor is edge-triggered: if reading stops early, it
         # must be scheduled again, or the rest waits for the next message.
-        for _ in range(_DRAIN_LIMIT):
+        for _ in range(_MAX_READS_PER_TURN):
             if self._closed:
                 return
             try:
@@ -351,8 +351,8 @@
             except zmq.Again:
                 return
             if frames is not None:
-                self._read(frames)
-        self._loop.call_soon(self._drain)
+                self._dispatch(frames)
+        self._loop.call_soon(self._receive_available)
 
     def _receive(self) -> list[bytes] | None:
         """Return the next message, None if its sender does not match its key.
@@ -371,7 +371,7 @@
         self._metrics.add('peer_senders_refused')
         return None
 
-    def _read(self, frames: list[bytes]) -> None:
+    def _dispatch(self, frames: list[bytes]) -> None:
         if len(frames) < 3 or len(frames) % 2 == 0:
             self._metrics.add('peer_messages_unreadable')
             return
--- a/samphiredock/transport/_target_http.py
+++ b/samphiredock/transport/_target_http.py
@@ -114,10 +114,12 @@
         attempt and fingerprint.  On any mismatch, all answers are rejected
         and the connection is closed, since its replies are mixed up.
         """
-        expected = [(row.attempt_id, row.fingerprint) for row in body.items]
+        expected = [(item.attempt_id, item.fingerprint) for item in body.items]
 
         def check(answer: protocol.TargetBatchAnswer) -> str:
-            got = [(row.attempt_id, row.fingerprint) for row in answer.answers]
+            got = [
+                (item.attempt_id, item.fingerprint) for item in answer.answers
+            ]
             return _mismatch(got, expected)
 
         return await self._call(
@@ -281,9 +283,15 @@
 
     async def _close_outdated(self) -> None:
         outdated = [
-            row for row in self._idle if row.generation < self._generation
+            connection
+            for connection in self._idle
+            if connection.generation < self._generation
+        ]
+        self._idle = [
+            connection
+            for connection in self._idle
+            if connection not in outdated
         ]
-        self._idle = [row for row in self._idle if row not in outdated]
         for connection in outdated:
             await self._drop(connection)
 
--- a/tests/unit/test_entry_http.py
+++ b/tests/unit/test_entry_http.py
@@ -142,11 +142,11 @@
             b'Expect: 100-continue\r\n\r\n'
         )
         async with asyncio.timeout(10.0):
-            told = await reader.readuntil(b'\r\n\r\n')
+            interim = await reader.readuntil(b'\r\n\r\n')
             writer.write(b'xyz')
             head = await reader.readuntil(b'\r\n\r\n')
         writer.close()
-        self.assertEqual(b'HTTP/1.1 100 Continue\r\n\r\n', told)
+        self.assertEqual(b'HTTP/1.1 100 Continue\r\n\r\n', interim)
         self.assertIn(b' 207 ', head)
         self.assertEqual(b'xyz', self.requests[0][3])
 
