--- a/samphiredock/transport/_entry_connection.py
+++ b/samphiredock/transport/_entry_connection.py
@@ -76,9 +76,11 @@
 class _Request:
     """One request, from its first byte until it is answered.
 
-    ``refusal_status`` is the error status of a request that is not handled, 0 for
-    any other, and ``detail`` its reason.  The connection ends after a
-    refusal: where the next request would begin is unknown.
+    ``body_bytes`` is the announced length of the body until the head is
+    complete, then the number of bytes received.  ``refusal_status`` is the
+    error status of a request that is refused and not handled, 0 for any
+    other, and ``detail`` is the reason.  The connection ends after a refusal:
+    where the next request would begin is unknown.
     """
 
     method: str = ''
