--- a/samphiredock/cli/_keys.py
+++ b/samphiredock/cli/_keys.py
@@ -1,4 +1,4 @@
-"""``samphiredock keys``: make keys files."""
+"""``samphiredock keys``: create keys files."""
 
 import os
 import pathlib
@@ -14,7 +14,7 @@
 
 @click.group()
 def keys() -> None:
-    """Make the keys files of daemons."""
+    """Create the keys files of daemons."""
 
 
 @keys.command()
@@ -26,33 +26,35 @@
     'needed for more than one member.',
 )
 def new(members: tuple[str, ...], folder: pathlib.Path | None) -> None:
-    """Make keys files for daemons that admit each other.
+    """Create keys files for daemons that admit each other.
 
-    All get one operator token; each gets a CURVE key pair and the public
-    keys of all.
+    All share one operator token; each file has a CURVE key pair of its own
+    and the public keys of all members.
     """
     if folder is None and len(members) > 1:
         raise click.UsageError('got several members, expected --folder')
-    texts = _make(members)
+    texts = _make_keys_files(members)
     if folder is None:
         click.echo(texts[members[0]])
         return
     folder.mkdir(parents=True, exist_ok=True)
     for member, text in texts.items():
-        _write(folder / f'{member}.keys.json', text)
+        _write_new_file(folder / f'{member}.keys.json', text)
 
 
-def _make(members: tuple[str, ...]) -> dict[str, str]:
+def _make_keys_files(members: tuple[str, ...]) -> dict[str, str]:
     pairs = {member: zmq.curve_keypair() for member in members}
     admitted = {member: pair[0].decode() for member, pair in pairs.items()}
     token = secrets.token_urlsafe(_TOKEN_BYTES)
     return {
-        member: _text(token, public.decode(), secret.decode(), admitted)
+        member: _format_keys_file(
+            token, public.decode(), secret.decode(), admitted
+        )
         for member, (public, secret) in pairs.items()
     }
 
 
-def _text(
+def _format_keys_file(
     token: str, public: str, secret: str, admitted: dict[str, str]
 ) -> str:
     body = {
@@ -63,9 +65,9 @@
     return msgspec.json.format(msgspec.json.encode(body), indent=2).decode()
 
 
-def _write(path: pathlib.Path, text: str) -> None:
-    # Made with its mode, so that nobody can read it even for a moment;
-    # an existing file is never overwritten, for a fleet may depend on it.
+def _write_new_file(path: pathlib.Path, text: str) -> None:
+    # The file is created with its final mode, so that no other user can read
+    # it at any time.  O_EXCL: an existing file may be in use by a fleet.
     flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL
     try:
         descriptor = os.open(path, flags, _OWNER_ONLY)
--- a/samphiredock/coordination/config/_current_state.py
+++ b/samphiredock/coordination/config/_current_state.py
@@ -72,7 +72,7 @@
         self._subscribers.append(callback)
 
     def on_adopted(self, callback: typing.Callable[[str, int], None]) -> None:
-        """Call ``callback`` with key and version of each newer object."""
+        """Call ``callback`` with key and version of each object taken."""
         self._adopted_callbacks.append(callback)
 
     def offer(self, key: str, value: bytes) -> bool:
@@ -113,7 +113,7 @@
         self.source = source
         self._lowest_reported = source.revision
         _log.notice('configuration in force', revision=source.revision)
-        self._store_value(CONFIGURATION_KEY, source.revision, source, value)
+        self._adopt(CONFIGURATION_KEY, source.revision, source, value)
         for callback in self._subscribers:
             callback(self.configuration)
         return True
@@ -125,11 +125,11 @@
         if snapshot.snapshot_id <= self.snapshot_id:
             return False
         self.snapshot = snapshot
-        _log.notice('snapshot published', snapshot_id=snapshot.snapshot_id)
-        self._store_value(SNAPSHOT_KEY, snapshot.snapshot_id, snapshot, value)
+        _log.notice('snapshot received', snapshot_id=snapshot.snapshot_id)
+        self._adopt(SNAPSHOT_KEY, snapshot.snapshot_id, snapshot, value)
         return True
 
-    def _store_value(
+    def _adopt(
         self,
         key: str,
         version: int,
--- a/samphiredock/coordination/once/_run_sending.py
+++ b/samphiredock/coordination/once/_run_sending.py
@@ -21,7 +21,7 @@
 
 CANCEL_SHARE = 0.2
 CANCEL_MARGIN_LIMIT_MS = _run_orders.CANCEL_WAIT_MS
-"""Time kept for a cancel: a share of what is left, and at most this."""
+"""Time kept for a cancel: a share of the time left, and at most this."""
 
 _STATUS_REASON = {
     protocol.SubStatus.SHED: protocol.NotRunReason.OVERLOADED,
@@ -91,15 +91,15 @@
             if target is None:
                 break
             tried.add(target)
-            ended = await self._try_target(run, target)
-            if not isinstance(ended, protocol.RunReport):
-                return ended
+            result = await self._try_target(run, target)
+            if not isinstance(result, protocol.RunReport):
+                return result
             reason = _STATUS_REASON.get(
-                ended.status, protocol.NotRunReason.NO_TARGET
+                result.status, protocol.NotRunReason.NO_TARGET
             )
-            detail = f'{target}: {ended.status.value} {ended.detail}'
+            detail = f'{target}: {result.status.value} {result.detail}'
             retry_after_ms = (
-                ended.retry_after_ms or _run_request.RETRY_AFTER_MS
+                result.retry_after_ms or _run_request.RETRY_AFTER_MS
             )
         return self._recorder.answer_not_run(
             run, reason, detail, retry_after_ms
