--- a/samphiredock/cli/_difference.py
+++ b/samphiredock/cli/_difference.py
@@ -1,4 +1,4 @@
-"""Differences between two configurations, path by path."""
+"""Comparison of two configurations, field by field."""
 
 import dataclasses
 import typing
@@ -12,7 +12,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Difference:
-    """One path whose value differs."""
+    """One field whose value differs.
+
+    ``path`` is dotted and starts with ``base`` or ``overlay SITE``.  ``old``
+    and ``new`` are JSON texts or :data:`ABSENT`.
+    """
 
     path: str
     old: str
@@ -26,14 +30,14 @@
         return f'~ {self.path}: {self.old} -> {self.new}'
 
 
-def between(
+def compare(
     old: state.ConfigurationSource | None,
     base: dict,
     overlays: typing.Mapping[str, dict],
 ) -> list[Difference]:
-    """Return what a new base and overlays would change."""
-    before = _flat_source(old.base, old.overlays) if old else {}
-    after = _flat_source(base, overlays)
+    """Return what a new base and overlays would change, sorted by path."""
+    before = _flatten_source(old.base, old.overlays) if old else {}
+    after = _flatten_source(base, overlays)
     return [
         Difference(path, before.get(path, ABSENT), after.get(path, ABSENT))
         for path in sorted(before.keys() | after.keys())
@@ -41,7 +45,7 @@
     ]
 
 
-def _flat_source(
+def _flatten_source(
     base: dict, overlays: typing.Mapping[str, dict]
 ) -> dict[str, str]:
     flat: dict[str, str] = {}
@@ -55,5 +59,5 @@
     if not isinstance(value, dict) or not value:
         flat[path] = msgspec.json.encode(value).decode()
         return
-    for key, each in value.items():
-        _flatten(f'{path}.{key}', each, flat)
+    for key, item in value.items():
+        _flatten(f'{path}.{key}', item, flat)
