--- a/samphiredock/daemon/_components.py
+++ b/samphiredock/daemon/_components.py
@@ -54,7 +54,7 @@
         self.platform = transport.HttpPlatform(
             self._session, settings.platform_url
         )
-        self._make_control()
+        self._make_state_and_membership()
         self._make_dispatching()
         self._make_coordinating()
         self._follow_changes()
@@ -108,7 +108,7 @@
             self.metrics.close()
             raise
 
-    def _make_control(self) -> None:
+    def _make_state_and_membership(self) -> None:
         self.current_state = coordination.CurrentState(self.metrics)
         self._snapshots = coordination.SnapshotValidator(self.metrics)
         self.watcher = coordination.Watcher(
