--- a/samphiredock/daemon/_components.py
+++ b/samphiredock/daemon/_components.py
@@ -55,7 +55,7 @@
             self._session, settings.platform_url
         )
         self._make_state_and_membership()
-        self._make_dispatching()
+        self._make_dispatcher()
         self._make_coordinating()
         self._follow_changes()
 
@@ -140,7 +140,7 @@
             self.platform, self.current_state, self.clock, self.metrics
         )
 
-    def _make_dispatching(self) -> None:
+    def _make_dispatcher(self) -> None:
         self.quarantine = coordination.Quarantine(
             self.hub, self.membership, self.platform, self.clock, self.metrics
         )
