--- a/samphiredock/daemon/_components.py
+++ b/samphiredock/daemon/_components.py
@@ -56,7 +56,7 @@
         )
         self._make_state_and_membership()
         self._make_dispatcher()
-        self._make_coordinating()
+        self._make_coordinator_and_runner()
         self._follow_changes()
 
     # The view of the coordinator and the runner.
@@ -173,7 +173,7 @@
             lambda name: name in self._other_members(),
         )
 
-    def _make_coordinating(self) -> None:
+    def _make_coordinator_and_runner(self) -> None:
         self.admission = coordination.Admission(self.clock)
         self.coordinator = coordination.Coordinator(
             self.member.name,
