--- a/samphiredock/daemon/_components.py
+++ b/samphiredock/daemon/_components.py
@@ -88,7 +88,7 @@
 
     # Creation.
 
-    def _random(self, part: str) -> random.Random:
+    def _seeded_random(self, part: str) -> random.Random:
         return random.Random(
             f'{part}-{self.member.name}-{self.member.incarnation}'
         )
@@ -123,7 +123,7 @@
             self.clock,
             self.metrics,
             self.current_state.versions,
-            self._random('membership'),
+            self._seeded_random('membership'),
             self._settings.peers,
         )
         self.distribution = coordination.ObjectDistribution(
@@ -156,7 +156,7 @@
             self.membership,
             self.clock,
             self.metrics,
-            self._random('signs'),
+            self._seeded_random('signs'),
             self.membership.neighbours,
             self.distribution.is_watcher,
         )
@@ -185,7 +185,7 @@
             self.metrics,
             self.quarantine,
             self.admission,
-            self._random('coordinator'),
+            self._seeded_random('coordinator'),
         )
         self.runner = coordination.Runner(
             self.member.name,
@@ -196,7 +196,7 @@
             self.platform,
             self.clock,
             self.metrics,
-            self._random('runner'),
+            self._seeded_random('runner'),
             self.quarantine,
         )
 
