--- a/samphiredock/daemon/_node.py
+++ b/samphiredock/daemon/_node.py
@@ -15,7 +15,7 @@
 from samphiredock import state
 from samphiredock import transport
 
-_BODY_LIMIT_BYTES = 1_000_000
+_MAX_BODY_LIMIT_BYTES = 1_000_000
 _SHUTDOWN_TICK_MS = 50.0
 _DRAIN_TIMEOUT_MS = 1_000.0
 _LAST_REPLIES_MS = 1_000.0
@@ -143,7 +143,7 @@
         self._components.start()
         callers = transport.caller_application(
             self,
-            _BODY_LIMIT_BYTES,
+            _MAX_BODY_LIMIT_BYTES,
             self._components.metrics,
             self._body_limit_bytes,
         )
