--- a/samphiredock/daemon/_node.py
+++ b/samphiredock/daemon/_node.py
@@ -77,9 +77,9 @@
         self, request: protocol.RunRequest, idempotency_key: str
     ) -> protocol.RunOutcome:
         """Run one request that must not be executed more than once."""
-        return await self._serve(self._admitted_run(request, idempotency_key))
+        return await self._serve(self._admit_and_run(request, idempotency_key))
 
-    async def _admitted_run(
+    async def _admit_and_run(
         self, request: protocol.RunRequest, idempotency_key: str
     ) -> protocol.RunOutcome:
         configuration = self._components.configuration
