--- a/samphiredock/daemon/_server_closing.py
+++ b/samphiredock/daemon/_server_closing.py
@@ -49,16 +49,16 @@
         for server in servers
     ]
     while left_ms() > 0.0:
-        if await _are_closed(close_tasks, _POLL_MS):
+        if await _wait_closed(close_tasks, _POLL_MS):
             return 0
     finish_all()
-    await _are_closed(close_tasks, _LAST_REPLIES_MS)
+    await _wait_closed(close_tasks, _LAST_REPLIES_MS)
     aborted = sum(server.abort() for server in servers)
     await asyncio.wait(close_tasks)
     return aborted
 
 
-async def _are_closed(
+async def _wait_closed(
     close_tasks: list[asyncio.Task[None]], timeout_ms: float
 ) -> bool:
     """Wait for all servers to close; return whether all did without error."""
