--- a/samphiredock/daemon/_operator_handler.py
+++ b/samphiredock/daemon/_operator_handler.py
@@ -44,16 +44,16 @@
         self._settings = settings
         self._is_ready = is_ready
         self._is_stopped = False
-        self._calls: set[asyncio.Future] = set()
+        self._wakers: set[asyncio.Future] = set()
 
     def open_calls(self) -> int:
         """Return how many calls are waiting for the store."""
-        return len(self._calls)
+        return len(self._wakers)
 
     def finish_all(self) -> None:
         """Answer every waiting call, as the daemon stops."""
         self._is_stopped = True
-        for waker in self._calls:
+        for waker in self._wakers:
             _wake(waker)
 
     async def _run_until_stop(
@@ -72,12 +72,12 @@
         waker = asyncio.get_running_loop().create_future()
         task = asyncio.create_task(work)
         task.add_done_callback(lambda _: _wake(waker))
-        self._calls.add(waker)
+        self._wakers.add(waker)
         try:
             await waker
             return task.result() if task.done() else outcome_at_stop(True)
         finally:
-            self._calls.discard(waker)
+            self._wakers.discard(waker)
             task.cancel()
 
     def status(self) -> dict[str, typing.Any]:
