--- a/samphiredock/daemon/_operator_handler.py
+++ b/samphiredock/daemon/_operator_handler.py
@@ -161,7 +161,7 @@
     ) -> result.Result[None, protocol.OperatorError]:
         """Mark a target as leaving, so that it gets no new work, or unmark."""
         return await self._run_until_stop(
-            self._set_leaving(target, leaving), _write_stopped
+            self._set_leaving(target, leaving), _stopped_write_error
         )
 
     async def _set_leaving(
@@ -198,7 +198,7 @@
     ) -> result.Result[None, protocol.OperatorError]:
         """Release a request content from quarantine."""
         return await self._run_until_stop(
-            self._release(fingerprint), _write_stopped
+            self._release(fingerprint), _stopped_write_error
         )
 
     async def _release(
@@ -241,7 +241,7 @@
     )
 
 
-def _write_stopped(
+def _stopped_write_error(
     has_begun: bool,
 ) -> result.Result[None, protocol.OperatorError]:
     # A write that has begun may have reached the store.
