--- a/samphiredock/metrics/_export.py
+++ b/samphiredock/metrics/_export.py
@@ -15,12 +15,12 @@
     1, 2, 5, 10, 20, 40, 80, 120, 160, 250, 500, 1_000, 2_500, 10_000,
 )  # fmt: skip
 _RATIO_BUCKETS = (0.0, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.999, 1.0)
-_EXTRA_BUCKETS = (1.0, 1.01, 1.02, 1.05, 1.1, 1.2, 1.5, 2.0, 3.0)
+_EXTRA_LOAD_BUCKETS = (1.0, 1.01, 1.02, 1.05, 1.1, 1.2, 1.5, 2.0, 3.0)
 
 _HISTOGRAMS = {
     'request_latency_ms': _LATENCY_BUCKETS_MS,
     'request_coverage': _RATIO_BUCKETS,
-    'request_extra_load': _EXTRA_BUCKETS,
+    'request_extra_load': _EXTRA_LOAD_BUCKETS,
     'target_service_ms': _LATENCY_BUCKETS_MS,
 }
 
