--- a/samphiredock/daemon/_entry_state.py
+++ b/samphiredock/daemon/_entry_state.py
@@ -223,7 +223,7 @@
             self._role.since_ms
         )
 
-    def follows_targets(self) -> bool:
+    def has_coordinator_role(self) -> bool:
         """Whether this daemon has the role that watches the targets."""
         return self._role.coordinates
 
