--- a/samphiredock/daemon/_entry_state.py
+++ b/samphiredock/daemon/_entry_state.py
@@ -227,7 +227,7 @@
         """Whether this daemon has the role that watches the targets."""
         return self._role.coordinates
 
-    def asks_directly(self, target: state.LiveTarget) -> bool:
+    def sends_directly(self, target: state.LiveTarget) -> bool:
         """Whether this daemon usually sends to a target directly.
 
         Requests for targets of another site usually go through a coordinator
