--- a/samphiredock/logs.py
+++ b/samphiredock/logs.py
@@ -59,7 +59,7 @@
             self._unreported += 1
             return len(text)
         if self._unreported and not self._buffer:
-            self._buffer += _line(
+            self._buffer += _json_line(
                 event='log lines dropped', count=self._unreported
             )
             self._unreported = 0
@@ -81,7 +81,7 @@
             self._buffer.clear()
 
 
-def _line(**fields: object) -> bytes:
+def _json_line(**fields: object) -> bytes:
     return msgspec.json.encode(fields, enc_hook=str) + b'\n'
 
 
