--- a/samphiredock/coordination/forwarding/__init__.py
+++ b/samphiredock/coordination/forwarding/__init__.py
@@ -51,7 +51,7 @@
             'Role',
             'connections_per_daemon',
             'coordinators_of',
-            'is_near',
+            'is_near_targets',
         ),
         '_routing': ('RoutingState',),
         '_splitter': ('Splitter',),
--- a/samphiredock/daemon/_entry_state.py
+++ b/samphiredock/daemon/_entry_state.py
@@ -324,7 +324,7 @@
         )
         if self._role.is_candidate and self._is_settled(now_ms):
             self._presence.set_near(
-                forwarding.is_near(self._settings.site, targets)
+                forwarding.is_near_targets(self._settings.site, targets)
             )
         up = [
             daemon for daemon in daemons if not self._is_down(daemon, now_ms)
--- a/tests/unit/test_roles.py
+++ b/tests/unit/test_roles.py
@@ -27,7 +27,7 @@
         targets = {'a': 21, 'b': 21, 'c': 2}
         rows = [
             dataclasses.replace(
-                row, near=forwarding.is_near(row.site, targets)
+                row, near=forwarding.is_near_targets(row.site, targets)
             )
             for row in daemons(a=3, b=3, c=2)
         ]
