--- a/tests/unit/test_entry_state.py
+++ b/tests/unit/test_entry_state.py
@@ -19,7 +19,7 @@
 
     def __init__(self, clock: timers.ManualTimers) -> None:
         self._clock = clock
-        self.is_lost = False
+        self.is_unreachable = False
         self.is_silent = False
         self.refuses = False
         self.watches = 0
@@ -48,7 +48,7 @@
         waiting = asyncio.get_running_loop().create_future()
         self._clock.after(500.0, lambda: waiting.set_result(None))
         await waiting
-        if self.is_lost:
+        if self.is_unreachable:
             return self._lost()
         return result.Success(transport.WatchPage((), (), position + 1))
 
@@ -98,7 +98,7 @@
         Only this coordinator loses contact with the store.
         """
         self.assertTrue(await self.entry_state.can_serve_handed_over(0, False))
-        self.store.is_lost = True
+        self.store.is_unreachable = True
         await self._advance(3_000.0)
         self.assertTrue(await self.entry_state.can_serve_handed_over(0, False))
         await self._advance(1_000.0)
@@ -124,7 +124,7 @@
 
     async def test_serves_while_a_peer_confirms_the_version(self) -> None:
         """A peer that has store contact has no newer version than this one."""
-        self.store.is_lost = True
+        self.store.is_unreachable = True
         await self._advance(4_500.0)
         self.assertFalse(
             await self.entry_state.can_serve_handed_over(0, False)
@@ -140,7 +140,7 @@
 
     async def test_does_not_serve_if_a_peer_has_a_newer_version(self) -> None:
         """Otherwise a caller would see a change undone that it has used."""
-        self.store.is_lost = True
+        self.store.is_unreachable = True
         await self._advance(4_500.0)
         self._record_answers(
             forwarding.StoreStatus(1, True), forwarding.StoreStatus(0, True)
@@ -154,7 +154,7 @@
 
         Otherwise every coordinator would first refuse each request.
         """
-        self.store.is_lost = True
+        self.store.is_unreachable = True
         await self._advance(4_500.0)
         self.assertTrue(self.entry_state.needs_freshness_check())
         self._record_answers(
@@ -164,7 +164,7 @@
 
     async def test_does_not_serve_if_no_peer_answers(self) -> None:
         """This daemon may be the only one cut off."""
-        self.store.is_lost = True
+        self.store.is_unreachable = True
         await self._advance(4_500.0)
         self._record_answers()
         self.assertFalse(
@@ -205,9 +205,9 @@
 
     async def test_serves_stale_state_on_request(self) -> None:
         """Otherwise an outage of the store would stop all requests."""
-        self.store.is_lost = True
+        self.store.is_unreachable = True
         await self._advance(10_000.0)
         self.assertTrue(await self.entry_state.can_serve_handed_over(0, True))
-        self.store.is_lost = False
+        self.store.is_unreachable = False
         await self._advance(1_000.0)
         self.assertTrue(await self.entry_state.can_serve_handed_over(0, False))
