--- a/tests/unit/test_entry_state.py
+++ b/tests/unit/test_entry_state.py
@@ -36,7 +36,7 @@
         """Fail, or never reply if the store is silent."""
         if self.is_silent:
             await asyncio.Event().wait()
-        return self._lost()
+        return self._lost_failure()
 
     async def watch(
         self, prefix: str, position: int, timeout_ms: int
@@ -44,15 +44,15 @@
         """Return a page without changes, or fail."""
         self.watches += 1
         if self.refuses:
-            return self._lost()
+            return self._lost_failure()
         waiting = asyncio.get_running_loop().create_future()
         self._clock.after(500.0, lambda: waiting.set_result(None))
         await waiting
         if self.is_unreachable:
-            return self._lost()
+            return self._lost_failure()
         return result.Success(transport.WatchPage((), (), position + 1))
 
-    def _lost(self) -> result.Result:
+    def _lost_failure(self) -> result.Result:
         kind = transport.StoreErrorKind.LOST
         return result.Failure(transport.StoreError(kind, 'by the test'))
 
