--- a/samphiredock/coordination/forwarding/_roles.py
+++ b/samphiredock/coordination/forwarding/_roles.py
@@ -80,7 +80,9 @@
     return frozenset(daemon.name for daemon in near or candidates)
 
 
-def is_near_targets(site: str, targets_by_site: typing.Mapping[str, int]) -> bool:
+def is_near_targets(
+    site: str, targets_by_site: typing.Mapping[str, int]
+) -> bool:
     """Whether a site has enough of the targets to coordinate."""
     most = max(targets_by_site.values(), default=0)
     return targets_by_site.get(site, 0) >= NEAR_SHARE * most
--- a/samphiredock/daemon/_entry_forwarding.py
+++ b/samphiredock/daemon/_entry_forwarding.py
@@ -337,7 +337,7 @@
             self._metrics.add('orders_unreadable')
             _log.error('order refused', why=read.failure())
             return protocol.HttpReply(400, body=read.failure().encode())
-        if not self._entry_state.follows_targets():
+        if not self._entry_state.has_coordinator_role():
             # The sender's list of daemons has this one as a coordinator;
             # lists differ for some seconds after a change.
             self._entry_state.coordinate_temporarily()
@@ -365,7 +365,7 @@
         """
 
         def warm_up() -> None:
-            if self._entry_state.asks_directly(target):
+            if self._entry_state.sends_directly(target):
                 background.start(self._connections.warm(target), 'warm')
 
         self._clock.after(self._rng.uniform(0.0, _WARM_UP_SPREAD_MS), warm_up)
--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -125,7 +125,7 @@
         """
         self._clock.after(
             _METRICS_LOAD_DELAY_MS,
-            lambda: background.start(self._start_flushing(), 'metrics'),
+            lambda: background.start(self._start_metrics(), 'metrics'),
         )
         self._clock.every(_LOG_FLUSH_MS, self._log_stream.flush)
         self._entry_state.start()
@@ -160,7 +160,7 @@
         while not self.is_ready() and self._clock.now_ms() < ends_ms:
             await asyncio.sleep(_READY_POLL_MS / 1000.0)
 
-    async def _start_flushing(self) -> None:
+    async def _start_metrics(self) -> None:
         await asyncio.to_thread(self._metrics.load)
         self._clock.every(_METRICS_FLUSH_MS, self._metrics.flush)
 
--- a/tests/unit/test_entry_state.py
+++ b/tests/unit/test_entry_state.py
@@ -90,7 +90,7 @@
             self.clock.advance(100.0)
         await memory_links.settle()
 
-    async def test_no_service_for_others_without_store_contact(
+    async def test_does_not_serve_others_without_store_contact(
         self,
     ) -> None:
         """Otherwise it would refuse requests for routes added since.
--- a/tests/unit/test_operator_handler.py
+++ b/tests/unit/test_operator_handler.py
@@ -71,7 +71,7 @@
             lambda: True,
         )
 
-    async def _ended(
+    async def _stop_during(
         self,
         handler: _operator_handler.OperatorHandler,
         call: typing.Coroutine,
@@ -95,7 +95,7 @@
     async def test_change_not_written(self) -> None:
         """A change that waits for a read is not made, now or later."""
         handler = self._make('get')
-        ended = await self._ended(
+        ended = await self._stop_during(
             handler, handler.apply(self._change()), 'get'
         )
         self.assertIsInstance(ended, protocol.ChangeUnavailable)
@@ -105,7 +105,7 @@
     async def test_change_perhaps_written(self) -> None:
         """A write already sent may take effect."""
         handler = self._make('put')
-        ended = await self._ended(
+        ended = await self._stop_during(
             handler, handler.apply(self._change()), 'put'
         )
         self.assertIsInstance(ended, protocol.ChangeUnknown)
@@ -114,7 +114,7 @@
         """An earlier call for the same change may have taken effect."""
         handler = self._make('get')
         change = self._change(repeated=True)
-        ended = await self._ended(handler, handler.apply(change), 'get')
+        ended = await self._stop_during(handler, handler.apply(change), 'get')
         self.assertIsInstance(ended, protocol.ChangeUnknown)
 
     async def test_writes_that_wait(self) -> None:
@@ -124,10 +124,10 @@
             lambda handler: handler.release('f'),
         ):
             handler = self._make('put')
-            ended = await self._ended(handler, make(handler), 'put')
+            ended = await self._stop_during(handler, make(handler), 'put')
             self.assertIs(_Kind.UNKNOWN, ended.failure().kind)
 
-    async def test_calls_after_the_end(self) -> None:
+    async def test_calls_after_the_stop(self) -> None:
         """Later calls are refused without a call to the store."""
         handler = self._make()
         handler.finish_all()
