--- a/samphiredock/daemon/_entry_state.py
+++ b/samphiredock/daemon/_entry_state.py
@@ -223,11 +223,11 @@
             self._role.since_ms
         )
 
-    def follows_targets(self) -> bool:
+    def has_coordinator_role(self) -> bool:
         """Whether this daemon has the role that watches the targets."""
         return self._role.coordinates
 
-    def asks_directly(self, target: state.LiveTarget) -> bool:
+    def sends_directly(self, target: state.LiveTarget) -> bool:
         """Whether this daemon usually sends to a target directly.
 
         Requests for targets of another site usually go through a coordinator
@@ -324,7 +324,7 @@
         )
         if self._role.is_candidate and self._is_settled(now_ms):
             self._presence.set_near(
-                forwarding.is_near(self._settings.site, targets)
+                forwarding.is_near_targets(self._settings.site, targets)
             )
         up = [
             daemon for daemon in daemons if not self._is_down(daemon, now_ms)
--- a/samphiredock/daemon/_node.py
+++ b/samphiredock/daemon/_node.py
@@ -15,7 +15,7 @@
 from samphiredock import state
 from samphiredock import transport
 
-_BODY_LIMIT_BYTES = 1_000_000
+_MAX_BODY_LIMIT_BYTES = 1_000_000
 _SHUTDOWN_TICK_MS = 50.0
 _DRAIN_TIMEOUT_MS = 1_000.0
 _LAST_REPLIES_MS = 1_000.0
@@ -77,9 +77,9 @@
         self, request: protocol.RunRequest, idempotency_key: str
     ) -> protocol.RunOutcome:
         """Run one request that must not be executed more than once."""
-        return await self._serve(self._admitted_run(request, idempotency_key))
+        return await self._serve(self._admit_and_run(request, idempotency_key))
 
-    async def _admitted_run(
+    async def _admit_and_run(
         self, request: protocol.RunRequest, idempotency_key: str
     ) -> protocol.RunOutcome:
         configuration = self._components.configuration
@@ -143,7 +143,7 @@
         self._components.start()
         callers = transport.caller_application(
             self,
-            _BODY_LIMIT_BYTES,
+            _MAX_BODY_LIMIT_BYTES,
             self._components.metrics,
             self._body_limit_bytes,
         )
