--- a/samphiredock/transport/__init__.py
+++ b/samphiredock/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Sockets and HTTP: the platform, the peers, the targets."""
+"""Connections of a daemon: callers, operators, targets, peers, the store."""
 
 from samphiredock import lazy
 
--- a/samphiredock/transport/_caller_http.py
+++ b/samphiredock/transport/_caller_http.py
@@ -193,7 +193,8 @@
     if len(content) > body_limit_bytes:
         return _Refusal(
             413,
-            f'got {len(content)} bytes, expected at most {body_limit_bytes}',
+            f'got a body of {len(content)} bytes, '
+            f'expected at most {body_limit_bytes}',
         )
     try:
         body = decoder.decode(content)
--- a/samphiredock/transport/_connection_pool.py
+++ b/samphiredock/transport/_connection_pool.py
@@ -57,11 +57,12 @@
 
 @dataclasses.dataclass(slots=True)
 class _IdleConnection:
-    """A connection without a running exchange.
+    """A connection without a running exchange: pooled, or about to be used.
 
-    ``idle_since_ms`` is when it was opened or last used; from ``expires_ms`` on
-    the target may close it.  ``was_pooled`` says that it has been returned
-    to the pool at least once.
+    ``idle_since_ms`` is when it was opened or last used; it is not reused
+    from ``expires_ms`` on, since the target may be closing it.
+    ``was_pooled`` is False for a connection that was just opened for an
+    exchange and has never been in the pool.
     """
 
     connection: _http_connection.HttpConnection
@@ -74,8 +75,8 @@
     """The connections to one target.
 
     Some targets drop idle connections without closing them.
-    ``learned_limit_ms`` is the idle time that was found safe; it holds until
-    ``learned_until_ms``.
+    ``learned_limit_ms`` is an idle time shorter than the one after which a
+    connection was found dropped; it applies until ``learned_until_ms``.
     """
 
     def __init__(self) -> None:
@@ -86,7 +87,7 @@
         self.waiters: collections.deque[asyncio.Future] = collections.deque()
 
     def wake(self) -> None:
-        """Wake the first exchange that waits for a connection."""
+        """Wake the exchange that has waited longest for a connection."""
         while self.waiters:
             waiter = self.waiters.popleft()
             if not waiter.done():
@@ -94,7 +95,7 @@
                 return
 
     def learn_idle_limit(self, idle_ms: float, now_ms: float) -> None:
-        """Lower the idle limit: a connection idle for this long was lost."""
+        """Lower the idle limit after a connection idle this long was dropped."""
         known_ms = self.idle_limit_ms(now_ms)
         self.learned_limit_ms = min(
             known_ms, idle_ms * _LEARNED_LIMIT_FRACTION
@@ -153,8 +154,8 @@
         timeout_ms
             Bound on getting a connection and the reply together.
         is_reply
-            Returns whether a reply belongs to this request; others on the
-            connection are skipped.
+            Returns whether a reply belongs to this request; replies to other
+            requests are skipped.
         max_idle_ms
             A pooled connection that has been idle for longer is not used:
             the target may have dropped it, and the request would be lost.
@@ -256,10 +257,9 @@
                 return pool.idle.pop()
             limit = max(1, self._limit(target))
             while pool.idle and pool.open_count >= limit:
-                # Makes room for a new connection; the one idle for longest
-                # goes first.  Several may have to go if the limit has
-                # fallen: with no exchange running, nothing else would make
-                # room.
+                # Makes room for a new connection by closing the one idle for
+                # longest.  If the limit has fallen, several must be closed:
+                # when no exchange is running, nothing else makes room.
                 pool.idle.pop(0).connection.close()
                 pool.open_count -= 1
             if pool.open_count < limit:
@@ -323,7 +323,7 @@
         target: state.LiveTarget,
         idle: _IdleConnection,
     ) -> None:
-        """Return an acquired connection that was not used."""
+        """Put an acquired but unused connection back into the pool."""
         if (
             self._pools.get(target.target_id) is pool
             and idle.connection.is_open
@@ -338,10 +338,10 @@
         return self._clock.now_ms() - idle.idle_since_ms
 
     def _drop_stale(self, pool: _TargetPool) -> None:
-        """Close connections that must not be reused, the last one first.
+        """Close connections that must not be reused.
 
-        Stops at the first usable one: it has been idle for the shortest
-        time and is used next, so the others need no check yet.
+        Begins at the most recently used one, which is also reused first, and
+        stops at the first that is usable: the others need no check yet.
         """
         now_ms = self._clock.now_ms()
         limit_ms = pool.idle_limit_ms(now_ms)
@@ -389,7 +389,8 @@
             # close the connection.
             connection.close()
         elif pool.open_count > max(1, self._limit(target)):
-            # The limit fell, as when more daemons share the target.
+            # The limit fell, for example because more daemons share the
+            # target.
             connection.close()
         if connection.is_open:
             idle = self._as_idle(connection, keepalive_ms)
--- a/samphiredock/transport/_entry_connection.py
+++ b/samphiredock/transport/_entry_connection.py
@@ -26,12 +26,12 @@
 has not read yet."""
 
 _PIPELINE_LIMIT = 8
-"""Pipelined requests that may be queued; reading then pauses."""
+"""Number of queued pipelined requests at which reading pauses."""
 
 _PIPELINE_RESUME = 4
-"""Queue length at which reading resumes.  Above 0, so that requests that are
-in the socket are read before the last queued one is answered, which may end
-the connection."""
+"""Queue length at which reading resumes.  It is above 0 so that requests that
+are still in the socket are read before the last queued one is answered: the
+reply to that one may end the connection."""
 
 _HEAD_SLACK_BYTES = 65_536
 """Tolerance above the limit while a request head is incomplete: the bytes
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryCallbacks:
-    """What an entry server calls.
+    """Callbacks of an entry server.
 
     ``handle`` answers a request, ``is_closing`` returns whether connections
     should end after the current reply, and ``limits`` returns the limits in
@@ -102,7 +102,7 @@
     Parameters
     ----------
     callbacks
-        The handler of requests, and what the connection has to know.
+        Answer requests and return the state and limits to observe.
     counters
         The metrics of this daemon.
     clock
@@ -172,7 +172,7 @@
         self._answer_next()
 
     def _is_idle(self) -> bool:
-        """Whether no request is being read, queued or being answered."""
+        """Return whether no request is being read, queued or answered."""
         return not (self._answer_task or self._queued or self._partial_request)
 
     def _limit_head(self) -> None:
@@ -243,8 +243,8 @@
     def _send_continue(self) -> None:
         """Send ``100 Continue`` to a caller that waits for it.
 
-        Only once all earlier requests are answered, since replies go out in
-        order.
+        It is sent only once all earlier requests are answered, since
+        responses are sent in the order of the requests.
         """
         request = self._partial_request
         if request is None or self._in_head or not request.expects_continue:
@@ -279,12 +279,16 @@
     def _refuse_head(self) -> None:
         limit = self._callbacks.limits().header_bytes
         self._refuse(
-            _TOO_LARGE_HEAD, f'expected a head of at most {limit} bytes'
+            _TOO_LARGE_HEAD,
+            f'got a larger request head, expected at most {limit} bytes',
         )
 
     def _refuse_body(self) -> None:
         limit = self._callbacks.limits().body_bytes
-        self._refuse(_TOO_LARGE_BODY, f'expected at most {limit} bytes')
+        self._refuse(
+            _TOO_LARGE_BODY,
+            f'got a larger body, expected at most {limit} bytes',
+        )
 
     def _refuse(self, status: int, detail: str) -> None:
         """Queue an error reply and stop reading."""
@@ -306,8 +310,9 @@
     def check(self, now_ms: float) -> None:
         """Close an idle connection; refuse a head that is overdue.
 
-        A lowered idle limit applies from the next reply on: the caller may
-        rely on the earlier one, and its next request would cross the close.
+        A lowered idle limit applies from the next reply on: a caller that
+        still relies on the earlier one could send a request just as the
+        connection is closed, and lose it.
         """
         limits = self._callbacks.limits()
         if self._idle_since_ms is not None:
@@ -317,16 +322,17 @@
         elif self._head_since_ms is not None:
             if now_ms - self._head_since_ms > limits.header_ms:
                 self._refuse(
-                    _TIMED_OUT, 'the request head was not complete in time'
+                    _TIMED_OUT,
+                    'got an incomplete request head at its time limit',
                 )
                 self._answer_next()
 
     def close_if_idle(self) -> None:
         """Close the connection if no request or reply is in progress.
 
-        A connection with unsent bytes stays open: its caller has not read a
-        reply without ``Connection: close`` and may send another request.
-        One that lingers closes by itself.
+        A connection with unsent bytes stays open: its caller is still
+        reading a reply that does not state ``Connection: close``, and may
+        send another request.  A lingering connection closes by itself.
         """
         transport = self._connected_transport()
         if self._is_lingering or transport.get_write_buffer_size():
@@ -394,16 +400,16 @@
         self._send_continue()
 
     def _is_last_reply(self, request: _Request) -> bool:
-        """Whether the connection ends after the reply to this request.
+        """Return whether the connection ends after the reply to this request.
 
-        Not while another request is queued or partly read: it was sent
-        before the caller could know of the end and must be answered.
+        It does not while another request is queued or partly read: that one
+        was sent before the caller could know of the end and must be answered.
         """
         if not request.keep_alive:
             return True
         if self._queued or self._partial_request is not None:
             return False
-        # Reading has ended after an Upgrade request.
+        # Reading also ends after an Upgrade request.
         return self._reading_ended or self._callbacks.is_closing()
 
     async def _write_pieces(
--- a/samphiredock/transport/_entry_http.py
+++ b/samphiredock/transport/_entry_http.py
@@ -11,7 +11,7 @@
 """How often connections are checked against their time limits."""
 
 CLOSE_TIMEOUT_MS = 100.0
-"""How long a server that closes waits for pending requests by default."""
+"""Default time for which a closing server waits for pending requests."""
 
 _CLOSE_POLL_MS = 5.0
 
@@ -22,7 +22,7 @@
     Parameters
     ----------
     callbacks
-        The handler of requests, and what connections have to know.
+        Answer requests and return the state and limits to observe.
     counters
         The metrics of this daemon.
     clock
@@ -50,7 +50,8 @@
     ) -> None:
         """Serve at ``IP:port``; raises ``OSError`` if it cannot listen there.
 
-        ``listener`` is a socket that already listens at the address.
+        ``listener`` is a socket that already listens at the address;
+        without it a new one is opened.
         """
         loop = asyncio.get_running_loop()
         if listener is not None:
@@ -78,10 +79,10 @@
         """
         if self._server is not None:
             self._server.close()
-        # One turn of the event loop opens connections that were just
-        # accepted, so that they are seen below.  Another one reads what had
-        # arrived on idle connections, so that it is answered before they
-        # are closed.
+        # In the first turn of the event loop, connections that were just
+        # accepted are opened and so found below.  In the second one,
+        # requests that had arrived on idle connections are read, so that
+        # they are answered before the connections are closed.
         for _ in range(2):
             await asyncio.sleep(0)
         ends_ms = self._clock.now_ms() + limit_ms
--- a/samphiredock/transport/_http_connection.py
+++ b/samphiredock/transport/_http_connection.py
@@ -50,8 +50,10 @@
 class _ReplyReader:
     """Parses the bytes received during one exchange and finds its reply.
 
-    ``found`` is that reply once it is complete; ``skipped`` counts replies
-    that belong to other requests.
+    ``found`` is that reply once it is complete; ``reusable`` is False if the
+    connection must not carry another exchange; ``skipped`` counts replies
+    that belong to other requests.  The ``on_`` methods are called by
+    ``httptools``.
     """
 
     def __init__(
@@ -94,21 +96,22 @@
             self._complete()
 
     def on_message_begin(self) -> None:
-        """Implement the callback of ``httptools``."""
+        """Begin a reply."""
         if self.found is not None:
-            # A second reply: a later request would get a wrong one.
+            # A second reply has arrived, which a later request would take
+            # for its own.
             self.reusable = False
         self._begin()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Implement the callback of ``httptools``."""
+        """Append a header; note whether it delimits the body."""
         key = name.decode('latin-1')
         self._headers.append((key, value.decode('latin-1')))
         if key.lower() in ('content-length', 'transfer-encoding'):
             self._has_framing = True
 
     def on_headers_complete(self) -> None:
-        """Implement the callback of ``httptools``."""
+        """Begin the body; complete a reply to HEAD, which has none."""
         self._in_body = True
         if self._method == 'HEAD':
             # The parser would wait for the body that the Content-Length of
@@ -117,11 +120,11 @@
             self._complete()
 
     def on_body(self, body: bytes) -> None:
-        """Implement the callback of ``httptools``."""
+        """Append a part of the body."""
         self._body.append(body)
 
     def on_chunk_complete(self) -> None:
-        """Implement the callback of ``httptools``."""
+        """Pass a chunk of the awaited reply to ``on_chunk``."""
         if self._on_chunk is None or self.found is not None or not self._body:
             return
         chunk = b''.join(self._body)
@@ -133,7 +136,7 @@
             self._on_chunk(chunk)
 
     def on_message_complete(self) -> None:
-        """Implement the callback of ``httptools``."""
+        """Complete the reply."""
         self._complete()
 
     def _complete(self) -> None:
@@ -172,12 +175,16 @@
     # asyncio.Protocol callbacks.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Store the transport and enable keepalive probes."""
+        """Store the transport and set the options of its socket."""
         self._transport = typing.cast(asyncio.Transport, transport)
         _set_socket_options(transport.get_extra_info('socket'))
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of a reply; close on bytes outside of an exchange."""
+        """Parse a part of a reply.
+
+        Bytes outside of an exchange close the connection: the next request
+        would take them for its reply.
+        """
         if self._reader is None:
             self.close()
             return
@@ -227,7 +234,8 @@
         transport = self._transport
         if transport is None or self._closed:
             return _link_errors.LinkError(
-                _Kind.UNREACHABLE, 'closed before the request'
+                _Kind.UNREACHABLE,
+                'the connection was closed before the request',
             )
         self._reader = _ReplyReader(request.method, is_reply, on_chunk)
         loop = asyncio.get_running_loop()
--- a/samphiredock/transport/_http_guard.py
+++ b/samphiredock/transport/_http_guard.py
@@ -1,4 +1,4 @@
-"""Error handling and checks that both aiohttp interfaces share."""
+"""Error handling and checks shared by the caller and operator interfaces."""
 
 import typing
 
@@ -34,7 +34,8 @@
     interface
         ``callers`` or ``operators``.
     error_body
-        Returns the body for a status and a detail.
+        Returns the response body for an HTTP status and a description of
+        the error.
     """
 
     def error_response(status: int, detail: str) -> web.Response:
--- a/samphiredock/transport/_operator_http.py
+++ b/samphiredock/transport/_operator_http.py
@@ -88,8 +88,8 @@
 ) -> web.Application:
     """Return the application that serves operators.
 
-    If a token is given, each call must state ``Authorization: Bearer
-    TOKEN``.
+    With a token, each call must have the header ``Authorization: Bearer
+    TOKEN``; without one, all calls are served.
     """
     handlers = _Handlers(operations, counters)
     app = web.Application(
@@ -163,7 +163,8 @@
         if not _http_guard.has_json_type(request):
             return _error_response(
                 _Kind.WRONG_CONTENT_TYPE,
-                f'got {request.content_type}, expected application/json',
+                f'got content type {request.content_type}, '
+                'expected application/json',
             )
         try:
             change = _CHANGE_DECODER.decode(await request.read())
@@ -198,8 +199,8 @@
         return _from_result(await self._operations.release(fingerprint))
 
     async def metrics(self, request: web.Request) -> web.Response:
-        # With many services the text takes long to format; in a thread it
-        # does not block the event loop for all that time.
+        # With many services the text takes long to format, so that is done
+        # in a thread and does not block the event loop.
         self._metrics.flush()
         body = await asyncio.to_thread(self._metrics.text)
         return web.Response(body=body, content_type='text/plain')
--- a/samphiredock/transport/_peers.py
+++ b/samphiredock/transport/_peers.py
@@ -1,7 +1,9 @@
 """Messages between daemons over ZeroMQ.
 
 Each daemon binds one PULL socket and connects one PUSH socket to each peer
-that it sends to, so that a slow peer fills only its own queue.  Sockets are
+that it sends to, so that a slow peer fills only its own queue.  A ZeroMQ
+message has the sender's member name as its first frame, then two frames for
+each message of the protocol: its type name and its encoded body.  Sockets are
 read by ``loop.add_reader``, which costs less CPU time than pyzmq's asyncio
 sockets (see ``docs/design/peer-sockets.md``).
 """
@@ -19,11 +21,11 @@
 
 _HIGH_WATER_MESSAGES = 5_000
 _MAX_READS_PER_TURN = 100
-"""Messages read in one turn of the event loop."""
+"""Messages read at most in one turn of the event loop."""
 
 _LINGER_MS = 200
 _RESET_LINGER_MS = 1_000
-"""Covers a few connection attempts to a peer that restarts."""
+"""Long enough for a few connection attempts to a peer that restarts."""
 
 _MAX_HELD_ANSWERS = 256
 """Answers held for one member until its address is known.  A daemon that has
@@ -32,6 +34,7 @@
 _MAX_HELD_MEMBERS = 64
 
 MessageHandler = typing.Callable[[str, typing.Any], None]
+"""Called with the sender's member name and the decoded message."""
 
 
 class Peers(typing.Protocol):
@@ -53,8 +56,8 @@
     def broadcast(self, message: msgspec.Struct) -> None:
         """Send a message to every other live member, best effort.
 
-        State that no daemon may miss is also written to the platform's
-        store.
+        A caller whose state must reach every daemon also writes it to the
+        platform's store.
         """
 
 
@@ -67,7 +70,7 @@
 
 
 class _CurveAuthenticator:
-    """Authenticates CURVE clients by their public keys.
+    """Admits or refuses CURVE clients by their public keys.
 
     The sockets of a ZeroMQ context send authentication requests (ZAP) to an
     in-process socket, which is read by ``loop.add_reader`` as in
@@ -334,8 +337,9 @@
         return socket
 
     def _server_key(self, member: str) -> str | None:
-        # With keys, nothing is sent to a member whose key is unknown: its
-        # socket would not be encrypted.
+        # With CURVE keys, nothing is sent to a member whose key is unknown:
+        # its socket would not be encrypted.  Without them, the returned key
+        # is not used.
         if self._keys is None:
             return ''
         return self._keys.admitted.get(member)
--- a/samphiredock/transport/_platform.py
+++ b/samphiredock/transport/_platform.py
@@ -24,8 +24,8 @@
     ``CONFLICT``: the stored version is not the expected one.
     ``UNAVAILABLE``: the call was not applied.  ``LOST``: it may have been
     applied.  ``REFUSED``: the value is too large.  ``FORGOTTEN``: the store
-    no longer has the changes after the position of a watch; everything must
-    be read again from position 0.
+    no longer has the changes after the position of a watch, so the caller
+    must read everything again from position 0.
     """
 
     NOT_FOUND = 'not-found'
@@ -57,8 +57,9 @@
 class WatchPage:
     """Result of a watch: changed objects and the keys of deleted ones.
 
-    ``position`` is where the next watch continues.  A ``whole`` page lists
-    all objects below the prefix; any other one has been deleted.
+    ``position`` is where the next watch continues.  A page with ``whole``
+    lists all objects below the prefix: one that it does not list does not
+    exist any more.
     """
 
     changed: tuple[StoredObject, ...]
@@ -69,7 +70,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Host:
-    """One host in the platform's host list, which may be out of date."""
+    """One host in the platform's host list, which may be out of date.
+
+    A host that is ``leaving`` should get no new work.
+    """
 
     name: str
     leaving: bool
@@ -93,7 +97,10 @@
     async def delete(
         self, key: str, expected_version: int
     ) -> result.Result[int, StoreError]:
-        """Delete if the stored version is ``expected_version``."""
+        """Delete if the stored version is ``expected_version``.
+
+        Returns the version that the store gives to the deletion.
+        """
 
     async def scan(
         self, prefix: str, may_be_stale: bool = False
--- a/samphiredock/transport/_platform_http.py
+++ b/samphiredock/transport/_platform_http.py
@@ -1,4 +1,4 @@
-"""Client of the platform's object store over HTTP."""
+"""HTTP client of the platform's object store and host list."""
 
 import urllib.parse
 
@@ -42,7 +42,7 @@
 
 
 class HttpPlatform:
-    """Client of the object store; implements :class:`Platform`.
+    """Client of the object store and host list; implements :class:`Platform`.
 
     Parameters
     ----------
@@ -111,7 +111,10 @@
     ) -> result.Result[
         tuple[_platform.StoredObject, ...], _platform.StoreError
     ]:
-        """Return all objects below a prefix."""
+        """Return all objects below a prefix.
+
+        ``may_be_stale`` has no effect: this store has no cheaper read.
+        """
         query = urllib.parse.urlencode({'prefix': prefix})
         reply = await self._calls.call('GET', f'/objects?{query}')
         return _store_replies.parse_store_reply(
--- a/samphiredock/transport/_store_replies.py
+++ b/samphiredock/transport/_store_replies.py
@@ -1,4 +1,4 @@
-"""Interprets replies of an object store, for all of its clients."""
+"""Replies of an object store, as results or errors, for all its clients."""
 
 import typing
 
@@ -12,7 +12,7 @@
 """A watch call's timeout above the time that it waits at the store."""
 
 WRITE_METHODS = frozenset({'POST', 'PUT', 'DELETE'})
-"""Methods that may have been applied although their reply was lost."""
+"""Methods of calls that may have been applied although no reply came."""
 
 _SUCCESSES = (200, 201, 304)
 
@@ -42,16 +42,16 @@
     ) -> result.Result[StoreReply, _platform.StoreError]:
         """Make one call; a write is sent at most once.
 
-        ``timeout_ms`` replaces the caller's default timeout.
+        ``timeout_ms`` replaces the default timeout of this object.
         """
 
 
 def classify_reply(
     call: str, reply: StoreReply
 ) -> result.Result[StoreReply, _platform.StoreError]:
-    """Return a reply, or the failure that its status means.
+    """Return the reply as a success, or the failure that its status means.
 
-    ``call`` names the call in the error.
+    ``call`` names the call in the error, for example ``GET /hosts``.
     """
     status, content, _ = reply
     if status in _SUCCESSES:
--- a/samphiredock/transport/_target_http.py
+++ b/samphiredock/transport/_target_http.py
@@ -1,4 +1,4 @@
-"""Calls to a target by its HTTP protocol."""
+"""A dispatcher's HTTP calls to one target, over aiohttp."""
 
 import asyncio
 import collections
@@ -50,13 +50,13 @@
     async def health(
         self, timeout_ms: float
     ) -> result.Result[protocol.TargetHealth, _link_errors.LinkError]:
-        """Return the target's report on itself, read on a new connection."""
+        """Return the target's report on its health, over a new connection."""
 
     async def resize(self, connections: int) -> None:
-        """Set the limit of connections."""
+        """Set the limit of connections; idle ones above it are closed."""
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Close idle connections; the others close after their exchange."""
 
 
 class _Connection:
@@ -85,11 +85,12 @@
 
 
 class HttpTargetLink:
-    """HTTP connections to one target, never more than it allows.
+    """HTTP connections to one target, never more than the target allows.
 
-    aiohttp limits the connections of one session, but after a timeout all
-    idle connections are replaced while other exchanges still run.  So each
-    connection is a session of its own, counted here until it is closed.
+    A timeout closes all idle connections while other exchanges still run.
+    With one aiohttp session for the target this would need a second session,
+    and both together could exceed the limit.  So each connection is a session
+    of its own and counts here until it is closed.
     """
 
     def __init__(self, target: state.Target) -> None:
@@ -108,11 +109,11 @@
     async def batch(
         self, body: protocol.TargetBatch, timeout_ms: float
     ) -> result.Result[protocol.TargetBatchAnswer, _link_errors.LinkError]:
-        """Run sub-queries; the answers must match them one by one.
+        """Run the sub-queries of a batch and check that the answers match.
 
         The target answers in the order of the items and echoes each one's
         attempt and fingerprint.  On any mismatch, all answers are rejected
-        and the connection is closed, since its replies are mixed up.
+        and the connection is closed: its later replies could be wrong too.
         """
         expected = [(item.attempt_id, item.fingerprint) for item in body.items]
 
@@ -154,7 +155,7 @@
     async def health(
         self, timeout_ms: float
     ) -> result.Result[protocol.TargetHealth, _link_errors.LinkError]:
-        """Return the target's report on itself, which may be out of date."""
+        """Return the target's report on its health, over a new connection."""
         return await self._control_call(
             'GET', '/health', None, timeout_ms, _HEALTH_DECODER, True
         )
@@ -211,8 +212,8 @@
             not usable
             and reply.failure().kind is _link_errors.LinkErrorKind.SILENT
         ):
-            # If a middlebox dropped the state of this connection, it has
-            # probably dropped that of older ones too.
+            # A middlebox that dropped the state of this connection has
+            # probably dropped that of the idle ones too.
             self._generation += 1
             await self._close_outdated()
         return reply
@@ -226,9 +227,10 @@
         decoder: msgspec.json.Decoder,
         new_only: bool,
     ) -> result.Result[typing.Any, _link_errors.LinkError]:
-        """Make a call outside of the work limit.
+        """Make a call that may use the connection reserved for control calls.
 
-        With ``new_only`` it gets a new connection, which is closed afterwards.
+        With ``new_only`` a new connection is opened for it and closed
+        afterwards.
         """
         connection = await self._acquire(self._limit, timeout_ms, new_only)
         if connection is None:
--- a/tests/unit/test_connection_pool.py
+++ b/tests/unit/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Pooled connections: complete replies, each to its own request."""
+"""Pooled connections: reuse, limits, and complete replies to each request."""
 
 import asyncio
 import math
@@ -135,11 +135,11 @@
     async def test_the_idle_limit_of_a_target_is_learned(
         self,
     ) -> None:
-        """Each request on a connection idle for so long would be lost.
+        """Otherwise each request after such an idle time would be lost.
 
         The target silently drops connections that are idle for 300 ms and
         resets them on the next request.  After the first loss, a request
-        after such an idle time gets a new connection.
+        after the same idle time gets a new connection.
         """
         used = set()
 
--- a/tests/unit/test_entry_http.py
+++ b/tests/unit/test_entry_http.py
@@ -178,7 +178,10 @@
         self.assertEqual(b'xyz', body)
 
     async def test_the_limit_of_request_heads(self) -> None:
-        """Also for one header longer than aiohttp's own limit."""
+        """The configured limit applies, also to one long header.
+
+        aiohttp's own limit is lower.
+        """
         status, _ = await self._get('/x', headers={'X-Long': 'a' * 12_000})
         self.assertEqual(207, status)
         status, _ = await self._get('/x', headers={'X-Long': 'a' * 17_000})
@@ -192,7 +195,7 @@
         self.assertEqual([], self.requests)
 
     async def test_a_failed_handler_is_an_internal_error(self) -> None:
-        """It may have started work, so the reply does not deny it."""
+        """It may have started work, so the reply does not say "not run"."""
         status, _ = await self._get('/broken')
         self.assertEqual(500, status)
 
@@ -294,9 +297,9 @@
     """A server that closes while callers connect or send."""
 
     async def test_closing_while_callers_connect(self) -> None:
-        """An accepted connection that is not open yet must not fail the close.
+        """A connection that is accepted but not open yet must not raise.
 
-        The close is tried at each of the first turns of the event loop.
+        The server is closed after each number of turns of the event loop.
         """
         counters = metrics.Metrics('test')
         self.addCleanup(counters.close)
@@ -461,13 +464,13 @@
         await asyncio.sleep(0)
 
     async def test_an_overdue_head_is_refused(self) -> None:
-        """It occupies a connection."""
+        """It would occupy a connection for as long as the caller likes."""
         self.writer.write(b'GET / HTTP/1.1\r\nX: ')
         await self._advance_clock(3_000.0)
         self.assertIn(b' 408 ', await self._answer())
 
     async def test_an_idle_connection_is_closed_at_the_limit(self) -> None:
-        """Closed earlier, the next request would cross the close."""
+        """Closed earlier, it could lose a request that is on its way."""
         self.writer.write(b'GET / HTTP/1.1\r\n\r\n')
         self.assertIn(b' 200 ', await self._answer())
         await self._advance_clock(9_500.0)
--- a/tests/unit/test_object_store.py
+++ b/tests/unit/test_object_store.py
@@ -104,7 +104,7 @@
         self.assertIs(Kind.NOT_FOUND, missing.failure().kind)
 
     async def test_an_unavailable_store(self) -> None:
-        """Overload, rate limits and timeouts are error values."""
+        """Overload, rate limits and timeouts must not raise."""
         for status in (503, 429):
             self.store.faults.status = status
             reply = await self.client.scan('own/', may_be_stale=True)
--- a/tests/unit/test_platform_http.py
+++ b/tests/unit/test_platform_http.py
@@ -127,7 +127,10 @@
     """A store that answers every call with 200 and garbage."""
 
     async def test_garbage_is_an_error_value(self) -> None:
-        """An exception would end the polling tasks; a write may be applied."""
+        """An exception would end the polling tasks.
+
+        A write may have been applied, so the error is ``LOST``.
+        """
 
         async def reply_garbage(request: web.Request) -> web.Response:
             return web.Response(body=b'\xff{')
--- a/tests/unit/test_target_http.py
+++ b/tests/unit/test_target_http.py
@@ -140,7 +140,7 @@
     async def test_a_timeout_does_not_abort_other_exchanges(
         self,
     ) -> None:
-        """It completes, but its connection is not reused."""
+        """An exchange that runs completes; its connection is not reused."""
         self.may_reply.clear()
         running = asyncio.create_task(self._ask('1'))
         await self._wait_for_requests(1)
