--- a/samphiredock/transport/_connection_pool.py
+++ b/samphiredock/transport/_connection_pool.py
@@ -87,7 +87,7 @@
         self.waiters: collections.deque[asyncio.Future] = collections.deque()
 
     def wake(self) -> None:
-        """Wake the exchange that has waited longest for a connection."""
+        """Wake the exchange at the head of the queue."""
         while self.waiters:
             waiter = self.waiters.popleft()
             if not waiter.done():
@@ -95,7 +95,7 @@
                 return
 
     def learn_idle_limit(self, idle_ms: float, now_ms: float) -> None:
-        """Lower the idle limit after a connection idle this long was dropped."""
+        """Lower the idle limit: one idle for this long was found dropped."""
         known_ms = self.idle_limit_ms(now_ms)
         self.learned_limit_ms = min(
             known_ms, idle_ms * _LEARNED_LIMIT_FRACTION
--- a/samphiredock/transport/_entry_connection.py
+++ b/samphiredock/transport/_entry_connection.py
@@ -323,7 +323,7 @@
             if now_ms - self._head_since_ms > limits.header_ms:
                 self._refuse(
                     _TIMED_OUT,
-                    'got an incomplete request head at its time limit',
+                    'got no complete request head within the time limit',
                 )
                 self._answer_next()
 
--- a/samphiredock/transport/_http_connection.py
+++ b/samphiredock/transport/_http_connection.py
@@ -235,7 +235,7 @@
         if transport is None or self._closed:
             return _link_errors.LinkError(
                 _Kind.UNREACHABLE,
-                'the connection was closed before the request',
+                'connection closed before the request was sent',
             )
         self._reader = _ReplyReader(request.method, is_reply, on_chunk)
         loop = asyncio.get_running_loop()
--- a/samphiredock/transport/_platform_http.py
+++ b/samphiredock/transport/_platform_http.py
@@ -113,7 +113,7 @@
     ]:
         """Return all objects below a prefix.
 
-        ``may_be_stale`` has no effect: this store has no cheaper read.
+        ``may_be_stale`` is ignored: the result is always up to date.
         """
         query = urllib.parse.urlencode({'prefix': prefix})
         reply = await self._calls.call('GET', f'/objects?{query}')
--- a/tests/unit/test_entry_http.py
+++ b/tests/unit/test_entry_http.py
@@ -297,7 +297,7 @@
     """A server that closes while callers connect or send."""
 
     async def test_closing_while_callers_connect(self) -> None:
-        """A connection that is accepted but not open yet must not raise.
+        """An accepted connection that is not open yet must not raise an error.
 
         The server is closed after each number of turns of the event loop.
         """
