--- a/samphiredock/transport/_peers.py
+++ b/samphiredock/transport/_peers.py
@@ -21,7 +21,7 @@
 
 _HIGH_WATER_MESSAGES = 5_000
 _MAX_READS_PER_TURN = 100
-"""Messages read at most in one turn of the event loop."""
+"""Limit of ZeroMQ messages that are read in one turn of the event loop."""
 
 _LINGER_MS = 200
 _RESET_LINGER_MS = 1_000
--- a/samphiredock/transport/_platform.py
+++ b/samphiredock/transport/_platform.py
@@ -99,7 +99,7 @@
     ) -> result.Result[int, StoreError]:
         """Delete if the stored version is ``expected_version``.
 
-        Returns the version that the store gives to the deletion.
+        Returns a version, whose meaning depends on the store.
         """
 
     async def scan(
--- a/samphiredock/transport/_platform_http.py
+++ b/samphiredock/transport/_platform_http.py
@@ -113,7 +113,7 @@
     ]:
         """Return all objects below a prefix.
 
-        ``may_be_stale`` is ignored: the result is always up to date.
+        ``may_be_stale`` is ignored: all scans are made in the same way.
         """
         query = urllib.parse.urlencode({'prefix': prefix})
         reply = await self._calls.call('GET', f'/objects?{query}')
--- a/samphiredock/transport/_pooled_store_calls.py
+++ b/samphiredock/transport/_pooled_store_calls.py
@@ -39,7 +39,7 @@
 
     def __init__(self, clock: timers.Timers, address: str) -> None:
         self._address = address
-        # The pool knows what it connects to as targets.
+        # The pool connects to targets, so the store is described as one.
         self._store = state.LiveTarget(address, '', address, '', slots=1)
         self._pool = _connection_pool.ConnectionPool(
             clock, lambda store: _CONNECTIONS
