--- a/samphiredock/cli/_config.py
+++ b/samphiredock/cli/_config.py
@@ -17,7 +17,7 @@
 from samphiredock import protocol
 from samphiredock import state
 
-_POLL_S = 0.2
+_POLL_INTERVAL_S = 0.2
 _PATH_TYPE = click.Path(path_type=pathlib.Path)
 _CONFIGURATION_PATH = '/v1/configuration'
 _NOT_FOUND = protocol.OperatorErrorKind.NOT_FOUND
@@ -327,7 +327,7 @@
             last_progress = progress
         if not waiting_sites or time.monotonic() > deadline_s:
             break
-        time.sleep(_POLL_S)
+        time.sleep(_POLL_INTERVAL_S)
     text = _context.table(
         ['site', 'daemons', 'confirmed', 'state'],
         [[row.site, row.daemons, row.confirmed, row.state] for row in rows],
--- a/samphiredock/cli/_context.py
+++ b/samphiredock/cli/_context.py
@@ -113,7 +113,7 @@
     def exit_with_outcome(self, outcome: object) -> typing.NoReturn:
         """Print an outcome and exit with its exit code."""
         self.show(outcome, describe(outcome))
-        exit_with_code(_exits.exit_of(outcome))
+        exit_with_code(_exits.exit_code_for(outcome))
 
     def show(self, value: object, text: str) -> None:
         """Print ``value`` as JSON if ``--json`` is given, else ``text``."""
--- a/samphiredock/cli/_exits.py
+++ b/samphiredock/cli/_exits.py
@@ -58,7 +58,7 @@
 }
 
 
-def exit_of(outcome: object) -> Exit:
+def exit_code_for(outcome: object) -> Exit:
     """Return the exit code for an outcome or an ``OperatorError``."""
     if isinstance(outcome, protocol.OperatorError):
         return _ERROR_EXITS.get(outcome.kind, Exit.REFUSED)
--- a/samphiredock/cli/_requests.py
+++ b/samphiredock/cli/_requests.py
@@ -15,7 +15,7 @@
 _REPLY_MARGIN_MS = 5_000
 """How long after a request's deadline its reply may still arrive."""
 
-_MAX_DEADLINE_MS = 30_000
+_ASSUMED_DEADLINE_MS = 30_000
 """Assumed for a request whose deadline the configuration decides."""
 
 
@@ -132,13 +132,13 @@
         if reply.may_be_received:
             _print_retry_hint(context, retry_option)
         context.exit_unreachable(reply, is_read_only=False)
-    outcome = _run_outcome(reply)
+    outcome = _decode_run_outcome(reply)
     if isinstance(outcome, protocol.Unknown):
         _print_retry_hint(context, retry_option)
     context.exit_with_outcome(outcome)
 
 
-def _run_outcome(reply: _client.Reply) -> protocol.RunOutcome:
+def _decode_run_outcome(reply: _client.Reply) -> protocol.RunOutcome:
     try:
         return msgspec.json.decode(reply.body, type=protocol.RunOutcome)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -157,7 +157,7 @@
 
 
 def _timeout_ms(deadline_ms: int | None) -> int:
-    return (deadline_ms or _MAX_DEADLINE_MS) + _REPLY_MARGIN_MS
+    return (deadline_ms or _ASSUMED_DEADLINE_MS) + _REPLY_MARGIN_MS
 
 
 def _caller_urls(
--- a/tests/process/test_explain_day.py
+++ b/tests/process/test_explain_day.py
@@ -31,7 +31,7 @@
         status, _, _ = await self.system.ask('one', path, request_id, **words)
         return status
 
-    def _disturb(self, service: str, **changes: object) -> None:
+    def _change_targets(self, service: str, **changes: object) -> None:
         for name, target in self.system.targets.items():
             if target.service == service:
                 for field, value in changes.items():
@@ -43,12 +43,12 @@
         self.assertEqual(404, await self._ask('/none/x', 'no-route'))
         self.assertIn('no route', await self._cause('no-route'))
 
-        self._disturb('desk', lose_answers=True)
+        self._change_targets('desk', lose_answers=True)
         status = await self._ask('/pay/x', 'lost', method='POST')
         self.assertEqual(502, status)
         self.assertIn('may have run', await self._cause('lost'))
         self.assertIn('broke off', await self._cause('lost'))
-        self._disturb('desk', lose_answers=False, delay_s=9.0)
+        self._change_targets('desk', lose_answers=False, delay_s=9.0)
 
         status = await self._ask(
             '/pay/x', 'slow', method='POST', deadline_ms=300
@@ -56,7 +56,7 @@
         self.assertEqual(504, status)
         self.assertIn('no answer from desk', await self._cause('slow'))
 
-        self._disturb('shard-2', delay_s=9.0)
+        self._change_targets('shard-2', delay_s=9.0)
         self.assertEqual(200, await self._ask('/search/x', 'part'))
         self.assertIn('without 1 of 4', await self._cause('part'))
         self.assertIn('shard-2', await self._cause('part'))
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -50,7 +50,7 @@
             'nothing came in time from edge-b-1', self._explain([late, end])
         )
 
-    def test_six_ways_to_fail_each_with_its_cause(self) -> None:
+    def test_each_failure_has_its_cause(self) -> None:
         """The last line names the cause."""
         failed = _row(
             1, 'failed', request='r1', shard='s1', target='t1',
