--- a/samphiredock/cli/_config.py
+++ b/samphiredock/cli/_config.py
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _ConfigurationFiles:
-    """A base and overlays by site, with the names of their files."""
+    """A base configuration, the overlays by site, and their file names."""
 
     base: dict
     overlays: dict[str, dict]
@@ -64,7 +64,8 @@
         click.option(
             '--folder',
             type=_PATH_TYPE,
-            help='A folder with base.json and SITE.json files, instead.',
+            help='A folder with base.json and SITE.json files; files '
+            'given by --base or --overlay replace them.',
         ),
     )
     for option in reversed(options):
@@ -110,12 +111,15 @@
     'If another one is in force, the change is a conflict.',
 )
 @click.option(
-    '--change-id', help='Send an earlier change again; it is applied once.'
+    '--change-id',
+    help='The id of an earlier change, to send it again; it is applied once.',
 )
 @click.option(
     '--author', help='Who makes the change; default: the login name.'
 )
-@click.option('--no-wait', is_flag=True, help='Do not wait for the sites.')
+@click.option(
+    '--no-wait', is_flag=True, help='Do not wait until the sites confirm.'
+)
 @click.option(
     '--wait-ms',
     default=10_000,
@@ -306,7 +310,11 @@
 def _wait_for_sites(
     context: _context.Context, revision: int, sites: list[str], wait_ms: int
 ) -> None:
-    """Wait until all sites have confirmed a revision; print them and exit."""
+    """Wait until all sites have confirmed a revision.
+
+    Stops waiting after ``wait_ms``.  Then prints the state of each site and
+    exits the program.
+    """
     deadline_s = time.monotonic() + wait_ms / 1000.0
     last_progress = ''
     while True:
@@ -341,7 +349,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _SiteRow:
-    """How many daemons of a site there are and have confirmed a revision."""
+    """How many daemons a site has, and how many have confirmed a revision."""
 
     site: str
     daemons: int
--- a/samphiredock/cli/_context.py
+++ b/samphiredock/cli/_context.py
@@ -20,7 +20,7 @@
 
 
 def exit_with_code(code: _exits.Exit) -> typing.NoReturn:
-    """Exit the program."""
+    """Exit the program with an exit code."""
     sys.exit(int(code))
 
 
@@ -45,6 +45,7 @@
             text = self.token_file.read_text(encoding='utf-8').strip()
         except (OSError, UnicodeDecodeError) as error:
             raise click.UsageError(f'{self.token_file}: {error}') from None
+        # A keys file is JSON with comments: it begins with "{" or a comment.
         if not text.startswith(('{', '/')):
             return text
         loaded = state.load_keys(self.token_file)
--- a/samphiredock/cli/_explain.py
+++ b/samphiredock/cli/_explain.py
@@ -33,7 +33,7 @@
     'bad-answer': 'sent something that is not a complete answer to it',
     'unreachable': 'accepted no connection',
     'shed': 'refused it as overloaded',
-    'not-owner': 'has the address of another target',
+    'not-owner': 'was not asked: another target answered at its address',
     'draining': 'was draining',
     'expired': 'had no time left for it',
     'not-ordered': 'was assigned to a daemon of its site, which did not '
@@ -47,8 +47,8 @@
 class LogLine:
     """One log line.
 
-    ``row`` is its JSON object, ``source`` the last word before the object, as
-    log collectors add it.
+    ``row`` is its JSON object.  ``source`` is the last word before the object,
+    where log collectors add the name of the daemon.
     """
 
     source: str
@@ -65,14 +65,14 @@
         return str(self.row.get('event', ''))
 
 
-def read_lines(rows: typing.Iterable[str]) -> list[LogLine]:
+def read_lines(texts: typing.Iterable[str]) -> list[LogLine]:
     """Return the log lines among lines of text.
 
     A line may have text before its JSON object.  Lines without a complete
     object are skipped: a log may begin or end in the middle of a line.
     """
     found = []
-    for text in rows:
+    for text in texts:
         before, brace, rest = text.partition('{')
         if not brace:
             continue
@@ -152,7 +152,9 @@
 
 
 def _explain_refused(end: _Row, failed: list[_Row]) -> str:
-    reason = _REFUSAL_REASONS.get(end.get('reason', ''), 'see the reason')
+    reason = _REFUSAL_REASONS.get(
+        end.get('reason', ''), 'see the field "reason"'
+    )
     return f'refused, and it has not run: {reason} ({end.get("why", "")})'
 
 
@@ -269,7 +271,11 @@
 @click.command()
 @click.argument('request_id', required=False)
 @click.argument('files', nargs=-1, type=click.File('r', errors='replace'))
-@click.option('--since', default='', help='Ignore lines before this time.')
+@click.option(
+    '--since',
+    default='',
+    help='Ignore lines before this time, written as in the logs.',
+)
 @click.option(
     '--why-not-ready',
     is_flag=True,
@@ -290,6 +296,7 @@
     printed in order, then a line with the cause.
     """
     if why_not_ready:
+        # The first argument is not a request id here, but a file.
         opened = [open(request_id, errors='replace')] if request_id else []
         lines = _read_files([*opened, *files])
         selected = [
--- a/samphiredock/cli/_fleet.py
+++ b/samphiredock/cli/_fleet.py
@@ -61,7 +61,7 @@
 
 @click.group()
 def target() -> None:
-    """Drain targets and end the drain."""
+    """Drain targets and undrain them."""
 
 
 @target.command()
--- a/samphiredock/cli/_requests.py
+++ b/samphiredock/cli/_requests.py
@@ -42,7 +42,7 @@
     multiple=True,
     envvar='SAMPHIREDOCK_CALLER',
     metavar='URL',
-    help='Caller address of a daemon; default: as a daemon reports them.',
+    help='Caller address of a daemon; default: those that a daemon reports.',
 )
 _DEADLINE_OPTION = click.option(
     '--deadline-ms',
@@ -163,7 +163,10 @@
 def _caller_urls(
     context: _context.Context, stated_urls: tuple[str, ...]
 ) -> list[str]:
-    """Return the stated URLs, or those that a daemon reports, own first."""
+    """Return the stated URLs, else those that a daemon reports.
+
+    The URL of the daemon that reports them comes first.
+    """
     if stated_urls:
         return list(stated_urls)
     status = context.ask('GET', '/v1/status', dict)
--- a/tests/process/test_explain_day.py
+++ b/tests/process/test_explain_day.py
@@ -1,4 +1,4 @@
-"""Requests that fail in six ways; the logs lead to each cause."""
+"""``explain`` finds the causes of six failures in a real daemon's log."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
     """One daemon on the stand-in of the users' platform."""
 
     async def asyncSetUp(self) -> None:
-        """Start everything; the routes wait 500 ms at most."""
+        """Start the platform's stand-in, its targets and one daemon."""
         self.system = await prepared_system.PreparedSystem().__aenter__()
         self.addAsyncCleanup(self.system.__aexit__, None, None, None)
         await self.system.start_targets()
@@ -21,14 +21,16 @@
 
     async def _cause(self, request_id: str) -> str:
         text = await self.system.log_with_end_of('one', request_id)
-        rows = _explain.read_lines(text.splitlines())
-        story = _explain.select_request_lines(rows, request_id)
-        self.assertTrue(story, request_id)
-        self.assertTrue(all(json.dumps(line.row) for line in story))
-        return _explain.find_cause(story)
+        all_lines = _explain.read_lines(text.splitlines())
+        lines = _explain.select_request_lines(all_lines, request_id)
+        self.assertTrue(lines, request_id)
+        self.assertTrue(all(json.dumps(line.row) for line in lines))
+        return _explain.find_cause(lines)
 
-    async def _ask(self, path: str, request_id: str, **words: object) -> int:
-        status, _, _ = await self.system.ask('one', path, request_id, **words)
+    async def _ask(self, path: str, request_id: str, **options: object) -> int:
+        status, _, _ = await self.system.ask(
+            'one', path, request_id, **options
+        )
         return status
 
     def _change_targets(self, service: str, **changes: object) -> None:
@@ -70,6 +72,7 @@
         for name, target in self.system.targets.items():
             if target.service == 'desk':
                 self.system.register(name, 'draining')
+        # Until the daemon has read the new entries, targets are still asked.
         for number in range(200):
             request_id = f'none-{number}'
             status = await self._ask('/fetch/x', request_id, deadline_ms=50)
--- a/tests/unit/test_ablate.py
+++ b/tests/unit/test_ablate.py
@@ -18,7 +18,7 @@
                 self.assertTrue(ablate.applies(name))
 
     def test_a_wrong_call_says_what_was_expected(self) -> None:
-        """The error names the argument; no copy is written."""
+        """A wrong mechanism, a missing folder, and a folder that exists."""
         run = testing.CliRunner().invoke
         for arguments, word in (
             (['none', 'x'], 'expected one of'),
--- a/tests/unit/test_cli.py
+++ b/tests/unit/test_cli.py
@@ -132,8 +132,8 @@
         self.assertIn('no daemon', got.output)
         self.assertEqual(1, self.operations.changes[0].base_revision)
 
-    def test_apply_ends_by_the_outcome(self) -> None:
-        """Conflict, refusal, unknown and unconfirmed have own exit codes."""
+    def test_apply_exits_by_the_outcome(self) -> None:
+        """Conflict, refusal, unknown and unconfirmed differ by exit code."""
         folder = self._write_base(self._reduce_weight)
         cases = (
             (4, protocol.ChangeConflict(7, 'other')),
@@ -161,7 +161,10 @@
         self.assertEqual([], self.operations.changes)
 
     def test_wrong_token_and_unreachable(self) -> None:
-        """The next address is tried if one cannot be reached."""
+        """The next address is tried if one cannot be reached.
+
+        No reachable address, no address and a wrong token differ by exit code.
+        """
         both = f'{_unused_url()} {self.operators}'
         self._assert_exit(0, 'config', 'show', daemon=both)
         self._assert_exit(6, 'config', 'show', daemon=_unused_url())
@@ -174,8 +177,8 @@
         ):
             self._assert_exit(8, *command)
 
-    def test_search_and_run_end_by_the_outcome(self) -> None:
-        """Partial, refused and unknown outcomes have own exit codes."""
+    def test_search_and_run_exit_by_the_outcome(self) -> None:
+        """Partial, refused and unknown outcomes differ by exit code."""
         reason = protocol.NotRunReason.OVERLOADED
         cases = (
             (0, protocol.Answered([], 1, 1.0), 'search'),
--- a/tests/unit/test_docs.py
+++ b/tests/unit/test_docs.py
@@ -37,10 +37,10 @@
 
 
 class PagesTest(unittest.TestCase):
-    """A setting, counter or exit code that is not described is reported."""
+    """A setting, counter or exit code must be described in docs/."""
 
     def test_every_field_is_described(self) -> None:
-        """CONFIGURATION.md describes all fields of settings and base files."""
+        """CONFIGURATION.md describes the fields of these classes."""
         page = _page('CONFIGURATION.md')
         kinds = (
             state.Settings,
@@ -60,7 +60,7 @@
         self.assertEqual([], missing)
 
     def test_every_counter_and_exit_code_is_described(self) -> None:
-        """OPERATIONS.md describes what an operator needs to look up."""
+        """An operator looks them up in OPERATIONS.md."""
         page = _page('OPERATIONS.md')
         found = {*_counters(), *_scatter_types.COUNTER_NAMES}
         self.assertGreater(len(found), 10)
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -10,15 +10,15 @@
 from samphiredock.cli import main
 
 
-def _row(second: int, event: str, **facts: object) -> str:
+def _row(second: int, event: str, **fields: object) -> str:
     row = {'time': f'2026-12-02T10:00:{second:02}.000', 'event': event}
-    return json.dumps({**row, 'level': 'info', 'part': 'requests', **facts})
+    return json.dumps({**row, 'level': 'info', 'part': 'requests', **fields})
 
 
-def _end(second: int, outcome: str, **facts: object) -> str:
+def _end(second: int, outcome: str, **fields: object) -> str:
     common = {'took_ms': 50.0, 'aim_ms': 100.0, 'shards': 4, 'status': 200}
     return _row(
-        second, 'request ended', outcome=outcome, **{**common, **facts}
+        second, 'request ended', outcome=outcome, **{**common, **fields}
     )
 
 
@@ -31,10 +31,10 @@
         self.addCleanup(holder.cleanup)
         self.path = pathlib.Path(holder.name) / 'log'
 
-    def _explain(self, rows: list[str], *words: str) -> str:
+    def _explain(self, rows: list[str], *arguments: str) -> str:
         self.path.write_text('\n'.join(rows), encoding='utf-8')
         run = testing.CliRunner().invoke(
-            main.main, ['explain', *(words or ('r1',)), str(self.path)]
+            main.main, ['explain', *(arguments or ('r1',)), str(self.path)]
         )
         self.output = run.output
         self.exit_code = run.exit_code
@@ -95,7 +95,7 @@
                     self.assertIn(word, cause)
 
     def test_the_coordinators_end_is_preferred(self) -> None:
-        """The daemon that handed over logs just the 502 that it passed on."""
+        """The daemon that handed over the request logs just the passed 502."""
         rows = [
             f'12.1 entry-2 {_end(3, "passed", request="r1", status=502)}',
             f'12.0 entry-1 {_end(2, "unknown", request="r1", why="lost")}',
@@ -125,8 +125,8 @@
     def test_json_for_programs(self) -> None:
         """``--json`` prints one value with the cause and the lines."""
         self._explain([_end(2, 'passed', request='r1')], '--json', 'r1')
-        told = json.loads(self.output)
-        self.assertEqual('request ended', told['lines'][0]['event'])
+        printed = json.loads(self.output)
+        self.assertEqual('request ended', printed['lines'][0]['event'])
 
     def test_why_a_daemon_is_not_ready(self) -> None:
         """``--why-not-ready`` shows lines about readiness after a time."""
--- a/tests/unit/test_prepared_hosts.py
+++ b/tests/unit/test_prepared_hosts.py
@@ -258,8 +258,8 @@
                     expected, self.adapter.is_reply_to(request, reply)
                 )
 
-    def test_every_outcome_has_a_reply(self) -> None:
-        """Only ``NotRun`` becomes a status that promises no run."""
+    def test_outcomes_without_a_reply_get_a_status(self) -> None:
+        """Only ``NotRun`` becomes a status that says that nothing has run."""
         reasons = protocol.NotRunReason
         for outcome, status in (
             (protocol.NotRun(reasons.NO_TARGET, 'why', 300), 503),
