--- a/samphiredock/daemon/__main__.py
+++ b/samphiredock/daemon/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the daemon by ``python -m samphiredock.daemon``."""
+"""Entry point of ``python -m samphiredock.daemon``."""
 
 from samphiredock.daemon import main
 
--- a/samphiredock/daemon/_components.py
+++ b/samphiredock/daemon/_components.py
@@ -29,7 +29,7 @@
     protocol.Released,
     *protocol.CONTROL_MESSAGES,
 )
-"""All types of messages between daemons."""
+"""All types of messages between daemons that serve searches and runs."""
 
 _METRICS_FLUSH_MS = 1_000.0
 _OWNERSHIP_REFRESH_MS = 200.0
@@ -94,7 +94,7 @@
         )
 
     def _make_hub(self, keys: state.Keys) -> transport.PeerHub:
-        """Bind the peer address; on failure, close what is open."""
+        """Bind the peer address; on failure, close the clock and metrics."""
         try:
             return transport.PeerHub(
                 self._settings.name,
--- a/samphiredock/daemon/_entry_adapter.py
+++ b/samphiredock/daemon/_entry_adapter.py
@@ -13,8 +13,9 @@
 class Adapter(forwarding.Dialect, typing.Protocol):
     """Key names and encodings of a platform, without decisions or state.
 
-    In the platform's store, the object at ``routing_key`` is the routing
-    table, and every object below ``targets_prefix`` registers a target.
+    In the platform's store, the object at ``routing_key``, which is below
+    ``routing_prefix``, is the routing table, and every object below
+    ``targets_prefix`` registers a target.
     """
 
     routing_prefix: str
@@ -22,7 +23,10 @@
     targets_prefix: str
 
     def store(self, calls: transport.StoreCaller) -> transport.Objects:
-        """Return a client of the platform's store that uses ``calls``."""
+        """Return a client of the platform's store.
+
+        ``calls`` makes its HTTP calls.
+        """
 
     def read_routing(
         self, value: bytes
--- a/samphiredock/daemon/_entry_forwarding.py
+++ b/samphiredock/daemon/_entry_forwarding.py
@@ -117,7 +117,7 @@
         entry_state.peers.on_removed(self._peer_connections.forget)
 
     def start(self) -> None:
-        """Start the regular notices to peers."""
+        """Start the periodic notices to peers."""
         self._peer_notices.start()
 
     def open_requests(self) -> int:
@@ -145,7 +145,7 @@
             forwarder.finish_all()
 
     def close(self) -> None:
-        """Write the log lines held back, and close all connections."""
+        """Write the log lines still queued, and close all connections."""
         for forwarder in self._forwarders:
             forwarder.close()
         self._merger.close()
@@ -270,8 +270,8 @@
             isinstance(outcome, protocol.NotRun)
             and outcome.reason is protocol.NotRunReason.OVERLOADED
         ):
-            # Every coordinator asked refused it, having an older routing
-            # table or no contact with the store.
+            # Every coordinator that was tried refused the request: its routing
+            # table is older, or it has no contact with the store.
             outcome = await self._stale_handover.forward(request)
         if (
             isinstance(outcome, protocol.NotRun)
@@ -346,6 +346,7 @@
     async def _reports(
         self, order: protocol.MergeOrder
     ) -> typing.AsyncGenerator[bytes, None]:
+        """Execute a merge order and yield its reports, encoded."""
         self._open_requests += 1
         try:
             async with contextlib.aclosing(
--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -22,15 +22,14 @@
 _METRICS_FLUSH_MS = 1_000.0
 
 _METRICS_LOAD_DELAY_MS = 5_000.0
-"""Delay before the metrics libraries are loaded, unless the metrics page is
-requested earlier.  Callers that return all at once after an outage are served
-first; the load, in another thread, then slows them down little."""
+"""Delay before the metrics libraries are imported, unless the metrics page is
+requested earlier.  An import at the start would delay callers that return all
+at once after an outage; later, in another thread, it delays them little."""
 
 _LOG_FLUSH_MS = 200.0
 
 _EXIT_RESERVE_MS = 500.0
-"""Part of the stop limit reserved for the last replies and the exit.  A larger
-reserve would take time from targets that still answer."""
+"""Part of the stop limit reserved for the last replies and the exit."""
 
 _EARLY_CLOSE_MS = 1_000.0
 """How long before the shutdown limit the servers close even if requests keep
@@ -105,7 +104,7 @@
         self._logged_ready = False
 
     def is_closing(self) -> bool:
-        """Whether connections should end after the current answer."""
+        """Whether connections should close after the current reply."""
         return self._shutdown.phase is not _shutdown.Phase.SERVING
 
     def is_ready(self) -> bool:
@@ -119,7 +118,7 @@
     # Start.
 
     async def start(self) -> None:
-        """Start following the store and serving all addresses.
+        """Follow the store and listen on all addresses.
 
         Raises ``OSError`` if an address cannot be listened on.
         """
--- a/samphiredock/daemon/_entry_peers.py
+++ b/samphiredock/daemon/_entry_peers.py
@@ -1,7 +1,7 @@
 """Notices and questions between entry daemons.
 
-They report lost targets, introduce the coordinators to each other, and check
-whether the routing table held here is fresh.
+They report lost targets, pass on the list of coordinators (an introduction),
+and check whether the routing table held here is fresh.
 """
 
 import asyncio
@@ -64,7 +64,7 @@
         }
 
     def start(self) -> None:
-        """Start the regular introductions and freshness checks."""
+        """Start the periodic introductions and freshness checks."""
         self._schedule_introduction()
         self._clock.every(
             forwarding.FRESHNESS_CHECK_INTERVAL_MS,
@@ -102,7 +102,10 @@
     # Sent to peers.
 
     def announce_loss(self, loss: forwarding.Loss) -> None:
-        """Report a loss to all peers; any may get the same request next."""
+        """Report a loss to all peers.
+
+        A retry of the same request may reach any of them.
+        """
         request = forwarding.loss_notice(loss)
         for peer in self._entry_state.peers.all():
             background.start(self._send(peer, request), 'announce a loss')
--- a/samphiredock/daemon/_entry_state.py
+++ b/samphiredock/daemon/_entry_state.py
@@ -16,8 +16,9 @@
 from samphiredock import transport
 
 _TEMPORARY_ROLE_MS = 20_000.0
-"""How long a daemon coordinates after it found no coordinator: several reads
-of the list of daemons, so that its role does not change with each failure."""
+"""How long a daemon coordinates after it found no coordinator.  It reads the
+list of daemons several times meanwhile, so that its role does not change with
+each failure."""
 
 _SETTLING_MS = 2_500.0
 """Time without a new target after which the list of targets counts as
@@ -25,19 +26,20 @@
 other."""
 
 _STALE_READ_INTERVAL_MS = 60_000.0
-"""Interval of reads by a daemon that does not watch the store.  Shorter ones
-would cost much bandwidth, as each reads the whole routing table."""
+"""Interval of reads by a daemon that does not watch the store.  They may be
+stale, and each transfers the whole routing table."""
 
 _FIRST_READ_INTERVAL_MS = 2_000.0
 """Interval of reads while there is no routing table yet.  Every daemon of the
-system makes these reads, and each call to the store is charged."""
+system makes these reads, which count against the rate limit of the store."""
 
 _SETTLING_COLLECT_MS = 1_000.0
 """How long changes are collected while the targets register.  Otherwise each
 target that registers would end a watch of every daemon."""
 
 _WATCH_SLACK_MS = 1_000.0
-"""How late a watch may be answered, as the store's client allows."""
+"""How long after its timeout a watch may be answered before the contact with
+the store counts as lost."""
 
 _PEER_DOWN_MS = 3_000.0
 """A coordinator unreachable for longer than this is not chosen again until it
@@ -115,6 +117,8 @@
             self._settings.watch_ms,
             {adapter.targets_prefix: self._collect_ms},
         )
+        # No changes are relayed to other daemons.  The count of daemons has no
+        # effect, as poll_stale() sets the intervals.
         watcher.watch_only_while(
             self._should_watch, lambda: 1, lambda stored: None
         )
@@ -203,7 +207,7 @@
         return self._watcher.has_heard_within(fresh_ms)
 
     def needs_freshness_check(self) -> bool:
-        """Whether to ask peers for the status of their store contact.
+        """Whether to ask peers whether they have contact with the store.
 
         This is true somewhat before :meth:`has_store_contact` turns false,
         so that the peers' answers have arrived by then.
@@ -224,7 +228,11 @@
         )
 
     def has_coordinator_role(self) -> bool:
-        """Whether this daemon has the role that watches the targets."""
+        """Whether the role of this daemon is coordinator.
+
+        Unlike :meth:`coordinates`, this is true at once after the change of
+        role.
+        """
         return self._role.coordinates
 
     def sends_directly(self, target: state.LiveTarget) -> bool:
@@ -343,7 +351,7 @@
         self.peers.keep_only(others)
 
     def _is_settled(self, now_ms: float) -> bool:
-        """Whether the list of targets is complete enough to choose by it.
+        """Whether the targets are known well enough to choose coordinators.
 
         When the whole system starts, targets register one after another, and
         a choice of coordinators by the first few would change with each.
@@ -367,9 +375,10 @@
     def _stale_period_ms(self, prefix: str) -> float | None:
         """Return the interval of stale reads of a prefix, None for no reads.
 
-        A daemon that hands requests over needs of the routes only timeouts
-        and whether a request may be repeated; only candidates for the role of
-        coordinator need the targets, to know at which sites most of them are.
+        A daemon that hands requests over does not need recent routes: it uses
+        only their timeouts and whether a request may be repeated.  Only
+        candidates for the role of coordinator need the targets, to know at
+        which sites most of them are.
         """
         if prefix == self._adapter.targets_prefix:
             return _STALE_READ_INTERVAL_MS if self._role.is_candidate else None
--- a/samphiredock/daemon/_node.py
+++ b/samphiredock/daemon/_node.py
@@ -16,11 +16,13 @@
 from samphiredock import transport
 
 _MAX_BODY_LIMIT_BYTES = 1_000_000
+"""Limit of request bodies, whatever limit the configuration sets."""
+
 _SHUTDOWN_TICK_MS = 50.0
 _DRAIN_TIMEOUT_MS = 1_000.0
 _LAST_REPLIES_MS = 1_000.0
-"""How long to wait for the replies written at the end of a shutdown; the
-slowest ones follow the cancellation of a run order."""
+"""How long to wait for the replies written at the end of a shutdown; those of
+runs take longest, as they wait for the cancellation of their orders."""
 _REPLY_POLL_MS = 10.0
 _SERVER_CLOSE_S = 0.5
 """Timeout of aiohttp at closing a server, for a body still being read and a
@@ -84,6 +86,7 @@
     ) -> protocol.RunOutcome:
         configuration = self._components.configuration
         if configuration is None:
+            # Without a configuration the runner refuses every request.
             return await self._components.runner.run(request, idempotency_key)
         admission = self._components.admission
         refusal = admission.admit_run(request, configuration)
@@ -121,13 +124,13 @@
         )
 
     def is_closing(self) -> bool:
-        """Whether connections should end after the current answer."""
+        """Whether connections should close after the current reply."""
         return self._shutdown.phase is not _shutdown.Phase.SERVING
 
     # Start and shutdown.
 
     async def start(self) -> None:
-        """Start all components and serve all addresses.
+        """Start all components and listen on all addresses.
 
         Raises ``OSError`` if an address cannot be listened on; then
         everything opened so far is closed again.
@@ -188,8 +191,8 @@
         await self._stopped.wait()
         await self._wait_for_replies()
         await self._stop_listening()
-        # An outcome not yet in the store is lost with this process, and a
-        # retry of its caller would find it unknown for good.
+        # Waits until the outcomes of runs are recorded in the store.  One that
+        # is lost with this process stays unknown: no retry can find it.
         await self._components.runner.drain(_DRAIN_TIMEOUT_MS)
         await self._components.close()
         _log.notice('stopped', name=self._settings.name)
@@ -221,7 +224,7 @@
         await self._components.close()
 
     def in_flight(self) -> int:
-        """Return how many tasks a graceful shutdown has to wait for."""
+        """Return how many requests and records a shutdown has to wait for."""
         return (
             self._open_requests
             + self._operator_handler.open_calls()
@@ -251,7 +254,10 @@
         self._components.metrics.add('shutdowns_draining')
 
     def _finish(self) -> None:
-        """Answer all pending requests, as closed connections say nothing."""
+        """Answer all pending requests.
+
+        A closed connection would not tell its caller the outcome.
+        """
         self._components.dispatcher.stop()
         pending = self.in_flight()
         self._components.coordinator.finish_all()
--- a/samphiredock/daemon/_operator_handler.py
+++ b/samphiredock/daemon/_operator_handler.py
@@ -1,4 +1,4 @@
-"""Handles the operators' calls."""
+"""Answers the calls of the operators' HTTP interface."""
 
 import asyncio
 import typing
@@ -44,6 +44,7 @@
         self._settings = settings
         self._is_ready = is_ready
         self._is_stopped = False
+        # One future for each call that waits for the store.
         self._wakers: set[asyncio.Future] = set()
 
     def open_calls(self) -> int:
@@ -144,7 +145,7 @@
         return result.Success(await self._components.acceptor.history())
 
     def confirmations(self) -> protocol.Confirmations:
-        """Return the revision that each live daemon reported."""
+        """Return the configuration revision that each live daemon reported."""
         revisions = self._components.membership.revisions()
         daemons = [
             protocol.DaemonRevision(
@@ -159,7 +160,10 @@
     async def set_leaving(
         self, target: str, leaving: bool
     ) -> result.Result[None, protocol.OperatorError]:
-        """Mark a target as leaving, so that it gets no new work, or unmark."""
+        """Mark a target as leaving, or remove the mark.
+
+        A target that is leaving gets no new work.
+        """
         return await self._run_until_stop(
             self._set_leaving(target, leaving), _stopped_write_error
         )
--- a/samphiredock/daemon/_server_closing.py
+++ b/samphiredock/daemon/_server_closing.py
@@ -13,8 +13,8 @@
 may bring it forward."""
 
 _LAST_REPLIES_MS = 300.0
-"""Time to write the last replies to callers that read slowly; less than the
-reserve before the process is killed."""
+"""Time to write the last replies to callers that read slowly; part of the
+``_EXIT_RESERVE_MS`` of the entry daemon."""
 
 
 async def close_servers(
--- a/samphiredock/daemon/_shutdown.py
+++ b/samphiredock/daemon/_shutdown.py
@@ -18,9 +18,9 @@
 class Phase(enum.Enum):
     """The phases of a shutdown, in order.
 
-    LEAVING: not ready, but the balancer may not know yet.  DRAINING: the
-    balancer knows; requests in flight are finished.  CLOSED: the servers
-    close.
+    SERVING: no shutdown yet.  LEAVING: not ready, but the balancer may not
+    know yet.  DRAINING: the balancer knows; requests in flight are finished.
+    CLOSED: the servers close.
     """
 
     SERVING = 'serving'
@@ -58,6 +58,7 @@
         read by then can still be answered within the limit.
     """
 
+    # Set by transitions.Machine: the state, and a method for each trigger.
     state: Phase
     signalled: typing.Callable[[], bool]
     balancer_knows: typing.Callable[[], bool]
--- a/samphiredock/daemon/entry.py
+++ b/samphiredock/daemon/entry.py
@@ -134,8 +134,9 @@
         loop.add_signal_handler(number, node.on_signal)
     loop.add_signal_handler(signal.SIGHUP, lambda: settings_file.reload(node))
     await node.start()
-    # Imported objects live as long as the process.  Collections that
-    # traversed them would delay requests.
+    # The calling program may have disabled the collector for the imports.
+    # Imported objects live as long as the process; collections that traversed
+    # them would delay requests.
     gc.freeze()
     gc.enable()
     poll_task = background.start(
--- a/samphiredock/logs.py
+++ b/samphiredock/logs.py
@@ -30,8 +30,8 @@
 class BoundedStream:
     """A non-blocking text stream with a bounded buffer.
 
-    ``dropped`` counts the lines that did not fit into the buffer or were lost
-    because the reader had closed its end.
+    ``dropped`` counts the lines that did not fit into the buffer, and the
+    flushes that lost the buffer because the reader had closed its end.
 
     Parameters
     ----------
@@ -52,7 +52,11 @@
         self.dropped = 0
 
     def write(self, text: str) -> int:
-        """Write as much as possible without blocking; buffer the rest."""
+        """Write as much as possible without blocking; buffer the rest.
+
+        Drops the text if it does not fit into the buffer.  Returns the length
+        of the text in any case.
+        """
         data = text.encode('utf-8', 'replace')
         if len(self._buffer) + len(data) > self._limit_bytes:
             self.dropped += 1
--- a/samphiredock/metrics/_counts.py
+++ b/samphiredock/metrics/_counts.py
@@ -34,7 +34,7 @@
         self.add_bulk(name, amount, **labels)
 
     def add_bulk(self, name: str, amount: float, **labels: object) -> None:
-        """Add to a counter, to be exported at the next flush."""
+        """Add to a counter as :meth:`add` does, for any computed amount."""
         key = (name, tuple(sorted(labels.items())))
         self._pending[key] += amount
         self._totals[name] += amount
@@ -78,7 +78,7 @@
         return self.text()
 
     def text(self) -> bytes:
-        """Return the flushed metrics as text; safe in any thread."""
+        """Return the metrics as of the last flush; safe in any thread."""
         self.load()
         assert self._exporter is not None
         return self._exporter.text()
--- a/samphiredock/metrics/_export.py
+++ b/samphiredock/metrics/_export.py
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         self._registry = prometheus_client.CollectorRegistry()
-        # Scope labels would all be equal, and a third of the page.
+        # Scope labels are equal for all metrics and only lengthen the page.
         reader = prometheus.PrometheusMetricReader(scope_info_enabled=False)
         # The reader registers only with the global registry; tests run several
         # daemons in one process, so each has a registry of its own as well.
@@ -61,7 +61,7 @@
     def record(
         self, name: str, value: float, labels: typing.Mapping[str, str]
     ) -> None:
-        """Record one value in a histogram."""
+        """Record one value in a histogram of ``_HISTOGRAMS``."""
         self._histograms[name].record(value, labels)
 
     def text(self) -> bytes:
--- a/samphiredock/timers.py
+++ b/samphiredock/timers.py
@@ -1,7 +1,7 @@
-"""The timer service, the only source of time for the code that decides.
+"""Clocks and timers, passed as one service to all code that depends on time.
 
-Daemons use :class:`LoopTimers`; tests use :class:`ManualTimers` and advance
-the time themselves, so that no test depends on a real clock.
+Daemons use :class:`LoopTimers`; tests of such code use :class:`ManualTimers`
+and advance the time themselves, so that they do not depend on a real clock.
 """
 
 import asyncio
@@ -11,9 +11,11 @@
 import typing
 
 GAP_MS = 1_500.0
-"""A tick later than this means that the process was frozen."""
+"""A tick later than this means that the process was frozen; the length of the
+freeze is called the gap."""
 
 TICK_MS = 100.0
+"""Interval of the ticks that detect a freeze."""
 
 
 class TimerHandle(typing.Protocol):
--- a/tests/unit/test_entry_state.py
+++ b/tests/unit/test_entry_state.py
@@ -24,11 +24,13 @@
         self.refuses = False
         self.watches = 0
 
-    async def put(self, *words: object) -> result.Result:
+    async def put(self, *arguments: object) -> result.Result:
         """Accept the registration of a daemon."""
         return result.Success(7)
 
-    async def scan(self, *words: object, **more: object) -> result.Result:
+    async def scan(
+        self, *arguments: object, **options: object
+    ) -> result.Result:
         """Return an empty list."""
         return result.Success(())
 
@@ -58,6 +60,8 @@
 
 
 class _Adapter:
+    """The store's keys; the test has no object to read."""
+
     routing_prefix = 'config/'
     routing_key = 'config/main'
     targets_prefix = 'servers/'
@@ -193,6 +197,7 @@
         await self._advance(1_000.0)
         self.store.watches = 0
         await self._advance(10_000.0)
+        # Two prefixes, each watched again 400 ms after a refusal.
         self.assertLessEqual(self.store.watches, 2 * 26)
         self.store.refuses = False
         await self._advance(1_000.0)
--- a/tests/unit/test_operator_handler.py
+++ b/tests/unit/test_operator_handler.py
@@ -111,7 +111,7 @@
         self.assertIsInstance(ended, protocol.ChangeUnknown)
 
     async def test_change_tried_before(self) -> None:
-        """An earlier call for the same change may have taken effect."""
+        """An earlier call with the same change may have taken effect."""
         handler = self._make('get')
         change = self._change(repeated=True)
         ended = await self._stop_during(handler, handler.apply(change), 'get')
--- a/tests/unit/test_public_names.py
+++ b/tests/unit/test_public_names.py
@@ -18,7 +18,7 @@
     """The tables of public names of the packages."""
 
     def test_names_used_elsewhere_are_public(self) -> None:
-        """A missing name would break code that no test runs unnoticed."""
+        """In code that no test runs, a missing name would go unnoticed."""
         known = {
             name: importlib.import_module(f'samphiredock.{name}').__all__
             for name in _PACKAGES
