--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that the docs quote."""
+"""Benchmarks, whose figures the documentation quotes."""
--- a/benchmarks/ablate.py
+++ b/benchmarks/ablate.py
@@ -1,9 +1,9 @@
-"""Make a copy of the project in which one mechanism is switched off.
+"""Makes a copy of the project in which one mechanism is disabled.
 
-``python -m benchmarks.ablate`` lists the mechanisms; with a name and a folder
-it clones the project there and applies the patch of that name.  The copy is
-then compared with the original by whatever plays a load; figures are in
-``docs/design/measures.md``.
+``python -m benchmarks.ablate`` lists the mechanisms.  With a name and a
+folder, it clones the project into the folder and applies the patch of that
+name.  Any load can then be run against the copy and the original; the
+figures are in ``docs/design/measures.md``.
 """
 
 import pathlib
@@ -16,19 +16,19 @@
 
 
 def mechanisms() -> list[str]:
-    """Return the names of the mechanisms that can be switched off."""
+    """Return the names of the mechanisms that can be disabled."""
     return sorted(path.stem for path in PATCHES.glob('*.patch'))
 
 
 def applies(name: str) -> bool:
-    """Whether a patch fits the sources as they are."""
+    """Return whether a patch applies to the current sources."""
     command = ['git', 'apply', '--check', str(PATCHES / f'{name}.patch')]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, check=False)
     return done.returncode == 0
 
 
 def copy_without(name: str, folder: pathlib.Path) -> None:
-    """Clone what is committed to ``folder`` and apply one patch."""
+    """Clone the committed sources into ``folder`` and apply one patch."""
     subprocess.run(['git', 'clone', '-q', str(ROOT), str(folder)], check=True)
     patch = str(PATCHES / f'{name}.patch')
     subprocess.run(['git', 'apply', patch], cwd=folder, check=True)
@@ -40,7 +40,7 @@
     'folder', required=False, type=click.Path(path_type=pathlib.Path)
 )
 def main(name: str | None, folder: pathlib.Path | None) -> None:
-    """Switch one mechanism off in a copy of the project."""
+    """Disable one mechanism in a copy of the project."""
     if name is None:
         click.echo('\n'.join(mechanisms()))
         return
@@ -50,7 +50,7 @@
         )
     if folder is None or folder.exists():
         raise click.BadParameter(
-            f'got folder {folder}, expected one that does not exist yet'
+            f'got folder {folder}, expected a folder that does not exist yet'
         )
     copy_without(name, folder)
     click.echo(f'{folder}: without {name}')
--- a/benchmarks/bench.py
+++ b/benchmarks/bench.py
@@ -1,4 +1,4 @@
-"""A bounded open-loop load on a small system, and what it measured."""
+"""Runs an open-loop load on a small system and reports what it measured."""
 
 import asyncio
 import collections
@@ -12,21 +12,21 @@
 import aiohttp
 import msgspec
 
-from benchmarks import offering
+from benchmarks import load_generator
 from samphiredock import state
 from standins import cluster
 
-_TICKS = os.sysconf('SC_CLK_TCK')
-# As many as sites, so that each process plays the targets of one site.
+_TICKS_PER_S = os.sysconf('SC_CLK_TCK')
+# One process for the targets of each site.
 _TARGET_PROCESSES = 3
 
 
 @dataclasses.dataclass(frozen=True)
 class Profile:
-    """The sizes of one user, as the brief gives them.
+    """Sizes and network delays of one deployment.
 
-    With ``shared_servers`` the shards lie in turn on that many servers, in
-    place of servers of their own.
+    If ``shared_servers`` is set, the shards are spread round-robin over that
+    many servers; otherwise each shard has servers of its own.
     """
 
     name: str
@@ -42,7 +42,7 @@
 
     @property
     def servers(self) -> int:
-        """Return how many servers there are."""
+        """Return the number of servers."""
         return self.shared_servers or self.shards * self.servers_per_shard
 
 
@@ -57,11 +57,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Variant:
-    """One way to set the system up, to be compared with others.
+    """Settings of one system that is compared with others.
 
-    ``limits`` are settings of the configuration; ``islands`` gives each
-    daemon a store of its own, so that none knows of the others and each
-    connects to every target.
+    ``limits`` go into the configuration.  With ``islands``, each daemon has
+    a store of its own, does not know the other daemons and connects to every
+    target.
     """
 
     name: str
@@ -75,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Report:
-    """What one run measured; latencies count from the intended start."""
+    """Figures of one run; latencies are taken from the intended start."""
 
     variant: str
     seed: int
@@ -98,7 +98,7 @@
 
 
 class Bench:
-    """A store, targets and daemons set up for one variant."""
+    """A running store, targets and daemons, set up for one variant."""
 
     def __init__(
         self, profile: Profile, variant: Variant, daemons: int = 8
@@ -106,7 +106,7 @@
         self.profile = profile
         self.variant = variant
         self.daemon_count = daemons
-        self.system = cluster.Cluster()
+        self.cluster = cluster.Cluster()
         self.targets = [
             f'server-{number}' for number in range(profile.servers)
         ]
@@ -114,20 +114,21 @@
         self.out_of_rotation: set[str] = set()
 
     async def __aenter__(self) -> 'Bench':
-        await self.system.__aenter__()
+        await self.cluster.__aenter__()
         try:
             await self._start()
         except BaseException:
-            # A failed start must not leave the started processes behind.
-            await self.system.__aexit__()
+            # ``__aexit__`` is not called after a failed start, so stop the
+            # processes here.
+            await self.cluster.__aexit__()
             raise
         return self
 
     async def __aexit__(self, *details: object) -> None:
-        await self.system.__aexit__(*details)
+        await self.cluster.__aexit__(*details)
 
     async def _start(self) -> None:
-        profile, system = self.profile, self.system
+        profile, system = self.profile, self.cluster
         await system.start_store()
         store_url = system.store_url
         options = (
@@ -149,13 +150,13 @@
             name = f'entry-{number + 1}'
             system.place_daemon(name, site, profile.name)
             system.start_daemon(name)
-        # The targets follow the first store only; all hold the same.
+        # Targets read only the first store; all stores hold the same.
         system.store_url = store_url
         await system.wait_ready()
         await asyncio.sleep(2.0)
 
     async def _publish(self) -> None:
-        await self.system.put_object(
+        await self.cluster.put_object(
             'configuration/current',
             {
                 'revision': self._revision,
@@ -166,10 +167,13 @@
                 'overlays': {},
             },
         )
-        await self.system.put_object('snapshots/current', self._snapshot())
+        await self.cluster.put_object('snapshots/current', self._snapshot())
 
     def _snapshot(self) -> state.Snapshot:
-        """Give each shard servers of its own, as each service has."""
+        """Return a snapshot that places the shards on servers.
+
+        Each shard has servers of its own unless the profile shares them.
+        """
         profile = self.profile
         even = cluster.even_snapshot(
             1,
@@ -224,7 +228,7 @@
             'targets': {
                 name: {
                     'site': profile.sites[number % len(profile.sites)],
-                    'url': self.system.target_urls[name],
+                    'url': self.cluster.target_urls[name],
                     'slots': self.variant.slots or profile.slots,
                     'connections': profile.connections,
                     'connect_ms': int(profile.connect_ms),
@@ -235,81 +239,81 @@
         }
 
     async def apply(self, variant: Variant) -> None:
-        """Put other limits in force at the running daemons."""
+        """Publish the variant's limits; wait until all daemons apply them."""
         self.variant = variant
         self._revision += 1
         await self._publish()
-        for place in self.system.daemons.values():
+        for place in self.cluster.daemons.values():
             while await self._revision_at(place) < self._revision:
                 await asyncio.sleep(0.05)
 
     async def _revision_at(self, place: cluster.DaemonPlace) -> int:
         url = f'{place.operator_url}/v1/status'
-        _, row = await self.system.call('GET', url)
+        _, row = await self.cluster.call('GET', url)
         return row['revision']
 
     async def run(
         self,
-        load: offering.Load,
+        load: load_generator.Load,
         event: typing.Callable[
             ['Bench'], typing.Coroutine[typing.Any, typing.Any, None]
         ]
         | None = None,
         event_after_s: float = 0.0,
     ) -> Report:
-        """Offer the load, let ``event`` happen meanwhile, and report."""
+        """Run the load, trigger ``event`` meanwhile, and return the report."""
         await self._set_targets(load)
         before = await self._totals()
         cpu_before = self._daemon_cpu_s()
-        disturbance = None
+        event_task = None
         if event is not None:
-            disturbance = asyncio.create_task(
-                _later(event_after_s, event, self)
+            event_task = asyncio.create_task(
+                _run_after(event_after_s, event, self)
             )
         started = time.monotonic()
         extra_ms = 2 * self.profile.client_one_way_ms
-        rows = await offering.offer(self.live, load, extra_ms)
-        took_s = time.monotonic() - started
-        if disturbance is not None:
-            await disturbance
+        rows = await load_generator.run_load(self.live, load, extra_ms)
+        elapsed_s = time.monotonic() - started
+        if event_task is not None:
+            await event_task
         cpu_s = self._daemon_cpu_s() - cpu_before
         totals = await self._totals()
         totals.subtract(before)
-        return self._report(load, rows, totals, cpu_s, took_s)
+        return self._report(load, rows, totals, cpu_s, elapsed_s)
 
     def live(self) -> list[cluster.DaemonPlace]:
-        """Return the daemons to which a balancer would send."""
+        """Return the daemons to which a load balancer would send requests."""
         return [
             place
-            for name, place in self.system.daemons.items()
-            if self.system.processes[name].poll() is None
+            for name, place in self.cluster.daemons.items()
+            if self.cluster.processes[name].poll() is None
             and name not in self.out_of_rotation
         ]
 
-    async def _set_targets(self, load: offering.Load) -> None:
+    async def _set_targets(self, load: load_generator.Load) -> None:
         for number, name in enumerate(self.targets):
             service_ms = load.service_ms
             if number == 0 and load.slow_target_ms:
                 service_ms = load.slow_target_ms
-            await self.system.target_faults(
+            await self.cluster.target_faults(
                 name, service_ms=service_ms, straggler=load.straggler
             )
 
     async def _totals(self) -> collections.Counter:
-        """Sum counters of daemons and targets, 0 for a dead one."""
+        """Sum the counters of daemons and targets, without unreachable ones."""
         totals: collections.Counter = collections.Counter()
-        for place in self.system.daemons.values():
+        for place in self.cluster.daemons.values():
             try:
-                _, row = await self.system.call(
+                _, row = await self.cluster.call(
                     'GET', f'{place.operator_url}/v1/status'
                 )
             except (aiohttp.ClientError, OSError):
                 continue
             totals.update(row['counters'])
         for name in self.targets:
-            url = f'{self.system.target_urls[name]}/control/stats'
+            url = f'{self.cluster.target_urls[name]}/control/stats'
             try:
-                _, row = await self.system.call('GET', url)
+                _, row = await self.cluster.call('GET', url)
             except (aiohttp.ClientError, OSError):
                 continue
             totals.update({f'at_targets_{key}': row[key] for key in row})
@@ -317,21 +321,21 @@
 
     def _daemon_cpu_s(self) -> float:
         return sum(
-            cpu_seconds(self.system.processes[name].pid)
-            for name in self.system.daemons
-            if self.system.processes[name].poll() is None
+            cpu_seconds(self.cluster.processes[name].pid)
+            for name in self.cluster.daemons
+            if self.cluster.processes[name].poll() is None
         )
 
     def _report(
         self,
-        load: offering.Load,
-        rows: list[offering.Row],
+        load: load_generator.Load,
+        rows: list[load_generator.Row],
         totals: collections.Counter,
         cpu_s: float,
-        took_s: float,
+        elapsed_s: float,
     ) -> Report:
         answered = [row for row in rows if row.coverage > 0]
-        waits = sorted(row.latency_ms for row in answered) or [0.0]
+        latencies_ms = sorted(row.latency_ms for row in answered) or [0.0]
         needed = len(answered) * self.profile.shards
         items = totals['at_targets_items']
         batches = max(1, totals['at_targets_batches'])
@@ -340,9 +344,9 @@
             seed=load.seed,
             offered=len(rows),
             outcomes=dict(collections.Counter(row.outcome for row in rows)),
-            p50_ms=offering.quantile(waits, 0.5),
-            p99_ms=offering.quantile(waits, 0.99),
-            p999_ms=offering.quantile(waits, 0.999),
+            p50_ms=load_generator.quantile(latencies_ms, 0.5),
+            p99_ms=load_generator.quantile(latencies_ms, 0.99),
+            p999_ms=load_generator.quantile(latencies_ms, 0.999),
             mean_coverage=statistics.fmean(
                 [row.coverage for row in rows] or [0.0]
             ),
@@ -355,13 +359,13 @@
             items_per_batch=items / batches,
             daemon_us_per_sub_query=1e6 * cpu_s / max(1, items),
             peer_bytes_per_s=totals['peer_bytes_sent']
-            / took_s
+            / elapsed_s
             / max(1, self.daemon_count),
-            timeline=offering.timeline(rows),
+            timeline=load_generator.timeline(rows),
         )
 
 
-async def _later(
+async def _run_after(
     delay_s: float,
     event: typing.Callable[
         [Bench], typing.Coroutine[typing.Any, typing.Any, None]
@@ -373,7 +377,7 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the CPU time that a process has used."""
     text = pathlib.Path(f'/proc/{pid}/stat').read_text(encoding='ascii')
     fields = text.rpartition(')')[2].split()
-    return (int(fields[11]) + int(fields[12])) / _TICKS
+    return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,7 +1,8 @@
-"""Store calls, conflicts and bytes of claims, for docs/design/claims.md.
+"""Counts store calls, conflicts and bytes of claims.
 
-The claim registries of many daemons share one store; time is moved by
-hand, so that the figures do not depend on the machine.
+The claim registries of many daemons share one store.  Time is simulated, so
+the figures do not depend on the machine; they are quoted in
+``docs/design/claims.md``.
 """
 
 import asyncio
@@ -27,44 +28,44 @@
     store = memory_platform.MemoryStore(random.Random(seed))
     platform = memory_platform.MemoryPlatform(store, clock, (0.0, 5.0))
     counters = metrics.Metrics('benchmark')
-    randomness = random.Random(seed + 1)
+    rng = random.Random(seed + 1)
     registries = [
-        _claim_registry.ClaimRegistry(platform, clock, randomness, counters)
+        _claim_registry.ClaimRegistry(platform, clock, rng, counters)
         for _ in range(daemons)
     ]
     waits_ms: list[float] = []
     granted: list[bool] = []
 
-    async def one(
+    async def run_claim(
         number: int, registry: _claim_registry.ClaimRegistry
     ) -> None:
         token = f'entry-{number % daemons}/1700000000000/{number}'
         place = state.locate_claim('payout', f'key-{number}')
         content = state.content_digest('release', {'n': str(number)})
         started_ms = clock.now_ms()
-        wanted = state.Claim(
+        claim = state.Claim(
             token, content, state.ClaimState.OPEN, clock.wall_ms()
         )
-        opened = await registry.open(place, wanted, started_ms + 2_000)
+        opened = await registry.open(place, claim, started_ms + 2_000)
         waits_ms.append(clock.now_ms() - started_ms)
         granted.append(
             isinstance(opened.opened, state.OpenDecision)
             and opened.opened.status is state.OpenStatus.GRANTED
         )
-        await _pause.pause(clock, randomness.uniform(5, 50))
-        await registry.close(place, state.done_claim(wanted, True, _RECEIPT))
+        await _pause.pause(clock, rng.uniform(5, 50))
+        await registry.close(place, state.done_claim(claim, True, _RECEIPT))
 
     tasks = []
     due_ms = 0.0
     while due_ms < seconds * 1_000:
-        gap_ms = randomness.expovariate(rate_per_s) * 1_000
+        gap_ms = rng.expovariate(rate_per_s) * 1_000
         due_ms += gap_ms
         await clock.pass_ms(gap_ms)
-        registry = randomness.choice(registries)
-        tasks.append(asyncio.create_task(one(len(tasks), registry)))
+        registry = rng.choice(registries)
+        tasks.append(asyncio.create_task(run_claim(len(tasks), registry)))
     await clock.pass_ms(5_000)
     count = len(tasks)
-    sizes = [len(found.value) for found in store.objects.values()]
+    sizes = [len(stored.value) for stored in store.objects.values()]
     waits_ms.sort()
     counters.close()
     return {
@@ -92,7 +93,7 @@
     seconds: float,
     seeds: int,
 ) -> None:
-    """Print medians over the seeds, one line for each setting."""
+    """Print medians over the seeds, one line per setting."""
     for rate in rates:
         for count in buckets:
             _claims.BUCKET_COUNT = count
--- a/benchmarks/control_processes.py
+++ b/benchmarks/control_processes.py
@@ -1,11 +1,11 @@
-"""What idle control costs a real daemon: processor, memory, bytes, calls.
-
-Starts the store stand-in and some daemons, waits until all know all, and
-reads each daemon's processor time and resident memory from ``/proc``, its
-counters of bytes sent to peers, and the calls that the store counted, over
-some seconds without callers.  ``--targets 2300`` gives the configuration
-and the snapshot the planned size; ``--changes N`` writes that many
-revisions while it measures.
+"""Measures CPU, memory, traffic and store calls of real daemons without load.
+
+Starts the store stand-in and several daemons and waits until each daemon
+knows all others.  Over some seconds without callers, it then measures each
+daemon's CPU time and resident memory (from ``/proc``), the bytes sent to
+peers and the calls that the store received.  ``--targets 2300`` gives the
+configuration and the snapshot the planned size; ``--changes N`` writes N
+revisions of the configuration during the measurement.
 """
 
 import asyncio
@@ -20,19 +20,19 @@
 from benchmarks import planned
 from standins import cluster
 
-_TICKS_S = os.sysconf('SC_CLK_TCK')
+_TICKS_PER_S = os.sysconf('SC_CLK_TCK')
 _WARM_UP_S = 5.0
 
 
 def cpu_s(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the CPU time that a process has used."""
     text = pathlib.Path(f'/proc/{pid}/stat').read_text(encoding='utf-8')
     fields = text.rpartition(')')[2].split()
-    return (int(fields[11]) + int(fields[12])) / _TICKS_S
+    return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
 
 
 def memory_mb(pid: int) -> float:
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process in megabytes."""
     text = pathlib.Path(f'/proc/{pid}/statm').read_text(encoding='utf-8')
     return int(text.split()[1]) * os.sysconf('SC_PAGE_SIZE') / 1e6
 
@@ -40,7 +40,7 @@
 async def measure(
     daemons: int, targets: int, seconds: float, changes: int
 ) -> dict[str, typing.Any]:
-    """Return the medians over the daemons, and the store's calls."""
+    """Return medians over the daemons, and the rates of store calls."""
     async with cluster.Cluster() as system:
         await system.start_store()
         await _put_configuration(system, 1, targets)
@@ -54,14 +54,14 @@
         await asyncio.sleep(_WARM_UP_S)
         pids = [system.processes[name].pid for name in system.daemons]
         cpu = [cpu_s(pid) for pid in pids]
-        sent = await _counters(system)
+        counters = await _counters(system)
         calls = await _calls(system)
         for number in range(max(1, changes)):
             if changes:
                 await _put_configuration(system, number + 2, targets)
             await asyncio.sleep(seconds / max(1, changes))
         after = await _counters(system)
-        late_calls = await _calls(system)
+        calls_after = await _calls(system)
         return {
             'daemons': daemons,
             'targets': targets,
@@ -73,11 +73,11 @@
                 for pid, before in zip(pids, cpu)
             ),
             'memory_mb': statistics.median(memory_mb(pid) for pid in pids),
-            'payload_bytes_s': _rate(sent, after, 'bytes', seconds),
-            'messages_s': _rate(sent, after, 'messages', seconds),
+            'payload_bytes_s': _rate(counters, after, 'bytes', seconds),
+            'messages_s': _rate(counters, after, 'messages', seconds),
             'store_calls_s': {
                 name: (count - calls.get(name, 0)) / seconds
-                for name, count in sorted(late_calls.items())
+                for name, count in sorted(calls_after.items())
             },
         }
 
@@ -108,7 +108,7 @@
 
 
 async def _counters(system: cluster.Cluster) -> list[dict[str, float]]:
-    """Return each daemon's counters of what it sent."""
+    """Return what each daemon sent, and how many members it knows."""
     rows = []
     for place in system.daemons.values():
         _, status = await system.call('GET', f'{place.operator_url}/v1/status')
@@ -135,7 +135,7 @@
     changes: int,
     json_path: pathlib.Path | None,
 ) -> None:
-    """Measure and print, one line for each size."""
+    """Measure each size and print one line per size."""
     rows = []
     for size in sizes.split(','):
         row = asyncio.run(measure(int(size), targets, seconds, changes))
--- a/benchmarks/control_slopes.py
+++ b/benchmarks/control_slopes.py
@@ -1,13 +1,16 @@
-"""What control costs a daemon, measured at several sizes.
-
-Each size runs the product's own control parts (membership, directory,
-watcher, exchange) of that many daemons in this process, on a manual clock
-and a network in memory that counts the encoded bytes.  The sites are the 8
-data centres in 3 regions to design for.  Three loads: ``idle``;
-``changes``, a configuration of a given size accepted as often as 630 a day;
-``churn``, restarts and kills as often as 240 and 4 a day at 490 daemons.
-The loads' rates are raised by a factor, for a run of minutes, and their
-extra cost over ``idle`` is divided by it.
+"""Measures the control-plane cost per daemon at several fleet sizes.
+
+For each size, the real control classes (membership, directory, watcher,
+exchange) of that many daemons run in this process, on a simulated clock and
+an in-memory network that counts the encoded bytes.  The daemons are spread
+over 8 sites in 3 regions.  There are three loads:
+
+- ``idle``: no events;
+- ``changes``: 630 accepted configuration changes a day;
+- ``churn``: 240 restarts and 4 kills a day at 490 daemons.
+
+A run of minutes raises these rates by a factor; the extra cost over ``idle``
+is divided by the same factor.
 """
 
 import asyncio
@@ -30,7 +33,7 @@
 from samphiredock import state
 from standins import memory_daemons
 
-PLANNED = 490
+PLANNED_DAEMONS = 490
 CHANGES_A_DAY = 630
 RESTARTS_A_DAY = 240
 FAILURES_A_DAY = 4
@@ -38,12 +41,12 @@
 SETTLE_MS = 30_000.0
 SETTLE_LIMIT_MS = 120_000.0
 SEED = 20261202
-FIT_FROM = 32
-"""Smaller fleets probe faster, so that they lie on another line."""
+FIT_MIN_DAEMONS = 32
+"""Smaller fleets probe faster, so they do not lie on the fitted line."""
 
 
 class Figures(msgspec.Struct):
-    """Costs of one daemon under one load at one size."""
+    """Costs of one daemon under one load at one fleet size."""
 
     daemons: int
     load: str
@@ -58,7 +61,7 @@
 
 
 class Bench:
-    """One run at one size."""
+    """A simulated fleet of one size."""
 
     def __init__(self, daemons: int, base: dict, loss: float) -> None:
         self.network = memory_daemons.Network(SEED)
@@ -74,7 +77,7 @@
         )
 
     async def start(self) -> None:
-        """Start the daemons in small groups, as a rollout does."""
+        """Start the daemons in small groups, then wait until all are known."""
         names = planned.SITES
         for number in range(self.count):
             site = names[number % len(names)]
@@ -90,15 +93,18 @@
         await self.network.run(SETTLE_MS)
 
     def running(self) -> list[memory_daemons.SimDaemon]:
-        """Return the daemons."""
+        """Return all running daemons."""
         return list(self.network.daemons.values())
 
     def connections(self) -> float:
-        """Return the mean of the connections that a daemon opened."""
+        """Return the mean number of connections that a daemon opened."""
         return statistics.mean(len(d.peers.open) for d in self.running())
 
     async def change(self) -> None:
-        """Accept one change, and wait until it is in force everywhere."""
+        """Apply one change and wait until all daemons have it in force.
+
+        The time that this took is added to ``in_force_ms``.
+        """
         place = self.rng.choice(self.running())
         revision = place.current_state.revision
         change = protocol.ConfigurationChange(
@@ -106,7 +112,7 @@
         )
         outcome = await place.acceptor.apply(change)
         if isinstance(outcome, protocol.ChangeInvalid):
-            raise AssertionError(f'got {outcome}, expected it accepted')
+            raise AssertionError(f'got {outcome}, expected ChangeAccepted')
         if not isinstance(outcome, protocol.ChangeAccepted):
             return
         accepted_ms = self.network.clock.now_ms()
@@ -121,7 +127,10 @@
         self.in_force_ms.append(self.network.clock.now_ms() - accepted_ms)
 
     def restart(self, announced: bool) -> None:
-        """Replace one daemon by a fresh one of the same name."""
+        """Replace one daemon by a new one of the same name.
+
+        If ``announced``, it first tells the others that it leaves.
+        """
         daemon = self.rng.choice(self.running())
         if announced:
             daemon.membership.leave()
@@ -131,7 +140,7 @@
     async def measure(
         self, load: str, seconds: int, events: int
     ) -> tuple[dict[str, float], dict[str, int]]:
-        """Run a load; return totals and bytes by kind."""
+        """Run one load; return totals and the bytes per message kind."""
         network = self.network
         network.sent.clear()
         network.sent_bytes.clear()
@@ -160,28 +169,28 @@
 async def run_size(
     daemons: int, targets: int, seconds: int, loss: float
 ) -> list[Figures]:
-    """Measure the three loads at one size."""
+    """Measure the three loads at one fleet size."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     bench = Bench(daemons, planned.base(targets), loss)
     await bench.start()
     print(
-        f'{daemons} daemons: all know all {bench.settled_ms:.0f} ms after '
-        'the last start',
+        f'{daemons} daemons: all members known {bench.settled_ms:.0f} ms '
+        'after the last start',
         file=sys.stderr,
         flush=True,
     )
     gc.collect()
     memory = (tracemalloc.get_traced_memory()[0] - before) / daemons
     tracemalloc.stop()
-    # Rates are raised so that a run of seconds sees some events; what they
-    # cost over idle is scaled back to the planned rate.
+    # Events come more often than planned, so that a short run has some; their
+    # extra cost over idle is scaled back to the planned rate below.
     events = {'idle': 0, 'changes': 6, 'churn': max(2, daemons // 8)}
     a_day = {
         'idle': 0.0,
         'changes': float(CHANGES_A_DAY),
-        'churn': (RESTARTS_A_DAY + FAILURES_A_DAY) * daemons / PLANNED,
+        'churn': (RESTARTS_A_DAY + FAILURES_A_DAY) * daemons / PLANNED_DAEMONS,
     }
     rows = []
     idle: dict[str, float] = {}
@@ -193,10 +202,10 @@
             idle, idle_kinds = totals, kinds
         due_events = a_day[load] * seconds * 1_000 / DAY_MS
         scale = due_events / events[load] if events[load] else 0.0
-        each = daemons * seconds
+        daemon_seconds = daemons * seconds
         rates = {
             name: (idle[name] + max(0.0, totals[name] - idle[name]) * scale)
-            / each
+            / daemon_seconds
             for name in totals
         }
         by_kind = {
@@ -204,7 +213,7 @@
                 idle_kinds.get(name, 0)
                 + max(0, kinds.get(name, 0) - idle_kinds.get(name, 0)) * scale
             )
-            / each
+            / daemon_seconds
             for name in {*kinds, *idle_kinds}
         }
         rows.append(
@@ -239,7 +248,7 @@
     return mean_y - slope * mean_x, slope
 
 
-def _bytes(targets: int) -> int:
+def _configuration_bytes(targets: int) -> int:
     return len(msgspec.json.encode(planned.source(1, targets)))
 
 
@@ -247,41 +256,41 @@
 
 
 def fits(rows: list[Figures]) -> list[dict]:
-    """Return the lines through the figures and their value when planned."""
-    found = []
+    """Fit a line to each figure; return it with its value at 490 daemons."""
+    fitted = []
     for load in ('idle', 'changes', 'churn'):
         for name in _FITTED:
             points = [
                 (float(row.daemons), getattr(row, name))
                 for row in rows
-                if row.load == load and FIT_FROM <= row.daemons < PLANNED
+                if row.load == load and FIT_MIN_DAEMONS <= row.daemons < PLANNED_DAEMONS
             ]
             start, slope = fit(points)
-            found.append(
+            fitted.append(
                 {
                     'load': load,
                     'figure': name,
                     'intercept': start,
                     'slope': slope,
-                    'at_490': start + slope * PLANNED,
+                    'at_490': start + slope * PLANNED_DAEMONS,
                 }
             )
-    return found
+    return fitted
 
 
 def table(rows: list[Figures], lines: list[dict]) -> str:
-    """Return the figures as text."""
+    """Return the figures and fitted lines as text."""
     out = [
         'daemons load     bytes/s msgs/s cpu us/s mem KB store/s conn '
         'in force ms'
     ]
     for row in rows:
-        worst = f'{row.in_force_ms[-1]:.0f}' if row.in_force_ms else '-'
+        max_in_force = f'{row.in_force_ms[-1]:.0f}' if row.in_force_ms else '-'
         out.append(
             f'{row.daemons:7} {row.load:8} {row.bytes_s:7.0f} '
             f'{row.messages_s:6.1f} {row.cpu_us_s:8.0f} '
             f'{row.memory_bytes / 1024:6.0f} {row.store_calls_s:7.1f} '
-            f'{row.connections:4.0f} {worst}'
+            f'{row.connections:4.0f} {max_in_force}'
         )
     out.append('fit: figure = intercept + slope * daemons')
     for line in lines:
@@ -295,9 +304,9 @@
 
 @click.command()
 @click.option('--sizes', default='8,16,32,64,128')
-@click.option('--seconds', default=60, help='Simulated, for each load.')
-@click.option('--targets', default=400, help='Of the configuration.')
-@click.option('--loss', default=0.0, help='Part of the messages lost.')
+@click.option('--seconds', default=60, help='Simulated time per load.')
+@click.option('--targets', default=400, help='Targets in the configuration.')
+@click.option('--loss', default=0.0, help='Share of messages lost, 0 to 1.')
 @click.option('--json', 'json_path', type=click.Path(path_type=pathlib.Path))
 def main(
     sizes: str,
@@ -306,13 +315,13 @@
     loss: float,
     json_path: pathlib.Path | None,
 ) -> None:
-    """Measure and print the control costs of one daemon."""
+    """Measure and print the control-plane costs per daemon."""
     rows: list[Figures] = []
     for size in sizes.split(','):
         rows += asyncio.run(run_size(int(size), targets, seconds, loss))
         print(f'{size} daemons done', file=sys.stderr, flush=True)
     lines = fits(rows)
-    print(f'seed {SEED}, {_bytes(targets)} B of configuration, loss {loss}')
+    print(f'seed {SEED}, {_configuration_bytes(targets)} B of configuration, loss {loss}')
     print(table(rows, lines))
     if json_path is not None:
         content = {'rows': [msgspec.to_builtins(row) for row in rows]}
--- a/benchmarks/dispatch_cost.py
+++ b/benchmarks/dispatch_cost.py
@@ -1,9 +1,9 @@
-"""Processor time of the dispatcher's own path, without sockets or HTTP.
+"""Measures the dispatcher's CPU time per sub-query, without sockets or HTTP.
 
 Run as ``python -m benchmarks.dispatch_cost``.  Queries of 17 sub-queries
-for one target come from eight services at three sites; the link is a stub
-that answers at once, so that what is measured is the decisions and the
-task around them.  Each round's figure and their median are printed.
+for one target come from eight services at three sites.  The link to the
+target is a stub that answers at once, so only the dispatcher's decisions and
+its tasks are measured.  Prints each round's figure and the median.
 """
 
 import asyncio
@@ -96,8 +96,8 @@
     )
 
 
-async def _round(queries: int, items: int) -> float:
-    """Return processor microseconds a sub-query."""
+async def _round_us(queries: int, items: int) -> float:
+    """Return the CPU time per sub-query in microseconds."""
     clock = timers.LoopTimers()
     counters = metrics.Metrics('bench')
     peers = _StubPeers()
@@ -123,9 +123,9 @@
 @click.option('--items', default=17)
 @click.option('--rounds', default=5)
 def main(queries: int, items: int, rounds: int) -> None:
-    """Print processor microseconds a sub-query, by round and median."""
-    costs = [asyncio.run(_round(queries, items)) for _ in range(rounds)]
-    print('us a sub-query:', ' '.join(f'{cost:.1f}' for cost in costs))
+    """Print the CPU microseconds per sub-query, per round and as median."""
+    costs = [asyncio.run(_round_us(queries, items)) for _ in range(rounds)]
+    print('us per sub-query:', ' '.join(f'{cost:.1f}' for cost in costs))
     print(f'median {statistics.median(costs):.1f}, items {items}')
 
 
--- a/benchmarks/entry_cost.py
+++ b/benchmarks/entry_cost.py
@@ -1,8 +1,8 @@
-"""What one daemon that passes requests on costs a sub-query.
+"""Measures the CPU time and memory of one daemon that forwards requests.
 
 ``python -m benchmarks.entry_cost --shards 20 --requests 300`` starts the real
-program on the stand-in of the users' platform, asks it, and prints its
-processor time and memory.  The stand-ins' own time is not in it.
+program on a stand-in of the users' platform, sends it requests and prints
+its CPU time and memory.  The time of the stand-ins is not included.
 """
 
 import asyncio
@@ -20,28 +20,28 @@
         await system.start_targets()
         system.configure(1)
         await system.start_daemon('one', log_level='warning')
-        await _ask(system, 50, 'warm')
-        idle_s = await _idle(system)
+        await _send_requests(system, 50, 'warm')
+        idle_s = await _idle_core_share(system)
         before_s = system.processor_s('one')
-        await _ask(system, requests, 'r')
+        await _send_requests(system, requests, 'r')
         used_s = system.processor_s('one') - before_s
-        asked = shards * requests
+        sub_queries = shards * requests
         click.echo(
             f'{shards} shards, {requests} requests: '
-            f'{used_s / asked * 1e6:.0f} us a sub-query, '
-            f'{used_s / requests * 1e3:.2f} ms a request, '
+            f'{used_s / sub_queries * 1e6:.0f} us per sub-query, '
+            f'{used_s / requests * 1e3:.2f} ms per request, '
             f'{idle_s * 100:.2f} % of a core idle, '
             f'{system.memory_mb("one"):.1f} MB'
         )
 
 
-async def _idle(system: prepared_system.PreparedSystem) -> float:
+async def _idle_core_share(system: prepared_system.PreparedSystem) -> float:
     before_s = system.processor_s('one')
     await asyncio.sleep(5.0)
     return (system.processor_s('one') - before_s) / 5.0
 
 
-async def _ask(
+async def _send_requests(
     system: prepared_system.PreparedSystem, count: int, prefix: str
 ) -> None:
     async def caller(number: int) -> None:
@@ -52,8 +52,8 @@
 
 
 @click.command()
-@click.option('--shards', default=20, help='Shards that a search asks.')
-@click.option('--requests', default=300, help='Searches that are measured.')
+@click.option('--shards', default=20, help='Shards per search.')
+@click.option('--requests', default=300, help='Searches to measure.')
 def main(shards: int, requests: int) -> None:
     """Measure one daemon."""
     asyncio.run(_measure(shards, requests))
--- a/benchmarks/experiments.py
+++ b/benchmarks/experiments.py
@@ -1,9 +1,9 @@
-"""Comparisons of policies, side by side in one run.
+"""Compares policies side by side.
 
-``python -m benchmarks.experiments hedge`` and so on.  For each seed every
-variant is run, in an order drawn from the seed, so that other work on the
-machine falls on all of them; the results are medians over the seeds.  Each
-comparison writes ``benchmarks/results/NAME.json`` and a plot.
+Run as ``python -m benchmarks.experiments hedge``, and so on.  For each seed,
+all variants run in an order drawn from the seed, so that other work on the
+machine affects all of them alike.  The results are medians over the seeds.
+Each comparison writes ``benchmarks/results/NAME.json`` and a plot.
 """
 
 import asyncio
@@ -18,28 +18,28 @@
 import click
 
 from benchmarks import bench
+from benchmarks import load_generator
 from benchmarks import losses
-from benchmarks import offering
 from benchmarks import results
 
-Step = typing.Callable[
-    [bench.Variant, offering.Load], typing.Awaitable[bench.Report]
+RunVariant = typing.Callable[
+    [bench.Variant, load_generator.Load], typing.Awaitable[bench.Report]
 ]
 
 _SEEDS = 5
 _NO_HEDGE_MS = 600_000.0
 _UNBOUNDED = 1.0
 
-# Long enough that a straggler stands out from this machine's own noise.
+# Long enough that stragglers stand out from the machine's noise.
 _HEDGED_SERVICE_MS = 20.0
 
-# A shard has 2 servers of 2 slots; an item takes 45.6 ms in the mean, with
-# the spread and the stragglers.
+# Each shard has 2 servers of 2 slots; with variance and stragglers, an item
+# takes 45.6 ms on average.
 _BUSY_SERVICE_MS = 40.0
 _BUSY_CAPACITY_PER_S = 88.0
 
-# 2,060 sub-queries a second and server, as at the planned size.  The servers
-# lie at three sites, so that each query needs three dispatchers.
+# Each server gets 2,060 sub-queries per second, as at the planned size.  The
+# servers are at three sites, so each query needs three dispatchers.
 _PLANNED = bench.Profile(
     'planned', bench.GEBEYA.sites, 'claims', 55, 2, 2, 100, 1, 1, 4
 )
@@ -57,14 +57,14 @@
     bench.Variant('quantile 0.98, budget', {'hedge_quantile': 0.98}),
 )
 HEDGE_LOADS = {
-    'stragglers': offering.Load(20.0, 8.0, 0, _HEDGED_SERVICE_MS),
-    'at-120': offering.Load(
+    'stragglers': load_generator.Load(20.0, 8.0, 0, _HEDGED_SERVICE_MS),
+    'at-120': load_generator.Load(
         1.2 * _BUSY_CAPACITY_PER_S, 4.0, 0, _BUSY_SERVICE_MS
     ),
-    'slow-replica': offering.Load(
+    'slow-replica': load_generator.Load(
         20.0, 4.0, 0, _HEDGED_SERVICE_MS, 0.0, slow_target_ms=200.0
     ),
-    'at-80': offering.Load(
+    'at-80': load_generator.Load(
         0.8 * _BUSY_CAPACITY_PER_S, 4.0, 0, _BUSY_SERVICE_MS
     ),
 }
@@ -93,24 +93,24 @@
 
 async def interleave(
     variants: typing.Sequence[bench.Variant],
-    load: offering.Load,
-    step: Step,
+    load: load_generator.Load,
+    run_variant: RunVariant,
     seeds: int = _SEEDS,
 ) -> list[bench.Report]:
-    """Run all variants for each seed, in an order drawn from the seed."""
+    """Run all variants for each seed, in an order drawn from that seed."""
     reports = []
     for seed in range(1, seeds + 1):
         order = list(variants)
         random.Random(seed).shuffle(order)
         for variant in order:
-            report = await step(variant, dataclasses.replace(load, seed=seed))
+            report = await run_variant(variant, dataclasses.replace(load, seed=seed))
             click.echo(results.line(report))
             reports.append(report)
     return reports
 
 
 async def _with_limits(
-    system: bench.Bench, variant: bench.Variant, load: offering.Load
+    system: bench.Bench, variant: bench.Variant, load: load_generator.Load
 ) -> bench.Report:
     await system.apply(variant)
     return await system.run(load)
@@ -120,16 +120,16 @@
     profile: bench.Profile,
     daemons: int,
     variants: typing.Sequence[bench.Variant],
-    loads: typing.Mapping[str, offering.Load],
+    loads: typing.Mapping[str, load_generator.Load],
     seeds: int,
 ) -> dict[str, list[bench.Report]]:
-    """Compare variants that differ in limits only, at the same daemons."""
+    """Compare variants that differ only in limits, on the same daemons."""
     async with bench.Bench(profile, variants[0], daemons) as system:
-        # Latency records and connections warm up before anything counts.
+        # Warm up connections and latency records before measuring.
         await system.run(dataclasses.replace(next(iter(loads.values()))))
-        step = functools.partial(_with_limits, system)
+        run_variant = functools.partial(_with_limits, system)
         return {
-            name: await interleave(variants, load, step, seeds)
+            name: await interleave(variants, load, run_variant, seeds)
             for name, load in loads.items()
         }
 
@@ -138,10 +138,10 @@
     profile: bench.Profile,
     daemons: int,
     variants: typing.Sequence[bench.Variant],
-    load: offering.Load,
+    load: load_generator.Load,
     seeds: int,
 ) -> list[bench.Report]:
-    """Compare variants that need systems of their own, all up at once."""
+    """Compare variants that need separate systems, all running at once."""
     async with contextlib.AsyncExitStack() as stack:
         systems = {}
         for variant in variants:
@@ -149,12 +149,12 @@
             systems[variant.name] = await stack.enter_async_context(system)
             await system.run(load)
 
-        async def step(
-            variant: bench.Variant, load: offering.Load
+        async def run_variant(
+            variant: bench.Variant, load: load_generator.Load
         ) -> bench.Report:
             return await systems[variant.name].run(load)
 
-        return await interleave(variants, load, step, seeds)
+        return await interleave(variants, load, run_variant, seeds)
 
 
 def _save(name: str, groups: typing.Mapping[str, list[bench.Report]]) -> None:
@@ -167,7 +167,7 @@
 
 @click.group()
 def main() -> None:
-    """Compare policies on stand-ins on loopback."""
+    """Compare policies on stand-ins over loopback."""
 
 
 _seeds = click.option('--seeds', default=_SEEDS)
@@ -179,7 +179,7 @@
 @_daemons
 @_seeds
 def hedge(only: str | None, daemons: int, seeds: int) -> None:
-    """No hedge, fixed delay, quantile, quantile under the budget."""
+    """Compare hedging: none, after a fixed delay, a quantile, with a budget."""
     names = [only] if only else list(HEDGE_LOADS)
     loads = {name: HEDGE_LOADS[name] for name in names}
     run = _compare_limits(bench.GEBEYA, daemons, HEDGES, loads, seeds)
@@ -191,8 +191,8 @@
 @_daemons
 @_seeds
 def window(daemons: int, seeds: int) -> None:
-    """How long a target's batch waits for more, at two rates a server."""
-    planned = offering.Load(_PLANNED_PER_S, 3.0, 0, 0.0, 0.0)
+    """Compare batch windows at two request rates."""
+    planned = load_generator.Load(_PLANNED_PER_S, 3.0, 0, 0.0, 0.0)
     low = dataclasses.replace(planned, rate_per_s=10.0)
     loads = {'planned': planned, 'low': low}
     run = _compare_limits(_PLANNED, daemons, WINDOWS, loads, seeds)
@@ -203,8 +203,8 @@
 @_daemons
 @_seeds
 def batching(daemons: int, seeds: int) -> None:
-    """Batches to a target against one request a sub-query."""
-    load = offering.Load(0.3 * _PLANNED_PER_S, 3.0, 0, 0.0, 0.0)
+    """Compare batches with one request per sub-query."""
+    load = load_generator.Load(0.3 * _PLANNED_PER_S, 3.0, 0, 0.0, 0.0)
     run = _compare_limits(
         _PLANNED, daemons, BATCHES, {'45 searches/s': load}, seeds
     )
@@ -215,8 +215,8 @@
 @_daemons
 @_seeds
 def islands(daemons: int, seeds: int) -> None:
-    """Owner dispatchers against daemons that each connect everywhere."""
-    load = offering.Load(60.0, 4.0, 0)
+    """Compare target ownership with daemons that each use every target."""
+    load = load_generator.Load(60.0, 4.0, 0)
     run = _compare_systems(bench.GEBEYA, daemons, OWNERSHIP, load, seeds)
     _save('islands', {'stragglers': asyncio.run(run)})
 
@@ -225,9 +225,9 @@
 @_daemons
 @_seeds
 def canary(daemons: int, seeds: int) -> None:
-    """A canary for contents not seen, or none; few and many contents."""
-    few = offering.Load(60.0, 4.0, 0)
-    # No content comes twice, so that "not seen" means always.
+    """Compare canaries for unknown contents with none."""
+    few = load_generator.Load(60.0, 4.0, 0)
+    # So many contents that practically none repeats.
     new = dataclasses.replace(few, distinct=1_000_000_000)
     loads = {'97 contents': few, 'each content new': new}
     run = _compare_limits(bench.GEBEYA, daemons, CANARIES, loads, seeds)
@@ -238,7 +238,7 @@
 @_daemons
 @_seeds
 def overload(daemons: int, seeds: int) -> None:
-    """How many searches a daemon may have in flight, at 120 % of capacity."""
+    """Compare limits of searches in flight at 120 % of capacity."""
     loads = {'at 120 %': HEDGE_LOADS['at-120']}
     run = _compare_limits(bench.GEBEYA, daemons, BOUNDS, loads, seeds)
     _save('overload', asyncio.run(run))
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,4 +1,4 @@
-"""Offer one bounded load and print what it measured.
+"""Runs one load against a small system and prints the measurements.
 
 ``python -m benchmarks.load --profile gebeya --rate 100 --seconds 10``
 """
@@ -12,7 +12,7 @@
 import click
 
 from benchmarks import bench
-from benchmarks import offering
+from benchmarks import load_generator
 
 
 @click.command()
@@ -21,14 +21,14 @@
     type=click.Choice(sorted(bench.PROFILES)),
     default='gebeya',
 )
-@click.option('--rate', default=100.0, help='Searches a second.')
+@click.option('--rate', default=100.0, help='Searches per second.')
 @click.option('--seconds', default=10.0)
 @click.option('--seed', default=1)
 @click.option('--daemons', default=8)
 @click.option('--service-ms', default=4.0)
 @click.option('--straggler', default=0.01)
 @click.option(
-    '--limits', default='{}', help='JSON of limits in the configuration.'
+    '--limits', default='{}', help='Limits of the configuration, as JSON.'
 )
 @click.option('--canary/--no-canary', default=False)
 @click.option('--output', type=click.Path(path_type=pathlib.Path))
@@ -44,9 +44,9 @@
     canary: bool,
     output: pathlib.Path | None,
 ) -> None:
-    """Run one load against stand-ins on loopback."""
+    """Run one load against stand-ins over loopback."""
     variant = bench.Variant('load', json.loads(limits), canary)
-    load = offering.Load(rate, seconds, seed, service_ms, straggler)
+    load = load_generator.Load(rate, seconds, seed, service_ms, straggler)
 
     async def run() -> bench.Report:
         chosen = bench.PROFILES[profile]
--- a/benchmarks/offering.py
+++ b/benchmarks/load_generator.py
@@ -1,4 +1,4 @@
-"""Searches sent at times drawn from a seed, and what came back."""
+"""Sends searches at random times and records how they ended."""
 
 import asyncio
 import collections
@@ -11,12 +11,12 @@
 from standins import cluster
 
 _CALL_TIMEOUT_S = 10.0
-_HOUSEHOLDS = 97
+_DEFAULT_CONTENTS = 97
 
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """What to send, and how the targets behave."""
+    """Rate and content of the searches, and the behaviour of the targets."""
 
     rate_per_s: float
     seconds: float
@@ -24,13 +24,13 @@
     service_ms: float = 4.0
     straggler: float = 0.01
     slow_target_ms: float = 0.0
-    distinct: int = _HOUSEHOLDS
+    distinct: int = _DEFAULT_CONTENTS
     deadline_ms: int = 800
 
 
 @dataclasses.dataclass(frozen=True)
 class Row:
-    """One search: its intended start, and what came of it."""
+    """One search: its intended start, latency and outcome."""
 
     start_s: float
     latency_ms: float
@@ -38,20 +38,21 @@
     coverage: float
 
 
-async def offer(
+async def run_load(
     live: typing.Callable[[], list[cluster.DaemonPlace]],
     load: Load,
     extra_ms: float = 0.0,
 ) -> list[Row]:
-    """Send at times drawn from the seed, whatever comes back when.
+    """Send searches at times drawn from the seed (open loop).
 
-    ``live`` lists the daemons to choose from at each moment.
-    ``extra_ms`` is added to each latency: the way to the client and back.
+    The send times do not depend on the answers.  ``live`` returns the daemons
+    to choose from.  ``extra_ms`` is the round trip to the client, which is
+    added to each latency.
     """
     rng = random.Random(load.seed)
     loop = asyncio.get_running_loop()
-    begin = loop.time() + 0.1
-    at_s = 0.0
+    start = loop.time() + 0.1
+    offset_s = 0.0
     tasks = []
     connector = aiohttp.TCPConnector(limit=0)
     timeout = aiohttp.ClientTimeout(total=_CALL_TIMEOUT_S)
@@ -59,15 +60,15 @@
         connector=connector, timeout=timeout
     ) as session:
         while True:
-            at_s += rng.expovariate(load.rate_per_s)
-            if at_s >= load.seconds:
+            offset_s += rng.expovariate(load.rate_per_s)
+            if offset_s >= load.seconds:
                 break
-            await asyncio.sleep(max(0.0, begin + at_s - loop.time()))
+            await asyncio.sleep(max(0.0, start + offset_s - loop.time()))
             url = rng.choice(live()).caller_url
             household = f'household-{rng.randrange(load.distinct)}'
             tasks.append(
                 asyncio.create_task(
-                    _ask(session, url, household, begin + at_s, at_s, load)
+                    _search(session, url, household, start + offset_s, offset_s, load)
                 )
             )
         rows = await asyncio.gather(*tasks)
@@ -77,12 +78,12 @@
     ]
 
 
-async def _ask(
+async def _search(
     session: aiohttp.ClientSession,
     url: str,
     household: str,
     intended: float,
-    at_s: float,
+    offset_s: float,
     load: Load,
 ) -> Row:
     body = {
@@ -100,26 +101,26 @@
     kind = row['type']
     if kind == 'not-run':
         kind = f'not-run {row["reason"]}'
-    return Row(at_s, took_ms, kind, row.get('coverage', 0.0))
+    return Row(offset_s, took_ms, kind, row.get('coverage', 0.0))
 
 
 def timeline(
     rows: typing.Iterable[Row],
 ) -> tuple[tuple[float, float, float], ...]:
-    """Return second, p99 in ms and the part answered whole, by second."""
+    """Return per second: its number, p99 in ms, share of whole answers."""
     seconds = collections.defaultdict(list)
     for row in rows:
         seconds[int(row.start_s)].append(row)
     return tuple(
         (
             second,
-            quantile(sorted(row.latency_ms for row in held), 0.99),
-            sum(row.coverage >= 1.0 for row in held) / len(held),
+            quantile(sorted(row.latency_ms for row in in_second), 0.99),
+            sum(row.coverage >= 1.0 for row in in_second) / len(in_second),
         )
-        for second, held in sorted(seconds.items())
+        for second, in_second in sorted(seconds.items())
     )
 
 
-def quantile(ordered: typing.Sequence[float], part: float) -> float:
-    """Return the value at a part (0 to 1) of an ordered sequence."""
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+def quantile(ordered: typing.Sequence[float], fraction: float) -> float:
+    """Return the quantile (0 to 1) of an ordered sequence."""
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -1,8 +1,7 @@
-"""What callers see when a daemon, a site or the platform is lost.
+"""Measures what callers see when a daemon, a site or the platform is lost.
 
-Callers reach only daemons whose process lives and is in rotation, as behind
-a balancer without lag; a search in flight at a killed daemon counts as
-broken.
+Callers reach only daemons that run and are in rotation, as behind a load
+balancer without lag.  A search in flight at a killed daemon counts as broken.
 """
 
 import asyncio
@@ -15,16 +14,16 @@
 import click
 
 from benchmarks import bench
-from benchmarks import offering
+from benchmarks import load_generator
 
 _RESULTS = pathlib.Path(__file__).resolve().parent / 'results'
 _EVENT_S = 4.0
 _RATE_PER_S = 40.0
 _SERVICE_MS = 10.0
 _OUTAGE_MS = 30_000.0
-_LAG_S = 0.2
-_NORMAL_WHOLE = 0.99
-_NORMAL_P99 = 1.5
+_POLL_S = 0.2
+_NORMAL_WHOLE_SHARE = 0.99
+_NORMAL_P99_FACTOR = 1.5
 
 Event = typing.Callable[
     [bench.Bench], typing.Coroutine[typing.Any, typing.Any, None]
@@ -32,7 +31,7 @@
 
 
 class Case(typing.NamedTuple):
-    """An event, and for how long the load runs round it."""
+    """An event and the duration of the load around it."""
 
     event: Event
     seconds: float
@@ -40,32 +39,32 @@
 
 async def lose_daemon(system: bench.Bench) -> None:
     """Kill one daemon of eight."""
-    system.system.kill('entry-3')
+    system.cluster.kill('entry-3')
 
 
 async def lose_site(system: bench.Bench) -> None:
     """Kill the daemons and the targets of one site."""
     lost = system.profile.sites[1]
-    for name, place in system.system.daemons.items():
+    for name, place in system.cluster.daemons.items():
         if place.site == lost:
-            system.system.kill(name)
-    system.system.kill('targets-1')
+            system.cluster.kill(name)
+    system.cluster.kill('targets-1')
 
 
 async def lose_platform(system: bench.Bench) -> None:
-    """Let the platform's store answer nothing for a while."""
-    await system.system.store_faults(outage_ms=_OUTAGE_MS)
+    """Make the platform's store unresponsive for ``_OUTAGE_MS``."""
+    await system.cluster.store_faults(outage_ms=_OUTAGE_MS)
 
 
-async def replace_all(system: bench.Bench) -> None:
-    """Stop and start every daemon, one after another."""
-    for name in system.system.daemons:
+async def restart_all(system: bench.Bench) -> None:
+    """Restart every daemon, one after another."""
+    for name in system.cluster.daemons:
         system.out_of_rotation.add(name)
-        system.system.kill(name, signal.SIGTERM)
-        while system.system.processes[name].poll() is None:
-            await asyncio.sleep(_LAG_S)
-        system.system.start_daemon(name)
-        await system.system.wait_ready(name)
+        system.cluster.kill(name, signal.SIGTERM)
+        while system.cluster.processes[name].poll() is None:
+            await asyncio.sleep(_POLL_S)
+        system.cluster.start_daemon(name)
+        await system.cluster.wait_ready(name)
         system.out_of_rotation.discard(name)
 
 
@@ -73,28 +72,28 @@
     'daemon': Case(lose_daemon, 14.0),
     'site': Case(lose_site, 14.0),
     'platform': Case(lose_platform, 38.0),
-    'all-replaced': Case(replace_all, 45.0),
+    'all-replaced': Case(restart_all, 45.0),
 }
 
 
 def normal_after_s(report: bench.Report) -> float:
-    """Return from the event to the first second since which all is normal.
+    """Return the seconds from the event until all later seconds are normal.
 
-    Normal is 99 in 100 answered whole and p99 within 1.5 times the p99 of
-    the seconds before the event.
+    In a normal second, 99 % of the searches are answered whole and p99 is at
+    most 1.5 times the highest p99 of the seconds before the event.
     """
     before = [row[1] for row in report.timeline if row[0] < _EVENT_S]
-    most_ms = _NORMAL_P99 * max(before)
-    off = [
+    p99_limit_ms = _NORMAL_P99_FACTOR * max(before)
+    abnormal = [
         second
         for second, p99_ms, whole in report.timeline
-        if second >= _EVENT_S and (whole < _NORMAL_WHOLE or p99_ms > most_ms)
+        if second >= _EVENT_S and (whole < _NORMAL_WHOLE_SHARE or p99_ms > p99_limit_ms)
     ]
-    return max(off) + 1.0 - _EVENT_S if off else 0.0
+    return max(abnormal) + 1.0 - _EVENT_S if abnormal else 0.0
 
 
 async def _run(case: Case, seed: int) -> bench.Report:
-    load = offering.Load(_RATE_PER_S, case.seconds, seed, _SERVICE_MS)
+    load = load_generator.Load(_RATE_PER_S, case.seconds, seed, _SERVICE_MS)
     variant = bench.Variant('default')
     async with bench.Bench(bench.GEBEYA, variant, 8) as system:
         return await system.run(load, case.event, _EVENT_S)
@@ -118,14 +117,14 @@
 @click.option('--only', type=click.Choice(sorted(CASES)))
 @click.option('--seeds', default=3)
 def loss(only: str | None, seeds: int) -> None:
-    """Loss of a daemon, a site, the platform; all daemons replaced."""
+    """Measure the loss of a daemon, a site or the platform, and a rollout."""
     _RESULTS.mkdir(parents=True, exist_ok=True)
     for name in [only] if only else list(CASES):
         rows = []
         for seed in range(1, seeds + 1):
             rows.append(_row(asyncio.run(_run(CASES[name], seed))))
             click.echo(f'{name} {rows[-1]}')
-        middle = statistics.median(row['normal_after_s'] for row in rows)
-        click.echo(f'{name}: normal after {middle:.0f} s (median)')
+        median_s = statistics.median(row['normal_after_s'] for row in rows)
+        click.echo(f'{name}: normal after {median_s:.0f} s (median)')
         path = _RESULTS / f'loss-{name}.json'
         path.write_text(json.dumps(rows) + '\n', encoding='utf-8')
--- a/benchmarks/metrics_page.py
+++ b/benchmarks/metrics_page.py
@@ -1,8 +1,8 @@
-"""How long one ``/metrics`` page holds up the event loop.
+"""Measures how long rendering a ``/metrics`` page blocks the event loop.
 
-A timer of 1 ms runs beside the writing of a page; its largest and total
-lateness over 5 ms are given, for a page written on the loop and in a
-thread.  Run as ``python -m benchmarks.metrics_page --services 100``.
+A 1 ms timer runs while the page is rendered, once on the event loop and once
+in a thread; the largest lateness of the timer is printed.  Run as
+``python -m benchmarks.metrics_page --services 100``.
 """
 
 import asyncio
@@ -21,25 +21,25 @@
 async def _lateness_ms(
     write: typing.Callable[[], typing.Awaitable[bytes]],
 ) -> tuple[float, float, int]:
-    """Return the timer's largest lateness, the time, and the bytes."""
-    worst = 0.0
+    """Return the largest lateness and the duration in ms, and the bytes."""
+    max_lateness_s = 0.0
 
-    async def watch() -> None:
-        nonlocal worst
+    async def measure_lateness() -> None:
+        nonlocal max_lateness_s
         while True:
             began = time.monotonic()
             await asyncio.sleep(_PERIOD_S)
-            worst = max(worst, time.monotonic() - began - _PERIOD_S)
+            max_lateness_s = max(max_lateness_s, time.monotonic() - began - _PERIOD_S)
 
-    watcher = asyncio.create_task(watch())
+    watcher = asyncio.create_task(measure_lateness())
     await asyncio.sleep(0.02)
-    worst = 0.0
+    max_lateness_s = 0.0
     began = time.monotonic()
     page = await write()
-    took = time.monotonic() - began
+    elapsed_s = time.monotonic() - began
     await asyncio.sleep(0.01)
     watcher.cancel()
-    return worst * 1e3, took * 1e3, len(page)
+    return max_lateness_s * 1e3, elapsed_s * 1e3, len(page)
 
 
 async def _measure(counters: metrics.Metrics) -> dict[str, typing.Any]:
@@ -64,7 +64,7 @@
 @click.command()
 @click.option('--services', default=100)
 def main(services: int) -> None:
-    """Measure and print as JSON."""
+    """Measure and print the figures as JSON."""
     counters = object_slopes.series(services)
     print(json.dumps(asyncio.run(_measure(counters)), indent=1))
 
--- a/benchmarks/object_slopes.py
+++ b/benchmarks/object_slopes.py
@@ -1,8 +1,8 @@
-"""What the objects that a daemon holds cost, by their number.
+"""Measures the cost of the objects that a daemon holds, by their size.
 
-For each kind of object and each size: processor time of building or
-reading it (median of some rounds), memory it keeps (``tracemalloc``), its
-bytes on the wire, and the least-squares line with its largest residual.
+For each kind of object and each size, it measures the CPU time to build or
+read the object (median of several rounds), its memory (``tracemalloc``) and
+its encoded bytes, and fits a least-squares line with its largest residual.
 Run as ``python -m benchmarks.object_slopes --json FILE``.
 """
 
@@ -33,10 +33,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Case:
-    """One kind of object.
+    """One kind of object to measure.
 
-    ``prepare(size)`` makes the input, ``build(input)`` is what is measured,
-    ``wire(input)`` gives bytes as they cross, if they do.
+    ``prepare(size)`` returns the input, ``build(input)`` is measured, and
+    ``wire(input)`` returns the encoded size in bytes, or 0 if the object is
+    never sent.
     """
 
     name: str
@@ -47,8 +48,8 @@
     wire: typing.Callable[[typing.Any], int] = lambda given: 0
 
 
-class _NoPeers:
-    """Takes every message and sends none."""
+class _NullPeers:
+    """Peer connections that drop every message."""
 
     def subscribe(self, kind: type, handler: object) -> None:
         """Ignore."""
@@ -108,7 +109,7 @@
 
 
 def _site_loss_input(targets: int) -> tuple:
-    """Return the input when one data centre has no daemon left."""
+    """Return the input with no daemon left at one site."""
     configuration, snapshot, live = _ownership_input(targets)
     lost = planned.SITES[0]
     return configuration, snapshot, [row for row in live if row.site != lost]
@@ -144,7 +145,7 @@
 
 
 def _signs(hosts: list[transport.Host]) -> coordination.TargetSigns:
-    peers = _NoPeers()
+    peers = _NullPeers()
     signs = coordination.TargetSigns(
         None,
         peers,
@@ -164,7 +165,7 @@
 
 
 def series(services: int) -> metrics.Metrics:
-    """Record what a daemon records for each service and class."""
+    """Return metrics with the series of each service and request class."""
     counters = metrics.Metrics('series')
     for number in range(services):
         for request_class in state.REQUEST_CLASSES:
@@ -185,7 +186,7 @@
 
 
 def _quarantine(entries: int) -> coordination.Quarantine:
-    peers = _NoPeers()
+    peers = _NullPeers()
     kept = coordination.Quarantine(peers, peers, None, _CLOCK, _COUNTERS)
     for number in range(entries):
         fingerprint = f'{number:032x}'
@@ -198,7 +199,7 @@
     return scatter_cost.open_queries(queries)
 
 
-def _same(given: typing.Any) -> typing.Any:
+def _identity(given: typing.Any) -> typing.Any:
     return given
 
 
@@ -267,7 +268,7 @@
         'metrics: series of services and classes, by service',
         (4, 8, 16, 32, 64, 100),
         planned.SERVICES,
-        _same,
+        _identity,
         series,
     ),
     Case(
@@ -282,14 +283,14 @@
         'quarantine: verdicts, by entry',
         (4, 8, 16, 32, 64, 128),
         64,
-        _same,
+        _identity,
         _quarantine,
     ),
     Case(
         'coordinator: queries in flight of 55, by query',
         (4, 8, 16, 32, 64, 128),
         64,
-        _same,
+        _identity,
         _scatters,
     ),
 )
@@ -336,7 +337,7 @@
 
 
 def run(case: Case) -> dict[str, typing.Any]:
-    """Measure one case at all its sizes and fit the lines."""
+    """Measure one case at all its sizes and fit lines to the figures."""
     points = [_measure(case, size) for size in case.sizes]
     fits = {
         name: _fit(points, name, case.planned_size)
@@ -365,7 +366,7 @@
 @click.command()
 @click.option('--json', 'json_path', type=click.Path(path_type=pathlib.Path))
 def main(json_path: pathlib.Path | None) -> None:
-    """Measure every case and print points and fits."""
+    """Measure every case and print its figures and fitted lines."""
     rows = []
     for case in CASES:
         rows.append(run(case))
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -1,8 +1,9 @@
-"""Ways to give a site's targets to its daemons, on a skewed load.
+"""Compares strategies that assign a site's targets to its daemons.
 
-Run as ``python -m benchmarks.ownership``.  A site of the planned size: 61
-daemons, five indexes of 55 targets, searched with a skew; each query touches
-all targets of one index.  Only pure functions run, so the figures repeat.
+Run as ``python -m benchmarks.ownership``.  The site has 61 daemons and five
+indexes of 55 targets, some of which are searched more often than others.
+Each query goes to all targets of one index.  Only pure functions run, so the
+figures are reproducible.
 """
 
 import bisect
@@ -28,18 +29,18 @@
 _SITES = {_SITE: state.Site(_SITE, 'addis', 1.0, 1.0, {})}
 _RESULTS = pathlib.Path(__file__).resolve().parent / 'results'
 
-# A daemon may be given this much of the mean load, in the bounded way.
-_BOUND = 1.25
+# Highest load of a daemon, as a multiple of the mean (bounded loads only).
+_LOAD_BOUND = 1.25
 
 Owners = dict[str, str]
 Demand = typing.Mapping[str, float]
 
 
 class Strategy(typing.Protocol):
-    """Gives each target an owner."""
+    """Assigns an owner to each target."""
 
     def __call__(self, members: list[state.Member], demand: Demand) -> Owners:
-        """Return the owner of each target, given the load observed."""
+        """Return the owner of each target, given the load per target."""
 
 
 def _member(number: int) -> state.Member:
@@ -74,7 +75,7 @@
 
 
 def by_target(members: list[state.Member], demand: Demand) -> Owners:
-    """Plain rendezvous hashing of each target."""
+    """Assign each target by rendezvous hashing."""
     owners = {}
     for name, target in _TARGETS.items():
         owner = coordination.owner_of(target, members, _SITES)
@@ -84,44 +85,44 @@
 
 
 def by_group(members: list[state.Member], demand: Demand) -> Owners:
-    """Rendezvous hashing of groups, as the daemons do it."""
+    """Assign groups by rendezvous hashing, as the daemons do."""
     return coordination.owners_of(_TARGETS, _SNAPSHOT, members, _SITES)
 
 
 def by_bounded_group(members: list[state.Member], demand: Demand) -> Owners:
-    """Rendezvous of groups that passes over daemons with enough load."""
-    most = _BOUND * sum(demand.values()) / len(members)
+    """Assign groups by rendezvous hashing with bounded loads."""
+    limit = _LOAD_BOUND * sum(demand.values()) / len(members)
     heaviest = sorted(
         _GROUPS, key=lambda group: (-_weight(group, demand), group[0])
     )
-    taken = {member.name: 0.0 for member in members}
+    assigned = {member.name: 0.0 for member in members}
     owners: Owners = {}
     for group in heaviest:
-        ranked = sorted(taken, key=lambda name: _hash(group[0], name))
+        ranked = sorted(assigned, key=lambda name: _hash(group[0], name))
         weight = _weight(group, demand)
         owner = next(
-            (name for name in ranked if taken[name] + weight <= most),
-            min(ranked, key=taken.__getitem__),
+            (name for name in ranked if assigned[name] + weight <= limit),
+            min(ranked, key=assigned.__getitem__),
         )
-        taken[owner] += weight
+        assigned[owner] += weight
         owners.update(dict.fromkeys(group, owner))
     return owners
 
 
 def by_even_group(members: list[state.Member], demand: Demand) -> Owners:
-    """Rendezvous of groups, at most the mean number of them a daemon."""
+    """Assign groups by rendezvous hashing, at most the mean per daemon."""
     return _even(members, len(_GROUPS))
 
 
 def by_even_index(members: list[state.Member], demand: Demand) -> Owners:
-    """As even groups, and no daemon gets more of one index than its part."""
+    """Assign as ``by_even_group``, and spread each index evenly too."""
     return _even(members, len(_GROUPS) // _INDEXES)
 
 
-def _even(members: list[state.Member], alike: int) -> Owners:
-    most = -(-len(_GROUPS) // len(members))
-    most_alike = -(-alike // len(members))
-    taken: collections.Counter[typing.Hashable] = collections.Counter()
+def _even(members: list[state.Member], groups_per_index: int) -> Owners:
+    limit = -(-len(_GROUPS) // len(members))
+    index_limit = -(-groups_per_index // len(members))
+    assigned: collections.Counter[typing.Hashable] = collections.Counter()
     owners: Owners = {}
     for group in _GROUPS:
         index = group[0].partition('-')[0]
@@ -133,26 +134,25 @@
             (
                 name
                 for name in ranked
-                if taken[name] < most and taken[name, index] < most_alike
+                if assigned[name] < limit and assigned[name, index] < index_limit
             ),
-            min(ranked, key=taken.__getitem__),
+            min(ranked, key=assigned.__getitem__),
         )
-        taken[owner] += 1
-        taken[owner, index] += 1
+        assigned[owner] += 1
+        assigned[owner, index] += 1
         owners.update(dict.fromkeys(group, owner))
     return owners
 
 
 def by_quantile(members: list[state.Member], demand: Demand) -> Owners:
-    """Targets in the order of their groups, cut at quantiles of demand.
+    """Order targets by group and cut the order at quantiles of demand.
 
-    The "touches" of the demand-aware heuristic: equal parts of what was
-    asked for, not of the space.
+    Each daemon gets a range of targets with an equal part of the demand.
     """
     order = list(itertools.chain.from_iterable(_GROUPS))
     sums = list(itertools.accumulate(demand[name] for name in order))
-    part = sums[-1] / len(members)
-    cuts = [part * number for number in range(1, len(members))]
+    demand_per_member = sums[-1] / len(members)
+    cuts = [demand_per_member * number for number in range(1, len(members))]
     return {
         name: members[bisect.bisect_left(cuts, total - demand[name] / 2)].name
         for name, total in zip(order, sums)
@@ -178,7 +178,7 @@
 
 
 def demand_of(seed: int, skew: float) -> dict[str, float]:
-    """Return queries at each target; index ranks by a power law."""
+    """Return the demand of each target; indexes follow a power law."""
     rng = random.Random(seed)
     ranks = list(range(1, _INDEXES + 1))
     rng.shuffle(ranks)
@@ -190,14 +190,14 @@
 
 
 def jain(loads: typing.Sequence[float]) -> float:
-    """Return Jain's fairness index: 1 if all are equal, 1/n if one has all."""
+    """Return Jain's fairness index: 1 if equal, 1/n if one has all."""
     squares = len(loads) * sum(load * load for load in loads)
     return sum(loads) ** 2 / squares
 
 
-def judge(strategy: Strategy, seed: int, skew: float) -> dict[str, float]:
-    """Return the measures of one strategy."""
-    # Other names by seed give other hashes.
+def evaluate(strategy: Strategy, seed: int, skew: float) -> dict[str, float]:
+    """Return fairness and stability measures of one strategy."""
+    # Names that differ by seed give other hashes.
     members = [_member(100 * seed + number) for number in range(_DAEMONS)]
     demand = demand_of(seed, skew)
     owners = strategy(members, demand)
@@ -209,31 +209,31 @@
         asked = {owners[f'i{index}-t{n}'] for n in range(_SHARDS)}
         dispatchers += len(asked) * demand[f'i{index}-t0']
     queries = sum(demand[f'i{index}-t0'] for index in range(_INDEXES))
-    middle = _DAEMONS // 2
-    without = strategy(members[:middle] + members[middle + 1 :], demand)
-    shifted = strategy(members, demand_of(seed + 1, skew))
-    mean = statistics.fmean(loads.values())
+    removed = _DAEMONS // 2
+    owners_without_one = strategy(members[:removed] + members[removed + 1 :], demand)
+    owners_new_demand = strategy(members, demand_of(seed + 1, skew))
+    mean_load = statistics.fmean(loads.values())
     return {
         'items_per_message': _SHARDS * queries / dispatchers,
         'jain': jain(list(loads.values())),
-        'most_over_mean': max(loads.values()) / mean,
-        'moved_by_one_daemon': _moved(owners, without),
-        'moved_by_new_demand': _moved(owners, shifted),
+        'most_over_mean': max(loads.values()) / mean_load,
+        'moved_by_one_daemon': _count_moved(owners, owners_without_one),
+        'moved_by_new_demand': _count_moved(owners, owners_new_demand),
     }
 
 
-def _moved(before: Owners, after: Owners) -> int:
+def _count_moved(before: Owners, after: Owners) -> int:
     return sum(before[name] != after[name] for name in before)
 
 
 @click.command()
 @click.option('--seeds', default=5)
-@click.option('--skew', default=1.0, help='Power of the rank of an index.')
+@click.option('--skew', default=1.0, help='Exponent of the power law.')
 def main(seeds: int, skew: float) -> None:
-    """Print medians over seeds, and write them to results/ownership.json."""
+    """Print medians over the seeds; write them to results/ownership.json."""
     rows = {}
     for name, strategy in STRATEGIES.items():
-        runs = [judge(strategy, seed, skew) for seed in range(1, seeds + 1)]
+        runs = [evaluate(strategy, seed, skew) for seed in range(1, seeds + 1)]
         rows[name] = {
             key: round(statistics.median(run[key] for run in runs), 3)
             for key in runs[0]
--- a/benchmarks/path_cost.py
+++ b/benchmarks/path_cost.py
@@ -1,12 +1,12 @@
-"""Processor time of what carries sub-queries: messages and HTTP batches.
-
-``message``: a query's batches go to 12 dispatchers, each reads its own and
-answers it; the 13 peer hubs are in this process, over loopback, so that the
-cost is of both ends.  ``http``: a batch sent to a target and its answer
-read; the target is another process, whose time is not counted.  Each with
-one and with four queries or batches in flight, for several numbers of
-items, with one record in an answer, and the least-squares line of a
-batch's cost.
+"""Measures the CPU time of sending sub-queries: peer messages and HTTP.
+
+``message`` sends the batches of a query to 12 dispatchers, each of which
+answers its batch.  The 13 peer hubs run in this process over loopback, so
+the cost includes both ends.  ``http`` sends a batch to a target and reads
+its answer; the target runs in another process, whose time is not counted.
+Both run with one and with four queries or batches in flight, for several
+numbers of items, with one record per answer.  A least-squares line is fitted
+to the cost of a batch.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 from samphiredock import transport
 from standins import cluster
 
-_ITEMS = (1, 2, 4, 5, 8, 17)
+_ITEM_COUNTS = (1, 2, 4, 5, 8, 17)
 _ROUNDS = 5
 _DISPATCHERS = 12
 _QUERIES = 100
@@ -86,43 +86,43 @@
 
 
 async def _message_us(items: int, in_flight: int) -> float:
-    """Return microseconds of both ends for a batch and its answers."""
+    """Return the microseconds of both ends per batch and its answer."""
     ports = cluster.free_ports(_DISPATCHERS + 1)
-    first = _hub('a', ports[0])
+    coordinator = _hub('a', ports[0])
     answer = _sub_answers(items)
-    others = {}
+    dispatchers = {}
     for number, port in enumerate(ports[1:]):
         name = f'b{number}'
-        others[name] = _hub(name, port)
-        first.set_address(name, f'tcp://127.0.0.1:{port}')
-        others[name].set_address('a', f'tcp://127.0.0.1:{ports[0]}')
-        send = others[name].send
-        others[name].subscribe(
+        dispatchers[name] = _hub(name, port)
+        coordinator.set_address(name, f'tcp://127.0.0.1:{port}')
+        dispatchers[name].set_address('a', f'tcp://127.0.0.1:{ports[0]}')
+        send = dispatchers[name].send
+        dispatchers[name].subscribe(
             protocol.SubQueryBatch, lambda to, _, send=send: send(to, answer)
         )
-    came = asyncio.Queue()
-    first.subscribe(
-        protocol.SubAnswerBatch, lambda _, message: came.put_nowait(message)
+    received = asyncio.Queue()
+    coordinator.subscribe(
+        protocol.SubAnswerBatch, lambda _, message: received.put_nowait(message)
     )
-    question = _sub_queries(items)
+    query = _sub_queries(items)
 
     async def queries(count: int) -> None:
-        out = 0
+        pending = 0
         for _ in range(count):
-            for name in others:
-                first.send(name, question)
-            out += _DISPATCHERS
-            while out > (in_flight - 1) * _DISPATCHERS:
-                await came.get()
-                out -= 1
-        for _ in range(out):
-            await came.get()
+            for name in dispatchers:
+                coordinator.send(name, query)
+            pending += _DISPATCHERS
+            while pending > (in_flight - 1) * _DISPATCHERS:
+                await received.get()
+                pending -= 1
+        for _ in range(pending):
+            await received.get()
 
     await queries(1)
     began = time.process_time()
     await queries(_QUERIES)
     used = time.process_time() - began
-    for hub in (first, *others.values()):
+    for hub in (coordinator, *dispatchers.values()):
         hub.close()
     return used * 1e6 / _QUERIES / _DISPATCHERS
 
@@ -180,7 +180,7 @@
 
 
 async def _http_us(url: str, items: int, in_flight: int) -> float:
-    """Return microseconds of this end for one batch."""
+    """Return the microseconds of the sending end per batch."""
     target = state.Target('server-1', 'bole-a', url, 2, 25, 6)
     link = transport.HttpTargetLink(target)
     body = _target_batch(items)
@@ -195,11 +195,11 @@
     return used * 1e6 / _BATCHES
 
 
-async def _rows(
+async def _cost_rows(
     cost: typing.Callable[[int], typing.Awaitable[float]],
 ) -> dict[str, typing.Any]:
     points = []
-    for items in _ITEMS:
+    for items in _ITEM_COUNTS:
         runs = [await cost(items) for _ in range(_ROUNDS)]
         median = statistics.median(runs)
         points.append(
@@ -231,7 +231,7 @@
         url = f'http://127.0.0.1:{port}'
         await system.wait_for(f'{url}/health')
         return {
-            f'{name}, {in_flight} in flight': await _rows(
+            f'{name}, {in_flight} in flight': await _cost_rows(
                 functools.partial(cost, in_flight=in_flight)
             )
             for in_flight in (1, _IN_FLIGHT)
@@ -243,10 +243,10 @@
 
 
 @click.command()
-@click.option('--serve', default=0, help='Be the target on this port.')
+@click.option('--serve', default=0, help='Run as the target on this port.')
 @click.option('--json', 'json_path', type=click.Path(path_type=pathlib.Path))
 def main(serve: int, json_path: pathlib.Path | None) -> None:
-    """Measure and print as JSON."""
+    """Measure and print the figures as JSON."""
     if serve:
         asyncio.run(_serve(serve))
         return
--- a/benchmarks/peer_sockets.py
+++ b/benchmarks/peer_sockets.py
@@ -1,8 +1,9 @@
-"""CPU of a peer message: sockets read by the loop against asyncio sockets.
+"""Compares the CPU time of two ways to read peer messages from a socket.
 
-Both ends run in this process on loopback, so that a figure is the cost of
-sending and receiving together; it has the codec in it, which is the same on
-both sides.  For docs/design/peer-sockets.md.
+Plain ZeroMQ sockets read by an event loop reader are compared with the
+asyncio sockets of pyzmq.  Both ends run in this process over loopback, so a
+figure includes sending, receiving and the codec.  The figures are quoted in
+``docs/design/peer-sockets.md``.
 """
 
 import asyncio
@@ -33,7 +34,7 @@
     return [b'entry-1', *_CODEC.encode(message)]
 
 
-def _read(frames: list[bytes]) -> None:
+def _decode(frames: list[bytes]) -> None:
     for name, body in zip(frames[1::2], frames[2::2]):
         _CODEC.decode(name, body)
 
@@ -47,8 +48,8 @@
     return incoming, outgoing
 
 
-async def _read_by_loop(messages: int, items: int, burst: int) -> None:
-    """Drain a plain socket from the event loop's own reader."""
+async def _loop_reader(messages: int, items: int, burst: int) -> None:
+    """Drain a plain socket from a reader of the event loop."""
     loop = asyncio.get_running_loop()
     context = zmq.Context()
     incoming, outgoing = _pair(context)
@@ -60,7 +61,7 @@
                 frames = incoming.recv_multipart(zmq.NOBLOCK)
             except zmq.Again:
                 return
-            _read(frames)
+            _decode(frames)
             received.release()
 
     loop.add_reader(incoming.fd, drain)
@@ -81,7 +82,7 @@
 
     async def receive() -> None:
         for _ in range(messages // burst * burst):
-            _read(await incoming.recv_multipart())
+            _decode(await incoming.recv_multipart())
             received.release()
 
     receiver = asyncio.create_task(receive())
@@ -94,16 +95,16 @@
     context.destroy(linger=0)
 
 
-_WAYS: dict[str, typing.Callable[[int, int, int], typing.Coroutine]] = {
-    'read by the loop': _read_by_loop,
+_VARIANTS: dict[str, typing.Callable[[int, int, int], typing.Coroutine]] = {
+    'read by the loop': _loop_reader,
     'asyncio sockets': _asyncio_sockets,
 }
 
 
-def _cost_us(way: str, messages: int, items: int, burst: int) -> float:
-    work = _WAYS[way](messages, items, burst)
+def _cost_us(variant: str, messages: int, items: int, burst: int) -> float:
+    run = _VARIANTS[variant](messages, items, burst)
     started_s = time.process_time()
-    asyncio.run(asyncio.wait_for(work, _RUN_TIMEOUT_S))
+    asyncio.run(asyncio.wait_for(run, _RUN_TIMEOUT_S))
     return (time.process_time() - started_s) * 1e6 / (messages * items)
 
 
@@ -111,19 +112,19 @@
 @click.option('--messages', default=10_000)
 @click.option('--runs', default=5)
 def main(messages: int, runs: int) -> None:
-    """Print the median CPU of an item, with the smallest and largest."""
+    """Print the median, least and greatest CPU time per item."""
     costs = collections.defaultdict(list)
     for _ in range(runs):
-        for burst, items, way in itertools.product(
-            _BURSTS, _ITEM_COUNTS, _WAYS
+        for burst, items, variant in itertools.product(
+            _BURSTS, _ITEM_COUNTS, _VARIANTS
         ):
-            cost_us = _cost_us(way, messages, items, burst)
-            costs[burst, items, way].append(cost_us)
-    for (burst, items, way), found in costs.items():
-        middle = statistics.median(found)
+            cost_us = _cost_us(variant, messages, items, burst)
+            costs[burst, items, variant].append(cost_us)
+    for (burst, items, variant), costs_us in costs.items():
+        median_us = statistics.median(costs_us)
         print(
-            f'{way}, {burst} messages at once of {items} items: '
-            f'{middle:.1f} us an item ({min(found):.1f} to {max(found):.1f})'
+            f'{variant}, {burst} messages at once of {items} items: '
+            f'{median_us:.1f} us per item ({min(costs_us):.1f} to {max(costs_us):.1f})'
         )
 
 
--- a/benchmarks/planned.py
+++ b/benchmarks/planned.py
@@ -1,4 +1,7 @@
-"""Objects of the planned size, for the benchmarks of docs/CAPACITY.md."""
+"""Configuration, snapshot and members of the planned size.
+
+The benchmarks whose figures are in ``docs/CAPACITY.md`` use them.
+"""
 
 import typing
 
@@ -25,18 +28,21 @@
 
 
 def target_names(count: int) -> list[str]:
-    """Return names of the planned length."""
+    """Return target names, as long as real ones."""
     return [f'server-{number:05d}' for number in range(count)]
 
 
 def index_names(targets: int) -> list[str]:
-    """Return the indexes that the targets hold, two replicas a shard."""
+    """Return names of the indexes that the targets can hold.
+
+    Each index has ``SHARDS`` shards with ``REPLICAS`` replicas.
+    """
     count = max(1, targets // (SHARDS * REPLICAS))
     return [f'index-{number}' for number in range(count)]
 
 
 def base(targets: int, services: int = SERVICES) -> dict[str, typing.Any]:
-    """Return a base file with targets over eight sites, and services."""
+    """Return a base configuration with targets at eight sites."""
     indexes = index_names(targets)
     return {
         'services': {
@@ -76,7 +82,7 @@
 
 
 def source(revision: int, targets: int) -> state.ConfigurationSource:
-    """Return a stored configuration, with its 200 last changes."""
+    """Return a stored configuration with its last 200 changes."""
     recent = [
         protocol.ChangeSummary(
             number, 'operator', f'change-{number:08d}-0123456789abcdef', 0
@@ -113,7 +119,7 @@
 
 
 def members(count: int) -> list[state.Member]:
-    """Return daemons over eight sites."""
+    """Return members spread over eight sites."""
     return [
         state.Member(
             f'entry-{number:04d}',
--- a/benchmarks/results.py
+++ b/benchmarks/results.py
@@ -1,4 +1,4 @@
-"""Results of comparisons: a table, a small file and a plot."""
+"""Writes the results of a comparison as a table, a JSON file and a plot."""
 
 import dataclasses
 import json
@@ -32,7 +32,7 @@
 
 
 def line(report: bench.Report) -> str:
-    """Return one run on one line."""
+    """Return one run as one line of text."""
     return (
         f'seed {report.seed} {report.variant:24} p50 {report.p50_ms:6.1f} '
         f'p99 {report.p99_ms:6.1f} coverage {report.mean_coverage:.4f} '
@@ -53,7 +53,7 @@
 def summary(
     rows: typing.Iterable[typing.Mapping[str, typing.Any]],
 ) -> dict[str, dict[str, list[float]]]:
-    """Return for each variant and field the median and the worst."""
+    """Return the median and the worst value per variant and field."""
     by_variant: dict[str, list[typing.Mapping[str, typing.Any]]] = {}
     for row in rows:
         by_variant.setdefault(row['variant'], []).append(row)
@@ -71,7 +71,7 @@
 def save(
     name: str, groups: typing.Mapping[str, list[bench.Report]]
 ) -> pathlib.Path:
-    """Write medians, worst and every run; return the path."""
+    """Write the summary and every run to a file; return its path."""
     rows = {
         group: [_row(row) for row in runs] for group, runs in groups.items()
     }
@@ -96,32 +96,32 @@
 
 
 def table(content: typing.Mapping[str, typing.Any]) -> str:
-    """Return the summary as a table in Markdown: median (worst)."""
+    """Return the summary as a Markdown table of ``median (worst)``."""
     lines = []
     for group, variants in content['summary'].items():
         lines.append(f'| {group} | ' + ' | '.join(_FIELDS) + ' |')
         lines.append('|---' * (len(_FIELDS) + 1) + '|')
         for variant, fields in variants.items():
             cells = [
-                f'{middle:g} ({worst:g})' for middle, worst in fields.values()
+                f'{median:g} ({worst:g})' for median, worst in fields.values()
             ]
             lines.append(f'| {variant} | ' + ' | '.join(cells) + ' |')
     return '\n'.join(lines)
 
 
 def plot(name: str, groups: typing.Mapping[str, list[bench.Report]]) -> None:
-    """Draw p99 of each run against processor time and extra load."""
+    """Plot p99 of each run against CPU time and extra load."""
     drawing = figure.Figure(figsize=(7, 3 * len(groups)), dpi=70)
     axes = drawing.subplots(len(groups), 2, squeeze=False)
     for (left, right), (group, runs) in zip(axes, groups.items()):
         for variant in dict.fromkeys(run.variant for run in runs):
-            own = [run for run in runs if run.variant == variant]
-            p99_ms = [run.p99_ms for run in own]
-            cost_us = [run.daemon_us_per_sub_query for run in own]
+            variant_runs = [run for run in runs if run.variant == variant]
+            p99_ms = [run.p99_ms for run in variant_runs]
+            cost_us = [run.daemon_us_per_sub_query for run in variant_runs]
             left.scatter(cost_us, p99_ms, label=variant, s=12)
-            extra = [run.extra_load for run in own]
+            extra = [run.extra_load for run in variant_runs]
             right.scatter(extra, p99_ms, label=variant, s=12)
-        left.set(title=group, xlabel='CPU us a sub-query', ylabel='p99 ms')
+        left.set(title=group, xlabel='CPU us per sub-query', ylabel='p99 ms')
         right.set(xlabel='sub-queries sent / needed')
         left.legend(fontsize=6)
     drawing.tight_layout()
--- a/benchmarks/scatter_cost.py
+++ b/benchmarks/scatter_cost.py
@@ -1,9 +1,9 @@
-"""Processor time of a search's decisions, without sockets or records.
+"""Measures the CPU time of a scatter's decisions, without sockets or records.
 
-Run as ``python -m benchmarks.scatter_cost``.  Each query is planned over
-55 shards with two replicas at 12 dispatchers; the answers come back in one
-message a dispatcher.  The time covers the scatter's decisions, the checks
-of the answers and the merge of coverage; records are left out.
+Run as ``python -m benchmarks.scatter_cost``.  Each query covers 55 shards
+with two replicas at 12 dispatchers; each dispatcher answers in one message.
+The time covers the scatter's decisions, the checks of the answers and the
+merge of coverage.  The answers hold no records.
 """
 
 import json
@@ -24,7 +24,7 @@
 
 
 class _Routes:
-    """Fixed owners; every target is usable."""
+    """Routes with fixed owners, in which every target is usable."""
 
     def __init__(self, snapshot: state.Snapshot) -> None:
         self.snapshot = snapshot
@@ -34,16 +34,16 @@
         }
 
     def owner(self, target: str) -> str | None:
-        """Return the dispatcher of a target."""
+        """Return the owner of a target."""
         return self._owners[target]
 
     def is_usable(self, target: str) -> bool:
-        """Whether a target may get new work."""
+        """Return whether a target may get new work."""
         return target in self._owners
 
 
 class _NullCrashTracker:
-    """Nothing crashes here."""
+    """Crash tracker without any suspect or quarantined request."""
 
     def record_loss(self, fingerprint: str, target: str, service: str) -> None:
         """Ignore."""
@@ -52,11 +52,11 @@
         """Ignore."""
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Return that nothing is suspected."""
+        """Return False."""
         return False
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Return that nothing is refused."""
+        """Return False."""
         return False
 
 
@@ -102,7 +102,7 @@
 
 
 def open_queries(count: int) -> list:
-    """Return queries that were just sent, with what they hold."""
+    """Return queries in flight: their plans, scatters and first sends."""
     snapshot = _snapshot()
     context = _context(snapshot, 1)
     rows = []
@@ -114,7 +114,7 @@
 
 
 def measure(queries: int, seed: int) -> float:
-    """Return the microseconds of processor time a sub-query."""
+    """Return the CPU time per sub-query in microseconds."""
     snapshot = _snapshot()
     shards = snapshot.indexes['claims'].shards
     ranges = {shard.shard_id: shard.key_range for shard in shards}
@@ -128,7 +128,7 @@
         sends = scatter.start(0.0)
         spent_ns += time.process_time_ns() - began_ns
         for send in sends:
-            # Making the answers is the dispatchers' cost, not counted.
+            # Making the answers is the dispatchers' work, so not counted.
             answers = _answers(send, ranges)
             began_ns = time.process_time_ns()
             effects = scatter.on_answers(answers, 4.0)
@@ -141,11 +141,11 @@
 
 
 @click.command()
-@click.option('--queries', default=400, help='Queries in each round.')
-@click.option('--rounds', default=5, help='Rounds; the median is given.')
+@click.option('--queries', default=400, help='Queries per round.')
+@click.option('--rounds', default=5, help='Rounds, of which the median is printed.')
 @click.option('--seed', default=1)
 def main(queries: int, rounds: int, seed: int) -> None:
-    """Print microseconds of processor time a sub-query, as JSON."""
+    """Print the CPU microseconds per sub-query as JSON."""
     rows = [measure(queries, seed + number) for number in range(rounds)]
     print(
         json.dumps(
