--- a/benchmarks/bench.py
+++ b/benchmarks/bench.py
@@ -300,7 +300,7 @@
             )
 
     async def _totals(self) -> collections.Counter:
-        """Sum the counters of daemons and targets, without unreachable ones."""
+        """Sum the counters of all daemons and targets that are reachable."""
         totals: collections.Counter = collections.Counter()
         for place in self.cluster.daemons.values():
             try:
--- a/benchmarks/canary_cost.py
+++ b/benchmarks/canary_cost.py
@@ -49,7 +49,10 @@
         first = _service_ms(rng) if rng.random() < canary_share else 0.0
         rows.append(first + slowest)
     percentiles = statistics.quantiles(rows, n=100)
-    return {'p50_ms': round(percentiles[49], 1), 'p99_ms': round(percentiles[98], 1)}
+    return {
+        'p50_ms': round(percentiles[49], 1),
+        'p99_ms': round(percentiles[98], 1),
+    }
 
 
 @click.command()
--- a/benchmarks/control_slopes.py
+++ b/benchmarks/control_slopes.py
@@ -263,7 +263,8 @@
             points = [
                 (float(row.daemons), getattr(row, name))
                 for row in rows
-                if row.load == load and FIT_MIN_DAEMONS <= row.daemons < PLANNED_DAEMONS
+                if row.load == load
+                and FIT_MIN_DAEMONS <= row.daemons < PLANNED_DAEMONS
             ]
             start, slope = fit(points)
             fitted.append(
@@ -321,7 +322,10 @@
         rows += asyncio.run(run_size(int(size), targets, seconds, loss))
         print(f'{size} daemons done', file=sys.stderr, flush=True)
     lines = fits(rows)
-    print(f'seed {SEED}, {_configuration_bytes(targets)} B of configuration, loss {loss}')
+    print(
+        f'seed {SEED}, {_configuration_bytes(targets)} B of configuration, '
+        f'loss {loss}'
+    )
     print(table(rows, lines))
     if json_path is not None:
         content = {'rows': [msgspec.to_builtins(row) for row in rows]}
--- a/benchmarks/experiments.py
+++ b/benchmarks/experiments.py
@@ -103,7 +103,9 @@
         order = list(variants)
         random.Random(seed).shuffle(order)
         for variant in order:
-            report = await run_variant(variant, dataclasses.replace(load, seed=seed))
+            report = await run_variant(
+                variant, dataclasses.replace(load, seed=seed)
+            )
             click.echo(results.line(report))
             reports.append(report)
     return reports
@@ -179,7 +181,7 @@
 @_daemons
 @_seeds
 def hedge(only: str | None, daemons: int, seeds: int) -> None:
-    """Compare hedging: none, after a fixed delay, a quantile, with a budget."""
+    """Compare hedging: none, fixed delay, quantile, quantile with budget."""
     names = [only] if only else list(HEDGE_LOADS)
     loads = {name: HEDGE_LOADS[name] for name in names}
     run = _compare_limits(bench.GEBEYA, daemons, HEDGES, loads, seeds)
--- a/benchmarks/load_generator.py
+++ b/benchmarks/load_generator.py
@@ -68,7 +68,14 @@
             household = f'household-{rng.randrange(load.distinct)}'
             tasks.append(
                 asyncio.create_task(
-                    _search(session, url, household, start + offset_s, offset_s, load)
+                    _search(
+                        session,
+                        url,
+                        household,
+                        start + offset_s,
+                        offset_s,
+                        load,
+                    )
                 )
             )
         rows = await asyncio.gather(*tasks)
--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -87,7 +87,8 @@
     abnormal = [
         second
         for second, p99_ms, whole in report.timeline
-        if second >= _EVENT_S and (whole < _NORMAL_WHOLE_SHARE or p99_ms > p99_limit_ms)
+        if second >= _EVENT_S
+        and (whole < _NORMAL_WHOLE_SHARE or p99_ms > p99_limit_ms)
     ]
     return max(abnormal) + 1.0 - _EVENT_S if abnormal else 0.0
 
--- a/benchmarks/metrics_page.py
+++ b/benchmarks/metrics_page.py
@@ -29,7 +29,9 @@
         while True:
             began = time.monotonic()
             await asyncio.sleep(_PERIOD_S)
-            max_lateness_s = max(max_lateness_s, time.monotonic() - began - _PERIOD_S)
+            max_lateness_s = max(
+                max_lateness_s, time.monotonic() - began - _PERIOD_S
+            )
 
     watcher = asyncio.create_task(measure_lateness())
     await asyncio.sleep(0.02)
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -134,7 +134,8 @@
             (
                 name
                 for name in ranked
-                if assigned[name] < limit and assigned[name, index] < index_limit
+                if assigned[name] < limit
+                and assigned[name, index] < index_limit
             ),
             min(ranked, key=assigned.__getitem__),
         )
@@ -210,7 +211,9 @@
         dispatchers += len(asked) * demand[f'i{index}-t0']
     queries = sum(demand[f'i{index}-t0'] for index in range(_INDEXES))
     removed = _DAEMONS // 2
-    owners_without_one = strategy(members[:removed] + members[removed + 1 :], demand)
+    owners_without_one = strategy(
+        members[:removed] + members[removed + 1 :], demand
+    )
     owners_new_demand = strategy(members, demand_of(seed + 1, skew))
     mean_load = statistics.fmean(loads.values())
     return {
--- a/benchmarks/path_cost.py
+++ b/benchmarks/path_cost.py
@@ -102,7 +102,8 @@
         )
     received = asyncio.Queue()
     coordinator.subscribe(
-        protocol.SubAnswerBatch, lambda _, message: received.put_nowait(message)
+        protocol.SubAnswerBatch,
+        lambda _, message: received.put_nowait(message),
     )
     query = _sub_queries(items)
 
--- a/benchmarks/peer_sockets.py
+++ b/benchmarks/peer_sockets.py
@@ -124,7 +124,8 @@
         median_us = statistics.median(costs_us)
         print(
             f'{variant}, {burst} messages at once of {items} items: '
-            f'{median_us:.1f} us per item ({min(costs_us):.1f} to {max(costs_us):.1f})'
+            f'{median_us:.1f} us per item '
+            f'({min(costs_us):.1f} to {max(costs_us):.1f})'
         )
 
 
--- a/benchmarks/planned.py
+++ b/benchmarks/planned.py
@@ -28,7 +28,7 @@
 
 
 def target_names(count: int) -> list[str]:
-    """Return target names, as long as real ones."""
+    """Return target names of the planned length."""
     return [f'server-{number:05d}' for number in range(count)]
 
 
--- a/benchmarks/scatter_cost.py
+++ b/benchmarks/scatter_cost.py
@@ -142,7 +142,9 @@
 
 @click.command()
 @click.option('--queries', default=400, help='Queries per round.')
-@click.option('--rounds', default=5, help='Rounds, of which the median is printed.')
+@click.option(
+    '--rounds', default=5, help='Rounds, of which the median is printed.'
+)
 @click.option('--seed', default=1)
 def main(queries: int, rounds: int, seed: int) -> None:
     """Print the CPU microseconds per sub-query as JSON."""
