--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -71,7 +71,7 @@
     def __init__(
         self, rng: random.Random, system: prepared_system.PreparedSystem
     ) -> None:
-        self.asked: list[_checks.Asked] = []
+        self.asked: list[_checks.RequestRecord] = []
         self.starts: collections.Counter[str] = collections.Counter()
         self.away: set[str] = set()
         self.version = 1
@@ -185,13 +185,13 @@
     start: int,
     sent_s: float,
     behind: int,
-) -> _checks.Asked:
+) -> _checks.RequestRecord:
     status, headers, body = 0, {}, b''
     if seen is not None:
         status, headers = int(seen.line.split()[1]), seen.headers
         body = seen.body
     stated = headers.get('part-stamps') or headers.get('answer-stamp', '')
-    return _checks.Asked(
+    return _checks.RequestRecord(
         request.kind,
         request.request_id,
         status,
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
+class RequestRecord:
     """One request as its caller saw it; status 0 for no whole answer.
 
     ``start`` counts the starts of its daemon; times are of one clock.
@@ -78,7 +78,7 @@
     ``read`` the requests that the log of each daemon tells of.
     """
 
-    asked: tuple[Asked, ...]
+    asked: tuple[RequestRecord, ...]
     runs: tuple[Run, ...]
     shards: tuple[str, ...]
     records: typing.Mapping[str, bytes]
@@ -125,7 +125,7 @@
     ]
 
 
-def _problems_of(row: Asked, history: History) -> typing.Iterator[str]:
+def _problems_of(row: RequestRecord, history: History) -> typing.Iterator[str]:
     parts = [receipt.rpartition('.') for receipt in row.receipts]
     if any(request_id != row.request_id for request_id, _, _ in parts):
         yield f'got receipts {row.receipts[:3]}, expected its own'
@@ -197,7 +197,7 @@
     ]
 
 
-def _cut(history: History) -> list[Asked]:
+def _cut(history: History) -> list[RequestRecord]:
     """Return what ended without answer at a daemon that was not killed."""
     return [
         row
--- a/tests/unit/test_soak_checks.py
+++ b/tests/unit/test_soak_checks.py
@@ -20,7 +20,7 @@
         (every[at : at + 16] for at in range(0, len(every), 16)),
         reverse=True,
     )
-    row = _checks.Asked(
+    row = _checks.RequestRecord(
         'search',
         'q1',
         200,
@@ -32,7 +32,7 @@
 
 
 def history(
-    *asked: _checks.Asked, runs: tuple[_checks.Run, ...] = ()
+    *asked: _checks.RequestRecord, runs: tuple[_checks.Run, ...] = ()
 ) -> _checks.History:
     """Return a history of four shards."""
     return _checks.History(asked, runs, SHARDS, RECORDS, 0.75, 5, 2)
@@ -49,9 +49,9 @@
         seen = history(
             search('s1-0', 's2-1', 's3-0', 's4-0'),
             search('s1-0', 's2-1', 's3-0', missing=1),
-            _checks.Asked('pay', 'p1', 502),
-            _checks.Asked('pay', 'p2', 503),
-            _checks.Asked('fetch', 'f1', 200, ('f1.desk-0',), 0,
+            _checks.RequestRecord('pay', 'p1', 502),
+            _checks.RequestRecord('pay', 'p2', 503),
+            _checks.RequestRecord('fetch', 'f1', 200, ('f1.desk-0',), 0,
                           RECORDS['desk']),
             runs=(_checks.Run('p1', 'desk-0'), _checks.Run('f1', 'desk-0')),
         )  # fmt: skip
@@ -61,7 +61,7 @@
         """At two targets, or twice at one."""
         for second in ('desk-0', 'desk-1'):
             seen = history(
-                _checks.Asked('pay', 'p1', 200, ('p1.desk-0',), 0,
+                _checks.RequestRecord('pay', 'p1', 200, ('p1.desk-0',), 0,
                               RECORDS['desk']),
                 runs=(
                     _checks.Run('p1', 'desk-0'), _checks.Run('p1', second),
@@ -74,7 +74,7 @@
         for status in (408, 421, 429, 503):
             for kind in ('pay', 'fetch', 'probe', 'search'):
                 seen = history(
-                    _checks.Asked(kind, 'p1', status),
+                    _checks.RequestRecord(kind, 'p1', status),
                     runs=(_checks.Run('p1', 'desk-0'),),
                 )
                 self.assertEqual({'not run is true'}, self._wrong(seen))
@@ -94,7 +94,7 @@
             with self.subTest(changes):
                 seen = history(dataclasses.replace(sound, **changes))
                 self.assertEqual({'own whole answer'}, self._wrong(seen))
-        fetch = _checks.Asked('fetch', 'f1', 200, ('f1.desk-0',), 0, b'x')
+        fetch = _checks.RequestRecord('fetch', 'f1', 200, ('f1.desk-0',), 0, b'x')
         self.assertEqual({'own whole answer'}, self._wrong(history(fetch)))
 
     def test_too_many_targets_and_unknown_routes(self) -> None:
@@ -103,13 +103,13 @@
         The route of a probe allows one target.
         """
         seen = history(
-            _checks.Asked('fetch', 'f1', 404),
+            _checks.RequestRecord('fetch', 'f1', 404),
             runs=tuple(_checks.Run('q1', f's1-{n}') for n in range(3)),
         )
         self.assertEqual({'attempts', 'routes'}, self._wrong(seen))
         for kind, wrong in (('probe', {'attempts'}), ('fetch', set())):
             seen = history(
-                _checks.Asked(kind, 'q1', 502),
+                _checks.RequestRecord(kind, 'q1', 502),
                 runs=tuple(_checks.Run('q1', f'desk-{n}') for n in range(2)),
             )
             self.assertEqual(wrong, self._wrong(seen))
@@ -120,7 +120,7 @@
         Only a kill of this start of its daemon excuses it; what no target
         has begun and the daemon has not read may cross a close.
         """
-        cut = _checks.Asked(
+        cut = _checks.RequestRecord(
             'fetch', 'f1', 0, daemon='one', start=2, sent_s=4.5, ended_s=5.0
         )
         began = (_checks.Run('f1', 'desk-0'),)
@@ -145,7 +145,7 @@
         No target has begun it.  One that was sent during the stop may cross
         the close; one behind another is told by the other's answer.
         """
-        dropped = _checks.Asked(
+        dropped = _checks.RequestRecord(
             'fetch', 'f1', 0, daemon='one', start=2, sent_s=3.0, ended_s=5.0
         )
         stop = _checks.Stop('one', 2, 4.0, 6.0)
@@ -180,11 +180,11 @@
         After a restart it may know less for a moment; what was under way
         at the same time says nothing.
         """
-        served = _checks.Asked(
+        served = _checks.RequestRecord(
             'probe', 'r1', 200, ('r1.desk-0',), 0, RECORDS['desk'], 'one', 1,
             1.0, 1.1, 5,
         )  # fmt: skip
-        lost = _checks.Asked(
+        lost = _checks.RequestRecord(
             'probe', 'r2', 404, daemon='one', start=1, sent_s=2.0,
             ended_s=2.1, version=4,
         )  # fmt: skip
