--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -37,7 +37,7 @@
     sent_s: float = 0.0
     ended_s: float = 0.0
     version: int = 0
-    behind: int = 0
+    pipeline_index: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
