--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Run:
+class Execution:
     """A target began a request."""
 
     request_id: str
@@ -79,7 +79,7 @@
     """
 
     asked: tuple[RequestRecord, ...]
-    runs: tuple[Run, ...]
+    runs: tuple[Execution, ...]
     shards: tuple[str, ...]
     records: typing.Mapping[str, bytes]
     least_share: float
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -128,7 +128,7 @@
             target.service: target.records()
             for target in self.system.targets.values()
         }
-        runs = tuple(_checks.Run(*row.split()) for row in self.system.runs)
+        runs = tuple(_checks.Execution(*row.split()) for row in self.system.runs)
         return _checks.History(
             tuple(self.callers.asked),
             runs,
--- a/tests/unit/test_soak_checks.py
+++ b/tests/unit/test_soak_checks.py
@@ -32,7 +32,7 @@
 
 
 def history(
-    *asked: _checks.RequestRecord, runs: tuple[_checks.Run, ...] = ()
+    *asked: _checks.RequestRecord, runs: tuple[_checks.Execution, ...] = ()
 ) -> _checks.History:
     """Return a history of four shards."""
     return _checks.History(asked, runs, SHARDS, RECORDS, 0.75, 5, 2)
@@ -53,7 +53,7 @@
             _checks.RequestRecord('pay', 'p2', 503),
             _checks.RequestRecord('fetch', 'f1', 200, ('f1.desk-0',), 0,
                           RECORDS['desk']),
-            runs=(_checks.Run('p1', 'desk-0'), _checks.Run('f1', 'desk-0')),
+            runs=(_checks.Execution('p1', 'desk-0'), _checks.Execution('f1', 'desk-0')),
         )  # fmt: skip
         self.assertEqual(set(), self._wrong(seen))
 
@@ -64,7 +64,7 @@
                 _checks.RequestRecord('pay', 'p1', 200, ('p1.desk-0',), 0,
                               RECORDS['desk']),
                 runs=(
-                    _checks.Run('p1', 'desk-0'), _checks.Run('p1', second),
+                    _checks.Execution('p1', 'desk-0'), _checks.Execution('p1', second),
                 ),
             )  # fmt: skip
             self.assertEqual({'at most once'}, self._wrong(seen))
@@ -75,7 +75,7 @@
             for kind in ('pay', 'fetch', 'probe', 'search'):
                 seen = history(
                     _checks.RequestRecord(kind, 'p1', status),
-                    runs=(_checks.Run('p1', 'desk-0'),),
+                    runs=(_checks.Execution('p1', 'desk-0'),),
                 )
                 self.assertEqual({'not run is true'}, self._wrong(seen))
 
@@ -104,13 +104,13 @@
         """
         seen = history(
             _checks.RequestRecord('fetch', 'f1', 404),
-            runs=tuple(_checks.Run('q1', f's1-{n}') for n in range(3)),
+            runs=tuple(_checks.Execution('q1', f's1-{n}') for n in range(3)),
         )
         self.assertEqual({'attempts', 'routes'}, self._wrong(seen))
         for kind, wrong in (('probe', {'attempts'}), ('fetch', set())):
             seen = history(
                 _checks.RequestRecord(kind, 'q1', 502),
-                runs=tuple(_checks.Run('q1', f'desk-{n}') for n in range(2)),
+                runs=tuple(_checks.Execution('q1', f'desk-{n}') for n in range(2)),
             )
             self.assertEqual(wrong, self._wrong(seen))
 
@@ -123,7 +123,7 @@
         cut = _checks.RequestRecord(
             'fetch', 'f1', 0, daemon='one', start=2, sent_s=4.5, ended_s=5.0
         )
-        began = (_checks.Run('f1', 'desk-0'),)
+        began = (_checks.Execution('f1', 'desk-0'),)
         stop = _checks.Stop('one', 2, 4.0, 6.0)
         for stops in ((), (stop,)):
             seen = dataclasses.replace(history(cut, runs=began), stops=stops)
@@ -188,7 +188,7 @@
             'probe', 'r2', 404, daemon='one', start=1, sent_s=2.0,
             ended_s=2.1, version=4,
         )  # fmt: skip
-        runs = (_checks.Run('r1', 'desk-0'),)
+        runs = (_checks.Execution('r1', 'desk-0'),)
         self.assertEqual(
             {'versions never go back'},
             self._wrong(history(served, lost, runs=runs)),
