--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -33,7 +33,7 @@
         for name in soak.names if logs else ():
             shutil.copy(system.log_path(name), logs)
     statuses = collections.Counter(
-        f'{row.kind} {row.status}' for row in history.asked
+        f'{row.kind} {row.status}' for row in history.requests
     )
     click.echo(f'seed {seed}: {dict(sorted(statuses.items()))}')
     click.echo(f'faults: {dict(sorted(soak.faults.items()))}')
@@ -48,7 +48,7 @@
         click.echo(f'{name}: {len(found)} wrong')
         wrong += [f'{name}: {problem}' for problem in found]
     if logs:
-        cut = [row for row in history.asked if not row.status]
+        cut = [row for row in history.requests if not row.status]
         lines = [*wrong, *map(str, [*history.stops, *cut])]
         (logs / 'seen.txt').write_text('\n'.join(lines), encoding='utf-8')
     return wrong
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -78,7 +78,7 @@
     ``read`` the requests that the log of each daemon tells of.
     """
 
-    asked: tuple[RequestRecord, ...]
+    requests: tuple[RequestRecord, ...]
     runs: tuple[Execution, ...]
     shards: tuple[str, ...]
     records: typing.Mapping[str, bytes]
