--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -79,7 +79,7 @@
     """
 
     requests: tuple[RequestRecord, ...]
-    runs: tuple[Execution, ...]
+    executions: tuple[Execution, ...]
     shards: tuple[str, ...]
     records: typing.Mapping[str, bytes]
     least_share: float
