--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -87,7 +87,7 @@
     attempts: int
     stops: tuple[Stop, ...] = ()
     killed: frozenset[tuple[str, int]] = frozenset()
-    read: typing.Mapping[str, frozenset[str]] = dataclasses.field(
+    logged: typing.Mapping[str, frozenset[str]] = dataclasses.field(
         default_factory=dict
     )
 
