--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -10,7 +10,7 @@
 PROMISES = frozenset({408, 421, 429, 503})
 """Statuses that promise that a request has not run and never will."""
 
-_SENT = frozenset({-signal.SIGTERM, -signal.SIGHUP})
+_STOP_SIGNAL_STATUSES = frozenset({-signal.SIGTERM, -signal.SIGHUP})
 """Exit statuses of a process that ends by a signal which a stop sends."""
 
 _ONE_TARGET = frozenset({'probe'})
@@ -242,7 +242,7 @@
 
 
 def _ends_by_signal(stop: Stop) -> bool:
-    return stop.status in _SENT and (stop.signals > 1 or not stop.ready)
+    return stop.status in _STOP_SIGNAL_STATUSES and (stop.signals > 1 or not stop.ready)
 
 
 def check_versions(history: History) -> list[str]:
