--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -7,7 +7,7 @@
 import typing
 
 RECORD_BYTES = 16
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise that a request has not run and never will."""
 
 _STOP_SIGNAL_STATUSES = frozenset({-signal.SIGTERM, -signal.SIGHUP})
@@ -111,7 +111,7 @@
     return [
         f'{row.request_id}: got status {row.status}, but it ran'
         for row in history.asked
-        if row.status in PROMISES and row.request_id in began
+        if row.status in NOT_RUN_STATUSES and row.request_id in began
     ]
 
 
