--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -13,7 +13,7 @@
 _STOP_SIGNAL_STATUSES = frozenset({-signal.SIGTERM, -signal.SIGHUP})
 """Exit statuses of a process that ends by a signal which a stop sends."""
 
-_ONE_TARGET = frozenset({'probe'})
+_SINGLE_TARGET_KINDS = frozenset({'probe'})
 """Kinds whose routes allow one target only."""
 
 
@@ -158,7 +158,7 @@
 def check_attempts(history: History) -> list[str]:
     """No more targets of a service run a request than its route allows."""
     alone = {
-        row.request_id for row in history.asked if row.kind in _ONE_TARGET
+        row.request_id for row in history.asked if row.kind in _SINGLE_TARGET_KINDS
     }
     targets = collections.defaultdict(set)
     for run in history.runs:
