--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -191,13 +191,13 @@
     return [
         f'{row.request_id}: got no answer of {row.daemon}, start {row.start}, '
         f'{row.ended_s - row.sent_s:.3f} s after it was sent'
-        for row in _cut(history)
+        for row in _unanswered(history)
         if row.request_id in began
         or row.request_id in history.read.get(row.daemon, ())
     ]
 
 
-def _cut(history: History) -> list[RequestRecord]:
+def _unanswered(history: History) -> list[RequestRecord]:
     """Return what ended without answer at a daemon that was not killed."""
     return [
         row
@@ -219,7 +219,7 @@
         f'{row.request_id}: got no answer, its connection to {row.daemon}, '
         f'start {row.start}, ended {row.ended_s - stop.from_s:.3f} s after '
         f'the first of {stop.signals} signals'
-        for row in _cut(history)
+        for row in _unanswered(history)
         if (stop := stops.get((row.daemon, row.start)))
         and stop.ready
         and row.sent_s < stop.from_s
