--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -142,11 +142,11 @@
     least = math.ceil(history.least_share * len(history.shards) - 1e-6)
     if len(services) < least:
         yield f'got {len(services)} parts, expected at least {least}'
-    if row.body != _merged(services, history):
+    if row.body != _expected_body(services, history):
         yield 'got a body that is not the greatest records of its parts'
 
 
-def _merged(services: list[str], history: History) -> bytes:
+def _expected_body(services: list[str], history: History) -> bytes:
     every = b''.join(history.records[service] for service in services)
     rows = [
         every[at : at + RECORD_BYTES]
