--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -127,7 +127,7 @@
             sent_s = await self._send(writer, requests)
             for behind, request in enumerate(requests):
                 seen = await _read_answer(reader)
-                row = _asked(request, seen, daemon, start, sent_s, behind)
+                row = _make_record(request, seen, daemon, start, sent_s, behind)
                 self.asked.append(row)
                 status = row.status
             if not status or not self.running:
@@ -178,7 +178,7 @@
         return None
 
 
-def _asked(
+def _make_record(
     request: Request,
     seen: scripted_target.Seen | None,
     daemon: str,
