--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -71,7 +71,7 @@
     def __init__(
         self, rng: random.Random, system: prepared_system.PreparedSystem
     ) -> None:
-        self.asked: list[_checks.RequestRecord] = []
+        self.records: list[_checks.RequestRecord] = []
         self.starts: collections.Counter[str] = collections.Counter()
         self.away: set[str] = set()
         self.version = 1
@@ -128,7 +128,7 @@
             for behind, request in enumerate(requests):
                 seen = await _read_answer(reader)
                 row = _make_record(request, seen, daemon, start, sent_s, behind)
-                self.asked.append(row)
+                self.records.append(row)
                 status = row.status
             if not status or not self.running:
                 break
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -130,7 +130,7 @@
         }
         runs = tuple(_checks.Execution(*row.split()) for row in self.system.runs)
         return _checks.History(
-            tuple(self.callers.asked),
+            tuple(self.callers.records),
             runs,
             SHARDS,
             records,
