--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -73,7 +73,7 @@
     ) -> None:
         self.records: list[_checks.RequestRecord] = []
         self.starts: collections.Counter[str] = collections.Counter()
-        self.away: set[str] = set()
+        self.unavailable: set[str] = set()
         self.version = 1
         self.running = True
         self._rng = rng
@@ -83,7 +83,7 @@
     async def call(self) -> None:
         """Use one connection after another as long as callers run."""
         while self.running:
-            up = [name for name in self._system.doors if name not in self.away]
+            up = [name for name in self._system.doors if name not in self.unavailable]
             if up:
                 rounds = self._rng.choice(_ROUNDS)
                 await self.use(self._rng.choice(up), self._draw_many, rounds)
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -211,7 +211,7 @@
         up = [
             name
             for name in self.names
-            if name not in self.callers.away | self._busy
+            if name not in self.callers.unavailable | self._busy
         ]
         return self.rng.choice(up) if len(up) > 1 else None
 
@@ -219,7 +219,7 @@
         """Kill a daemon and start it again."""
         name = self.draw_running()
         if name is not None:
-            self.callers.away.add(name)
+            self.callers.unavailable.add(name)
             self._killed.add((name, self.callers.starts[name]))
             await self.system.stop_daemon(name, signal.SIGKILL)
             await self._start_again(name)
@@ -243,7 +243,7 @@
             self.system.send(name, number)
             await asyncio.sleep(self.rng.uniform(*_SIGNAL_GAP_S))
         status = await self.system.stop_daemon(name, last)
-        self.callers.away.add(name)
+        self.callers.unavailable.add(name)
         self._busy.discard(name)
         to_s = asyncio.get_running_loop().time()
         start = self.callers.starts[name]
@@ -270,18 +270,18 @@
         self.system.store.faults.status = 0
         self.system.store.faults.silent = False
         self.system.launch_daemon(name)
-        self.callers.away.discard(name)
+        self.callers.unavailable.discard(name)
 
     async def freeze(self, for_s: float) -> None:
         """Let a daemon stand still."""
         name = self.draw_running()
         if name is None:
             return
-        self.callers.away.add(name)
+        self.callers.unavailable.add(name)
         self.system.send(name, signal.SIGSTOP)
         await asyncio.sleep(for_s)
         self.system.send(name, signal.SIGCONT)
-        self.callers.away.discard(name)
+        self.callers.unavailable.discard(name)
 
     def draw_target(self) -> prepared_system.PreparedTarget:
         """Return a target to disturb."""
