--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -15,7 +15,7 @@
 _ROUNDS = (1, 10, 1_000)
 """How often a caller uses a connection before it leaves."""
 
-_PIPELINED = (1, 1, 1, 2, 3)
+_PIPELINE_DEPTHS = (1, 1, 1, 2, 3)
 """How many requests it sends at once."""
 
 _SPLIT_SHARE = 0.2
@@ -99,7 +99,7 @@
 
     def _draw_many(self) -> list[Request]:
         kinds = self._rng.choices(
-            list(KINDS), list(KINDS.values()), k=self._rng.choice(_PIPELINED)
+            list(KINDS), list(KINDS.values()), k=self._rng.choice(_PIPELINE_DEPTHS)
         )
         return [
             self.draw(kind, self._rng.choice(_DEADLINES_MS)) for kind in kinds
