--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -12,7 +12,7 @@
 from standins import scripted_target
 
 _PAUSE_S = 0.02
-_ROUNDS = (1, 10, 1_000)
+_ROUND_COUNTS = (1, 10, 1_000)
 """How often a caller uses a connection before it leaves."""
 
 _PIPELINE_DEPTHS = (1, 1, 1, 2, 3)
@@ -85,7 +85,7 @@
         while self.running:
             up = [name for name in self._system.doors if name not in self.unavailable]
             if up:
-                rounds = self._rng.choice(_ROUNDS)
+                rounds = self._rng.choice(_ROUND_COUNTS)
                 await self.use(self._rng.choice(up), self._draw_many, rounds)
             await asyncio.sleep(_PAUSE_S)
 
