--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -19,7 +19,7 @@
 """How many requests it sends at once."""
 
 _SPLIT_SHARE = 0.2
-_LATE_BYTES = 3
+_DELAYED_BYTES = 3
 """Part of the sends whose last bytes come a pause later."""
 
 LONG_MS = 10_000
@@ -142,9 +142,9 @@
         """Send requests; return when the last byte was handed over."""
         data = b''.join(row.encode() for row in requests)
         if self._rng.random() < _SPLIT_SHARE:
-            writer.write(data[:-_LATE_BYTES])
+            writer.write(data[:-_DELAYED_BYTES])
             await asyncio.sleep(_PAUSE_S)
-            data = data[-_LATE_BYTES:]
+            data = data[-_DELAYED_BYTES:]
         writer.write(data)
         return asyncio.get_running_loop().time()
 
