--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -9,7 +9,7 @@
 from standins import prepared_system
 
 
-class Run(typing.Protocol):
+class SoakControl(typing.Protocol):
     """What a fault may draw from a running soak, and do to it."""
 
     rng: random.Random
@@ -42,7 +42,7 @@
 _SILENT_S = (4.0, NEVER_S)
 """Longer than a stop may take."""
 
-Fault = typing.Callable[[Run, float], typing.Awaitable[None]]
+Fault = typing.Callable[[SoakControl, float], typing.Awaitable[None]]
 
 _FOREIGN_ENTRIES: tuple[object, ...] = (
     {'State': 'parked'},
@@ -53,15 +53,15 @@
 """What another writer may leave among the targets' entries."""
 
 
-async def _kill(soak: Run, for_s: float) -> None:
+async def _kill(soak: SoakControl, for_s: float) -> None:
     await soak.kill_daemon()
 
 
-async def _stop(soak: Run, for_s: float) -> None:
+async def _stop(soak: SoakControl, for_s: float) -> None:
     await soak.stop_daemon()
 
 
-async def _stop_series(soak: Run, for_s: float) -> None:
+async def _stop_series(soak: SoakControl, for_s: float) -> None:
     """Stop daemons while others still stop, or have just started again."""
     stops: list[asyncio.Task[None]] = []
     for _ in range(soak.rng.randint(2, 4)):
@@ -70,25 +70,25 @@
     await asyncio.gather(*stops)
 
 
-async def _freeze(soak: Run, for_s: float) -> None:
+async def _freeze(soak: SoakControl, for_s: float) -> None:
     await soak.freeze(for_s)
 
 
-async def _lose_answers(soak: Run, for_s: float) -> None:
+async def _lose_answers(soak: SoakControl, for_s: float) -> None:
     target = soak.draw_target()
     target.lose_answers = True
     await asyncio.sleep(for_s)
     target.lose_answers = False
 
 
-async def _slow_target(soak: Run, for_s: float) -> None:
+async def _slow_target(soak: SoakControl, for_s: float) -> None:
     target = soak.draw_target()
     target.delay_s = soak.rng.choice((0.1, 0.4, 3.0))
     await asyncio.sleep(for_s)
     target.delay_s = 0.0
 
 
-async def _silent_service(soak: Run, for_s: float) -> None:
+async def _silent_service(soak: SoakControl, for_s: float) -> None:
     """Hold what some targets of a service begin for longer than a stop."""
     drawn = soak.draw_target()
     service = soak.rng.choice((prepared_system.DESK, drawn.service))
@@ -105,7 +105,7 @@
         target.delay_s = 0.0
 
 
-async def _restart_target(soak: Run, for_s: float) -> None:
+async def _restart_target(soak: SoakControl, for_s: float) -> None:
     """Let a target leave and end; it comes back at another address."""
     name = soak.draw_target().target_id
     soak.system.register(name, 'draining')
@@ -113,14 +113,14 @@
     await soak.links.restart_target(name)
 
 
-async def _drain_target(soak: Run, for_s: float) -> None:
+async def _drain_target(soak: SoakControl, for_s: float) -> None:
     target = soak.draw_target()
     soak.system.register(target.target_id, 'draining')
     await asyncio.sleep(for_s)
     soak.system.register(target.target_id)
 
 
-async def _lapse(soak: Run, for_s: float) -> None:
+async def _lapse(soak: SoakControl, for_s: float) -> None:
     names = sorted(soak.system.targets)
     lapsed = soak.rng.sample(names, 3)
     for name in lapsed:
@@ -130,47 +130,47 @@
         soak.system.register(name)
 
 
-async def _foreign_entry(soak: Run, for_s: float) -> None:
+async def _foreign_entry(soak: SoakControl, for_s: float) -> None:
     entry = soak.rng.choice(_FOREIGN_ENTRIES)
     soak.system.store.put('servers', 'foreign', entry)
     await asyncio.sleep(for_s)
     soak.system.store.remove('servers', 'foreign')
 
 
-async def _store_away(soak: Run, for_s: float) -> None:
+async def _store_away(soak: SoakControl, for_s: float) -> None:
     faults = soak.system.store.faults
     faults.status = soak.rng.choice((503, 429))
     await asyncio.sleep(for_s)
     faults.status = 0
 
 
-async def _store_silent(soak: Run, for_s: float) -> None:
+async def _store_silent(soak: SoakControl, for_s: float) -> None:
     soak.system.store.faults.silent = True
     await asyncio.sleep(for_s)
     soak.system.store.faults.silent = False
 
 
-async def _cut_watches(soak: Run, for_s: float) -> None:
+async def _cut_watches(soak: SoakControl, for_s: float) -> None:
     soak.system.store.cut_watches()
 
 
-async def _forget_history(soak: Run, for_s: float) -> None:
+async def _forget_history(soak: SoakControl, for_s: float) -> None:
     soak.system.store.forget_history()
 
 
-async def _new_version(soak: Run, for_s: float) -> None:
+async def _new_version(soak: SoakControl, for_s: float) -> None:
     soak.configure(soak.version + soak.rng.randint(1, 3))
 
 
-async def _link_to_target(soak: Run, for_s: float) -> None:
+async def _link_to_target(soak: SoakControl, for_s: float) -> None:
     await soak.links.disturb_target(soak.rng, for_s)
 
 
-async def _link_to_store(soak: Run, for_s: float) -> None:
+async def _link_to_store(soak: SoakControl, for_s: float) -> None:
     await soak.links.disturb_store(soak.rng, for_s)
 
 
-async def _read_settings(soak: Run, for_s: float) -> None:
+async def _read_settings(soak: SoakControl, for_s: float) -> None:
     """Change a settings file, and tell the daemon or let it find it."""
     name = soak.draw_running()
     if name is None:
