--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -120,7 +120,7 @@
     soak.system.register(target.target_id)
 
 
-async def _lapse(soak: SoakControl, for_s: float) -> None:
+async def _expire_entries(soak: SoakControl, for_s: float) -> None:
     names = sorted(soak.system.targets)
     lapsed = soak.rng.sample(names, 3)
     for name in lapsed:
@@ -190,7 +190,7 @@
     'service silent': _silent_service,
     'target restarts': _restart_target,
     'target drains': _drain_target,
-    'entries lapse': _lapse,
+    'entries lapse': _expire_entries,
     'entry of another writer': _foreign_entry,
     'store away': _store_away,
     'store silent': _store_silent,
