--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -137,7 +137,7 @@
     soak.system.store.remove('servers', 'foreign')
 
 
-async def _store_away(soak: SoakControl, for_s: float) -> None:
+async def _store_unavailable(soak: SoakControl, for_s: float) -> None:
     faults = soak.system.store.faults
     faults.status = soak.rng.choice((503, 429))
     await asyncio.sleep(for_s)
@@ -192,7 +192,7 @@
     'target drains': _drain_target,
     'entries lapse': _expire_entries,
     'entry of another writer': _foreign_entry,
-    'store away': _store_away,
+    'store away': _store_unavailable,
     'store silent': _store_silent,
     'watches cut': _cut_watches,
     'history forgotten': _forget_history,
