--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -44,7 +44,7 @@
 
 Fault = typing.Callable[[SoakControl, float], typing.Awaitable[None]]
 
-_FOREIGN_ENTRIES: tuple[object, ...] = (
+_INVALID_ENTRIES: tuple[object, ...] = (
     {'State': 'parked'},
     {'Service': 'shard-1', 'Addr': 'nowhere', 'State': 'ready'},
     ['no', 'entry'],
@@ -131,7 +131,7 @@
 
 
 async def _foreign_entry(soak: SoakControl, for_s: float) -> None:
-    entry = soak.rng.choice(_FOREIGN_ENTRIES)
+    entry = soak.rng.choice(_INVALID_ENTRIES)
     soak.system.store.put('servers', 'foreign', entry)
     await asyncio.sleep(for_s)
     soak.system.store.remove('servers', 'foreign')
