--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -130,7 +130,7 @@
         soak.system.register(name)
 
 
-async def _foreign_entry(soak: SoakControl, for_s: float) -> None:
+async def _invalid_entry(soak: SoakControl, for_s: float) -> None:
     entry = soak.rng.choice(_INVALID_ENTRIES)
     soak.system.store.put('servers', 'foreign', entry)
     await asyncio.sleep(for_s)
@@ -191,7 +191,7 @@
     'target restarts': _restart_target,
     'target drains': _drain_target,
     'entries lapse': _expire_entries,
-    'entry of another writer': _foreign_entry,
+    'entry of another writer': _invalid_entry,
     'store away': _store_unavailable,
     'store silent': _store_silent,
     'watches cut': _cut_watches,
