--- a/soak/_run.py
+++ b/soak/_run.py
@@ -19,7 +19,7 @@
 _FAULT_FOR_S = (0.3, 1.5)
 _SETTLE_S = 1.5
 _ROUTES_MS = 30_000
-_LOOK_S = 0.02
+_POLL_S = 0.02
 _TRIES = 20
 
 STOP_LIMIT_S = 3.0
@@ -195,7 +195,7 @@
             new = self.system.runs[before:]
             if any(row.startswith(began) for row in new):
                 break
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_S)
         return asking
 
     # Faults.
