--- a/soak/_run.py
+++ b/soak/_run.py
@@ -35,7 +35,7 @@
 )
 """What a daemon that is stopped may get, one after the other."""
 
-_TOLD_OF = re.compile('"request":"([a-z0-9]+)"')
+_LOGGED_REQUEST = re.compile('"request":"([a-z0-9]+)"')
 """A request that a line of a daemon's log is about."""
 
 _SIGNAL_GAP_S = (0.0, 0.6)
@@ -140,7 +140,7 @@
             tuple(self._stops),
             frozenset(self._killed),
             {
-                name: frozenset(_TOLD_OF.findall(self.system.log(name)))
+                name: frozenset(_LOGGED_REQUEST.findall(self.system.log(name)))
                 for name in self.names
             },
         )
