--- a/soak/_run.py
+++ b/soak/_run.py
@@ -18,7 +18,7 @@
 _FAULT_EVERY_S = (0.2, 1.0)
 _FAULT_FOR_S = (0.3, 1.5)
 _SETTLE_S = 1.5
-_ROUTES_MS = 30_000
+_ROUTE_TIMEOUT_MS = 30_000
 _POLL_S = 0.02
 _TRIES = 20
 
@@ -118,7 +118,7 @@
         self.system.configure(
             version,
             added=range(1, version + 1),
-            timeout_ms=_ROUTES_MS,
+            timeout_ms=_ROUTE_TIMEOUT_MS,
             added_attempts=1,
         )
 
