--- a/soak/_run.py
+++ b/soak/_run.py
@@ -20,7 +20,7 @@
 _SETTLE_S = 1.5
 _ROUTE_TIMEOUT_MS = 30_000
 _POLL_S = 0.02
-_TRIES = 20
+_HOLD_TRIES = 20
 
 STOP_LIMIT_S = 3.0
 """When a platform would kill a daemon that stops."""
@@ -176,7 +176,7 @@
 
     async def _hold_open(self, name: str, kind: str) -> asyncio.Task[int]:
         """Return a request that a target has begun and does not answer."""
-        for _ in range(_TRIES):
+        for _ in range(_HOLD_TRIES):
             asking = await self._ask_until_begun(name, self.callers.draw(kind))
             if not asking.done():
                 return asking
