--- a/soak/_run.py
+++ b/soak/_run.py
@@ -14,7 +14,7 @@
 from standins import prepared_system
 
 SHARDS = tuple(f'shard-{number}' for number in range(1, 7))
-_CALLERS = 12
+_CALLER_COUNT = 12
 _FAULT_EVERY_S = (0.2, 1.0)
 _FAULT_FOR_S = (0.3, 1.5)
 _SETTLE_S = 1.5
@@ -94,7 +94,7 @@
                 stop_limit_s=STOP_LIMIT_S,
             )
         callers = [
-            asyncio.create_task(self.callers.call()) for _ in range(_CALLERS)
+            asyncio.create_task(self.callers.call()) for _ in range(_CALLER_COUNT)
         ]
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + seconds
