--- a/soak/_run.py
+++ b/soak/_run.py
@@ -75,7 +75,7 @@
         self.faults: collections.Counter[str] = collections.Counter()
         self.version = 1
         self.links = _links.Links(system)
-        self._names_of_faults = sorted(faults)
+        self._fault_names = sorted(faults)
         self._busy: set[str] = set()
         self._killed: set[tuple[str, int]] = set()
         self._stops: list[_checks.Stop] = []
@@ -201,7 +201,7 @@
     # Faults.
 
     async def _fault(self) -> None:
-        name = self.rng.choice(self._names_of_faults)
+        name = self.rng.choice(self._fault_names)
         self.faults[name] += 1
         for_s = self.rng.uniform(*_FAULT_FOR_S)
         await _faults.FAULTS[name](self, for_s)
