--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -36,7 +36,7 @@
         f'{row.kind} {row.status}' for row in history.requests
     )
     click.echo(f'seed {seed}: {dict(sorted(statuses.items()))}')
-    click.echo(f'faults: {dict(sorted(soak.faults.items()))}')
+    click.echo(f'faults: {dict(sorted(soak.fault_counts.items()))}')
     longest_s = max(stop.to_s - stop.from_s for stop in history.stops)
     click.echo(
         f'{len(history.stops)} stops, the longest {longest_s:.2f} s; a '
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -72,7 +72,7 @@
         self.system = system
         self.names = [f'entry-{number}' for number in range(hosts)]
         self.callers = _callers.Callers(self.rng, system)
-        self.faults: collections.Counter[str] = collections.Counter()
+        self.fault_counts: collections.Counter[str] = collections.Counter()
         self.version = 1
         self.links = _links.Links(system)
         self._fault_names = sorted(faults)
@@ -202,7 +202,7 @@
 
     async def _fault(self) -> None:
         name = self.rng.choice(self._fault_names)
-        self.faults[name] += 1
+        self.fault_counts[name] += 1
         for_s = self.rng.uniform(*_FAULT_FOR_S)
         await _faults.FAULTS[name](self, for_s)
 
