--- a/soak/_run.py
+++ b/soak/_run.py
@@ -41,7 +41,7 @@
 _SIGNAL_GAP_S = (0.0, 0.6)
 
 _EARLY_STOP_SHARE = 0.2
-_STOPPED_EARLY_S = (0.1, 1.2)
+_EARLY_STOP_AFTER_S = (0.1, 1.2)
 """Part of the starts that are stopped, and how long after the launch: before
 the signal has a handler, before the daemon is ready, and just after."""
 
@@ -257,7 +257,7 @@
         """Start a daemon; callers come at once, and perhaps a stop."""
         self._launch(name)
         while self.rng.random() < _EARLY_STOP_SHARE:
-            await asyncio.sleep(self.rng.uniform(*_STOPPED_EARLY_S))
+            await asyncio.sleep(self.rng.uniform(*_EARLY_STOP_AFTER_S))
             await self._stop(name, ready=False)
             self._launch(name)
         await self.system.wait_ready(name)
