--- a/soak/_run.py
+++ b/soak/_run.py
@@ -84,7 +84,7 @@
         """Start everything, let faults fall, and return what was seen."""
         await self.system.start_targets()
         await self.links.place_before_targets()
-        self.configure(self.version)
+        self.publish_version(self.version)
         for name in self.names:
             store = await self.links.place_before_store(name)
             await self.system.start_daemon(
@@ -112,7 +112,7 @@
         self.links.close()
         return self.history()
 
-    def configure(self, version: int) -> None:
+    def publish_version(self, version: int) -> None:
         """Write a version; each adds a route and keeps those before."""
         self.version = self.callers.version = version
         self.system.configure(
