--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -14,7 +14,7 @@
 from standins import prepared_system
 
 
-async def judge(
+async def run_soak(
     seed: int,
     seconds: float,
     hosts: int,
@@ -72,7 +72,7 @@
     logs: pathlib.Path | None,
 ) -> None:
     """Soak the daemons that pass requests on; exit 1 if a check fails."""
-    wrong = asyncio.run(judge(seed, minutes * 60.0, hosts, planned, logs))
+    wrong = asyncio.run(run_soak(seed, minutes * 60.0, hosts, planned, logs))
     for problem in wrong[:20]:
         click.echo(problem)
     sys.exit(1 if wrong else 0)
--- a/tests/process/test_soak.py
+++ b/tests/process/test_soak.py
@@ -18,7 +18,7 @@
         Daemons are killed, stopped and frozen, targets lose answers and
         drain, the store is away, cut and without its history.
         """
-        self.assertEqual([], await soak.judge(SEED, SECONDS, 3))
+        self.assertEqual([], await soak.run_soak(SEED, SECONDS, 3))
 
     async def test_planned_stops_cut_nothing(self) -> None:
         """A caller's connection ends, and its request has no answer.
@@ -28,4 +28,4 @@
         signals.  A daemon that ends closes what is still open, though its
         caller has left the connection open to read what came of it.
         """
-        self.assertEqual([], await soak.judge(SEED, SECONDS, 4, True))
+        self.assertEqual([], await soak.run_soak(SEED, SECONDS, 4, True))
