--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -80,13 +80,19 @@
         self._system = system
         self._numbers = itertools.count()
 
-    async def call(self) -> None:
+    async def run_caller(self) -> None:
         """Use one connection after another as long as callers run."""
         while self.running:
-            up = [name for name in self._system.doors if name not in self.unavailable]
+            up = [
+                name
+                for name in self._system.caller_addresses
+                if name not in self.unavailable
+            ]
             if up:
                 rounds = self._rng.choice(_ROUND_COUNTS)
-                await self.use(self._rng.choice(up), self._draw_many, rounds)
+                await self.send_requests(
+                    self._rng.choice(up), self._draw_many, rounds
+                )
             await asyncio.sleep(_PAUSE_S)
 
     def draw(self, kind: str, deadline_ms: int = LONG_MS) -> Request:
@@ -99,13 +105,15 @@
 
     def _draw_many(self) -> list[Request]:
         kinds = self._rng.choices(
-            list(KINDS), list(KINDS.values()), k=self._rng.choice(_PIPELINE_DEPTHS)
+            list(KINDS),
+            list(KINDS.values()),
+            k=self._rng.choice(_PIPELINE_DEPTHS),
         )
         return [
             self.draw(kind, self._rng.choice(_DEADLINES_MS)) for kind in kinds
         ]
 
-    async def use(
+    async def send_requests(
         self,
         daemon: str,
         draw: typing.Callable[[], list[Request]],
@@ -118,16 +126,20 @@
         """
         start = self.starts[daemon]
         try:
-            reader, writer = await _connect(self._system.doors[daemon])
+            reader, writer = await _connect(
+                self._system.caller_addresses[daemon]
+            )
         except OSError:
             return 0
         status = 0
         for _ in range(rounds):
             requests = draw()
             sent_s = await self._send(writer, requests)
-            for behind, request in enumerate(requests):
+            for pipeline_index, request in enumerate(requests):
                 seen = await _read_answer(reader)
-                row = _make_record(request, seen, daemon, start, sent_s, behind)
+                row = _make_record(
+                    request, seen, daemon, start, sent_s, pipeline_index
+                )
                 self.records.append(row)
                 status = row.status
             if not status or not self.running:
@@ -184,7 +196,7 @@
     daemon: str,
     start: int,
     sent_s: float,
-    behind: int,
+    pipeline_index: int,
 ) -> _checks.RequestRecord:
     status, headers, body = 0, {}, b''
     if seen is not None:
@@ -203,5 +215,5 @@
         sent_s,
         asyncio.get_running_loop().time(),
         request.version,
-        behind,
+        pipeline_index,
     )
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -23,7 +23,7 @@
 
     ``start`` counts the starts of its daemon; times are of one clock.
     ``version`` is the configuration that adds the route of a probe,
-    ``behind`` how many requests were sent before it without a wait.
+    ``pipeline_index`` how many requests were sent before it without a wait.
     """
 
     kind: str
@@ -75,7 +75,7 @@
 
     ``records`` are those of each service's targets, ``shards`` the services
     that a search asks, ``killed`` the starts of daemons that were killed,
-    ``read`` the requests that the log of each daemon tells of.
+    ``logged`` the requests that the log of each daemon tells of.
     """
 
     requests: tuple[RequestRecord, ...]
@@ -94,9 +94,13 @@
 
 def check_at_most_once(history: History) -> list[str]:
     """A payment runs at most once."""
-    payments = {row.request_id for row in history.asked if row.kind == 'pay'}
+    payments = {
+        row.request_id for row in history.requests if row.kind == 'pay'
+    }
     counts = collections.Counter(
-        run.request_id for run in history.runs if run.request_id in payments
+        run.request_id
+        for run in history.executions
+        if run.request_id in payments
     )
     return [
         f'{request_id}: got {count} runs, expected at most one'
@@ -107,10 +111,10 @@
 
 def check_not_run(history: History) -> list[str]:
     """What was refused as not run has not run."""
-    began = {run.request_id for run in history.runs}
+    began = {run.request_id for run in history.executions}
     return [
         f'{row.request_id}: got status {row.status}, but it ran'
-        for row in history.asked
+        for row in history.requests
         if row.status in NOT_RUN_STATUSES and row.request_id in began
     ]
 
@@ -119,7 +123,7 @@
     """A success is the whole answer of targets that ran this request."""
     return [
         f'{row.request_id}: {problem}'
-        for row in history.asked
+        for row in history.requests
         if row.status == 200
         for problem in _problems_of(row, history)
     ]
@@ -158,10 +162,12 @@
 def check_attempts(history: History) -> list[str]:
     """No more targets of a service run a request than its route allows."""
     alone = {
-        row.request_id for row in history.asked if row.kind in _SINGLE_TARGET_KINDS
+        row.request_id
+        for row in history.requests
+        if row.kind in _SINGLE_TARGET_KINDS
     }
     targets = collections.defaultdict(set)
-    for run in history.runs:
+    for run in history.executions:
         targets[run.request_id, run.service].add(run.target)
     return [
         f'{request_id}: got {len(found)} targets of {service}, expected at '
@@ -175,7 +181,7 @@
     """Every route was configured all the time: none is unknown."""
     return [
         f'{row.request_id}: got 404, its route is in every version'
-        for row in history.asked
+        for row in history.requests
         if row.status == 404 and row.kind != 'probe'
     ]
 
@@ -187,13 +193,13 @@
     excuses it.  A stop does not, whatever the targets and the other daemons
     do: what is open at its end is answered as unknown, or refused.
     """
-    began = {run.request_id for run in history.runs}
+    began = {run.request_id for run in history.executions}
     return [
         f'{row.request_id}: got no answer of {row.daemon}, start {row.start}, '
         f'{row.ended_s - row.sent_s:.3f} s after it was sent'
         for row in _unanswered(history)
         if row.request_id in began
-        or row.request_id in history.read.get(row.daemon, ())
+        or row.request_id in history.logged.get(row.daemon, ())
     ]
 
 
@@ -201,7 +207,7 @@
     """Return what ended without answer at a daemon that was not killed."""
     return [
         row
-        for row in history.asked
+        for row in history.requests
         if row.status == 0 and (row.daemon, row.start) not in history.killed
     ]
 
@@ -223,7 +229,7 @@
         if (stop := stops.get((row.daemon, row.start)))
         and stop.ready
         and row.sent_s < stop.from_s
-        and not row.behind
+        and not row.pipeline_index
     ]
 
 
@@ -242,7 +248,9 @@
 
 
 def _ends_by_signal(stop: Stop) -> bool:
-    return stop.status in _STOP_SIGNAL_STATUSES and (stop.signals > 1 or not stop.ready)
+    return stop.status in _STOP_SIGNAL_STATUSES and (
+        stop.signals > 1 or not stop.ready
+    )
 
 
 def check_versions(history: History) -> list[str]:
@@ -253,7 +261,7 @@
     """
     known: dict[tuple[str, int], list[tuple[float, int]]] = {}
     wrong = []
-    probes = [row for row in history.asked if row.kind == 'probe']
+    probes = [row for row in history.requests if row.kind == 'probe']
     for row in sorted(probes, key=lambda row: row.ended_s):
         place = (row.daemon, row.start)
         seen = known.setdefault(place, [])
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -17,7 +17,7 @@
     links: _links.Links
     version: int
 
-    def configure(self, version: int) -> None:
+    def publish_version(self, version: int) -> None:
         """Write a version."""
 
     def draw_running(self) -> str | None:
@@ -159,7 +159,7 @@
 
 
 async def _new_version(soak: SoakControl, for_s: float) -> None:
-    soak.configure(soak.version + soak.rng.randint(1, 3))
+    soak.publish_version(soak.version + soak.rng.randint(1, 3))
 
 
 async def _link_to_target(soak: SoakControl, for_s: float) -> None:
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -94,7 +94,8 @@
                 stop_limit_s=STOP_LIMIT_S,
             )
         callers = [
-            asyncio.create_task(self.callers.call()) for _ in range(_CALLER_COUNT)
+            asyncio.create_task(self.callers.run_caller())
+            for _ in range(_CALLER_COUNT)
         ]
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + seconds
@@ -105,7 +106,7 @@
         await asyncio.gather(*pending)
         self.links.heal()
         await asyncio.sleep(_SETTLE_S)
-        await self._serves_again()
+        await self._wait_until_serving()
         await self._stop_all()
         self.callers.running = False
         await asyncio.gather(*callers)
@@ -128,7 +129,9 @@
             target.service: target.records()
             for target in self.system.targets.values()
         }
-        runs = tuple(_checks.Execution(*row.split()) for row in self.system.runs)
+        runs = tuple(
+            _checks.Execution(*row.split()) for row in self.system.runs
+        )
         return _checks.History(
             tuple(self.callers.records),
             runs,
@@ -145,7 +148,7 @@
             },
         )
 
-    async def _serves_again(self) -> None:
+    async def _wait_until_serving(self) -> None:
         for name in self.names:
             for _ in range(200):
                 if await self._search(name) == 200:
@@ -158,7 +161,7 @@
                 )
 
     async def _search(self, name: str) -> int:
-        return await self.callers.use(
+        return await self.callers.send_requests(
             name, lambda: [self.callers.draw('search', 1_500)]
         )
 
@@ -190,7 +193,9 @@
     ) -> asyncio.Task[int]:
         """Return a request once a target has begun it, or it was refused."""
         before, began = len(self.system.runs), f'{request.request_id} '
-        asking = asyncio.create_task(self.callers.use(name, lambda: [request]))
+        asking = asyncio.create_task(
+            self.callers.send_requests(name, lambda: [request])
+        )
         while not asking.done():
             new = self.system.runs[before:]
             if any(row.startswith(began) for row in new):
--- a/standins/cold_links.py
+++ b/standins/cold_links.py
@@ -60,7 +60,7 @@
         self.handshakes = 0
         self.requests = 0
 
-    async def shake_hands(self, target: str) -> None:
+    async def accept_connection(self, target: str) -> None:
         """Take a new connection."""
         self.handshakes += 1
         await self._hold(target, self._handshake_ms)
@@ -105,7 +105,7 @@
                 return
 
 
-class ColdLinks(memory_links.HandLinks):
+class ColdLinks(memory_links.ManualLinks):
     """One daemon's connections, at most ``limit`` to each target."""
 
     def __init__(self, targets: SlotTargets, limit: int = 2) -> None:
@@ -156,7 +156,7 @@
             return
         pool.open += 1
         try:
-            await self._targets.shake_hands(name)
+            await self._targets.accept_connection(name)
         except asyncio.CancelledError:
             pool.open -= 1
             pool.wake()
--- a/standins/memory_dispatcher.py
+++ b/standins/memory_dispatcher.py
@@ -22,21 +22,21 @@
 
     def __init__(
         self,
-        hub: memory_peers.MemoryNetwork,
+        network: memory_peers.MemoryNetwork,
         name: str,
         clock: timers.Timers,
         randomness: random.Random,
-        executed: typing.Callable[[protocol.RunOrder, str], None],
+        on_execute: typing.Callable[[protocol.RunOrder, str], None],
     ) -> None:
-        self._endpoint = hub.join(name)
+        self._endpoint = network.join(name)
         self._clock = clock
         self._random = randomness
-        self._executed = executed
+        self._on_execute = on_execute
         self.executions = 0
         self._queued: dict[str, timers.TimerHandle] = {}
         self.behaviours: tuple[str, ...] = self.BEHAVIOURS
         self.orders: list[protocol.RunOrder] = []
-        self.deaf_to_cancels = False
+        self.ignores_cancels = False
         self.queue_ms = 4_000.0
         self._endpoint.subscribe(protocol.RunOrder, self._on_order)
         self._endpoint.subscribe(protocol.CancelAttempts, self._on_cancel)
@@ -94,7 +94,7 @@
         """Lose the order, as a dispatcher that dies with it does."""
 
     def _on_cancel(self, sender: str, cancel: protocol.CancelAttempts) -> None:
-        if self.deaf_to_cancels:
+        if self.ignores_cancels:
             return
         for order in self.orders:
             waiting = self._queued.get(order.attempt_id)
@@ -110,7 +110,7 @@
         """Run the order at its target."""
         self.executions += 1
         receipt = f'{self._endpoint.name}-{self.executions}'
-        self._executed(order, receipt)
+        self._on_execute(order, receipt)
         return receipt
 
     def answer(
--- a/standins/memory_hosts.py
+++ b/standins/memory_hosts.py
@@ -100,7 +100,7 @@
         elif not self.dead:
             callback()
 
-    async def passed(self) -> None:
+    async def wait_until_running(self) -> None:
         """Wait until the host runs."""
         if self.frozen or self.dead:
             future = asyncio.get_running_loop().create_future()
--- a/standins/memory_links.py
+++ b/standins/memory_links.py
@@ -56,7 +56,7 @@
             self.done.set_result(reply)
 
 
-class HandLinks:
+class ManualLinks:
     """Implements the forwarder's links; every exchange waits in ``open``.
 
     Exchanges with ``busy`` targets wait for a connection.
@@ -67,7 +67,7 @@
         self.dead: set[str] = set()
         self.full: set[str] = set()
         self.busy: set[str] = set()
-        self.listening_takes_turns = 0
+        self.listening_check_turns = 0
 
     @property
     def open(self) -> list[Sent]:
@@ -104,7 +104,7 @@
 
     async def is_listening(self, target: state.LiveTarget) -> bool:
         """Whether the test has not put the target among the dead."""
-        for _ in range(self.listening_takes_turns):
+        for _ in range(self.listening_check_turns):
             await asyncio.sleep(0)
         return target.target_id not in self.dead
 
@@ -145,7 +145,7 @@
         )
 
 
-class ForwardDesk:
+class ForwarderHarness:
     """A forwarder whose targets are answered by hand, time moved by hand.
 
     Routes: ``/all/`` asks ``shards`` shards with two targets each,
@@ -158,10 +158,10 @@
         shards: int = 10,
         daemons: int | None = 1,
         clock: timers.ManualTimers | None = None,
-        links: HandLinks | None = None,
+        links: ManualLinks | None = None,
     ) -> None:
         self.clock = clock or timers.ManualTimers()
-        self.links = links or HandLinks()
+        self.links = links or ManualLinks()
         self.targets = forwarding.LiveTargets(self.clock)
         self.routing = forwarding.RoutingState()
         self.counters = metrics.Metrics('test')
@@ -193,7 +193,7 @@
             self.links,
             self.clock,
             self.counters,
-            order_client=self.make_orders(),
+            order_client=self.make_order_client(),
         )
 
     def make_replicas(self) -> coordination.ReplicaSelector:
@@ -204,7 +204,7 @@
             now_ms=self.clock.now_ms,
         )
 
-    def make_orders(self) -> forwarding.OrderClient | None:
+    def make_order_client(self) -> forwarding.OrderClient | None:
         """Return what has other daemons ask targets; here nothing does."""
         return None
 
--- a/standins/memory_orders.py
+++ b/standins/memory_orders.py
@@ -33,9 +33,10 @@
 class OrderLinks:
     """Carries orders to mergers in memory.
 
-    ``dead`` take no connection, ``frozen`` never report, ``old`` do not
-    know orders, ``garbled`` spoil their first report.  :meth:`lose` cuts the
-    orders that one has.
+    Mergers in ``dead`` accept no connection, those in ``frozen`` never
+    report, those in ``without_orders`` refuse orders with 503, and those in
+    ``corrupting`` send an undecodable first report.  :meth:`lose` cuts the
+    open orders of one merger.
     """
 
     def __init__(self, mergers: dict[str, forwarding.Merger]) -> None:
@@ -43,8 +44,8 @@
         self.seen: list[OrderSeen] = []
         self.dead: set[str] = set()
         self.frozen: set[str] = set()
-        self.old: set[str] = set()
-        self.garbled: set[str] = set()
+        self.without_orders: set[str] = set()
+        self.corrupting: set[str] = set()
 
     def lose(self, merger: str) -> None:
         """End all orders of one daemon, as its death would."""
@@ -67,7 +68,7 @@
         name = target.target_id
         if name in self.dead:
             return _failure(Kind.UNREACHABLE)
-        if name in self.old:
+        if name in self.without_orders:
             return result.Success(protocol.HttpReply(503))
         order = protocol.decode_order(request.body).unwrap()
         seen = OrderSeen(name, order)
@@ -94,7 +95,7 @@
         on_chunk: typing.Callable[[bytes], None],
     ) -> None:
         reports = self._mergers[name].reports(order)
-        spoils = name in self.garbled
+        spoils = name in self.corrupting
         async with contextlib.aclosing(reports) as rows:
             async for report in rows:
                 chunk = protocol.encode_merge_message(report)
@@ -114,7 +115,7 @@
     return result.Failure(transport.LinkError(kind, 'by the test'))
 
 
-class OrderDesk(memory_links.ForwardDesk):
+class OrderHarness(memory_links.ForwarderHarness):
     """A search desk at one of three sites, with two mergers at each other.
 
     Shard ``s<n>`` has its targets ``s<n>-0`` and ``s<n>-1`` at two sites, in
@@ -152,7 +153,7 @@
             self.clock.now_ms,
         )
 
-    def make_orders(self) -> forwarding.OrderClient:
+    def make_order_client(self) -> forwarding.OrderClient:
         """Return what sends this desk's orders."""
         loads = coordination.ReplicaSelector(
             random.Random(memory_links.SEED),
@@ -180,13 +181,13 @@
             asker, self.clock, self.counters
         )
 
-    def move(self, name: str, site: str) -> None:
+    def move_target(self, name: str, site: str) -> None:
         """Have a target at a site."""
         target = self.targets.get(name)
         assert target is not None
         self.targets.put(dataclasses.replace(target, site=site))
 
-    def make_merger_ignorant(self, name: str) -> None:
+    def make_merger_without_targets(self, name: str) -> None:
         """Have a daemon that knows no targets yet."""
         asker = forwarding.TargetClient(
             forwarding.LiveTargets(self.clock),
@@ -198,7 +199,7 @@
             asker, self.clock, self.counters
         )
 
-    def runs(self) -> dict[str, list[str]]:
+    def asked_targets(self) -> dict[str, list[str]]:
         """Return the targets that were asked, by shard."""
         found: dict[str, list[str]] = {}
         for sent in self.links.sent:
--- a/standins/memory_peers.py
+++ b/standins/memory_peers.py
@@ -208,15 +208,15 @@
         sent, self.sent = self.sent, []
         return sent
 
-    def of(self, kind: type) -> list[typing.Any]:
+    def of_type(self, kind: type) -> list[typing.Any]:
         """Return the messages sent of one type."""
         return [row for _, row in self.sent if isinstance(row, kind)]
 
     def statuses(self) -> dict[str, list[str]]:
         """Return how each attempt was reported, in order."""
         found = collections.defaultdict(list)
-        rows = list(self.of(protocol.RunReport))
-        for message in self.of(protocol.SubAnswerBatch):
+        rows = list(self.of_type(protocol.RunReport))
+        for message in self.of_type(protocol.SubAnswerBatch):
             rows += message.answers
         for row in rows:
             found[row.attempt_id].append(row.status.value)
--- a/standins/memory_platform.py
+++ b/standins/memory_platform.py
@@ -51,7 +51,7 @@
 class Host(typing.Protocol):
     """A machine that may be frozen or dead when an answer comes."""
 
-    async def passed(self) -> None:
+    async def wait_until_running(self) -> None:
         """Wait until the machine runs."""
 
 
@@ -299,13 +299,13 @@
     async def _return(self) -> None:
         await self._travel()
         if self._host is not None:
-            await self._host.passed()
+            await self._host.wait_until_running()
 
     async def _failed(
         self, kind: transport.StoreErrorKind
     ) -> result.Failure[transport.StoreError]:
         if self._host is not None:
-            await self._host.passed()
+            await self._host.wait_until_running()
         return result.Failure(
             transport.StoreError(kind, f'memory: {kind.value}')
         )
--- a/standins/memory_runners.py
+++ b/standins/memory_runners.py
@@ -59,7 +59,7 @@
     runner: coordination.Runner
 
     @property
-    def life(self) -> str:
+    def process(self) -> str:
         """Name and incarnation, as tokens begin."""
         return f'{self.name}/{self.incarnation}'
 
@@ -88,11 +88,11 @@
         self.metrics = counters
         self.store = memory_platform.MemoryStore(self.random)
         self._way_ms = (0.0, latency_ms / 2)
-        self.hub = memory_peers.MemoryNetwork(self.clock, self.random)
+        self.network = memory_peers.MemoryNetwork(self.clock, self.random)
         self.view = MemoryView()
         self.dispatchers = [
             memory_dispatcher.MemoryDispatcher(
-                self.hub,
+                self.network,
                 f'dispatcher-of-{target}',
                 self.clock,
                 self.random,
@@ -101,7 +101,7 @@
             for target in TARGETS
         ]
         self.daemons: dict[str, Daemon] = {}
-        self.lives: list[Daemon] = []
+        self.started: list[Daemon] = []
         self.faults: collections.Counter[str] = collections.Counter()
         self._incarnations = itertools.count(1)
 
@@ -121,7 +121,7 @@
             'bole-a',
             incarnation,
             self.view,
-            self.hub.join(name, host),
+            self.network.join(name, host),
             memory_platform.MemoryPlatform(
                 self.store, self.clock, self._way_ms, host
             ),
@@ -131,10 +131,10 @@
             quarantine,
         )
         self.daemons[name] = Daemon(name, incarnation, host, runner)
-        self.lives.append(self.daemons[name])
+        self.started.append(self.daemons[name])
         return self.daemons[name]
 
-    def use(self, *behaviours: str) -> None:
+    def set_behaviours(self, *behaviours: str) -> None:
         """Have all dispatchers draw from these behaviours."""
         for dispatcher in self.dispatchers:
             dispatcher.behaviours = behaviours
--- a/standins/memory_searches.py
+++ b/standins/memory_searches.py
@@ -163,10 +163,10 @@
         """Run searches while time moves, until all have outcomes."""
         tasks = [asyncio.ensure_future(row) for row in searches]
         while not all(task.done() for task in tasks):
-            await self.move(_STEP_MS)
+            await self.advance(_STEP_MS)
         return [task.result() for task in tasks]
 
-    async def move(self, delta_ms: float) -> None:
+    async def advance(self, delta_ms: float) -> None:
         """Deliver the messages, move time, deliver what that caused."""
         for _ in range(4):
             await asyncio.sleep(0)
--- a/standins/prepared_store.py
+++ b/standins/prepared_store.py
@@ -48,8 +48,10 @@
     async def start(self) -> str:
         """Listen; return ``IP:port``."""
         app = web.Application()
-        app.router.add_route('*', '/objects/{kind}', self._kind)
-        app.router.add_route('*', '/objects/{kind}/{name}', self._one)
+        app.router.add_route('*', '/objects/{kind}', self._handle_kind)
+        app.router.add_route(
+            '*', '/objects/{kind}/{name}', self._handle_object
+        )
         self._runner = web.AppRunner(app, shutdown_timeout=0.1)
         await self._runner.setup()
         site = web.TCPSite(self._runner, '127.0.0.1', 0)
@@ -69,23 +71,23 @@
         self._revision += 1
         meta = {'Name': name, 'Revision': self._revision}
         row = {'meta': meta, 'spec': spec, 'status': None}
-        self._keep(kind, name, row)
+        self._store_row(kind, name, row)
 
     def put_row(self, kind: str, name: str, row: typing.Any) -> None:
         """Show a row that is no object, as if another writer had left it."""
         self._revision += 1
-        self._keep(kind, name, row)
+        self._store_row(kind, name, row)
 
-    def _keep(self, kind: str, name: str, row: typing.Any) -> None:
+    def _store_row(self, kind: str, name: str, row: typing.Any) -> None:
         self._objects[kind, name] = row
-        self._note(kind, row, False)
+        self._record_event(kind, row, False)
 
     def remove(self, kind: str, name: str) -> None:
         """Remove an object, if it is there."""
         row = self._objects.pop((kind, name), None)
         if row is not None:
             self._revision += 1
-            self._note(kind, row, True)
+            self._record_event(kind, row, True)
 
     def names(self, kind: str) -> set[str]:
         """Return the names of a kind's objects."""
@@ -102,7 +104,7 @@
         cut, self._cut = self._cut, asyncio.Event()
         cut.set()
 
-    def _note(self, kind: str, row: _Json, removed: bool) -> None:
+    def _record_event(self, kind: str, row: _Json, removed: bool) -> None:
         self._events.append((self._revision, kind, row, removed))
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
@@ -115,12 +117,12 @@
             await asyncio.sleep(3_600)
         if self.faults.resets:
             self.faults.resets -= 1
-            return _broken_off(request)
+            return _abort(request)
         if self.faults.status:
             return web.Response(status=self.faults.status)
         return None
 
-    async def _kind(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_kind(self, request: web.Request) -> web.StreamResponse:
         kind = request.match_info['kind']
         fault = await self._fault(request)
         if fault is not None:
@@ -175,7 +177,7 @@
             for wait in waits:
                 wait.cancel()
             if cut.is_set():
-                return _broken_off(request)
+                return _abort(request)
 
     async def _create(
         self, request: web.Request, kind: str
@@ -185,9 +187,9 @@
         if (kind, name) in self._objects:
             return web.json_response(self._objects[kind, name], status=409)
         self.put(kind, name, body['spec'])
-        return self._written(request, kind, name)
+        return self._write_response(request, kind, name)
 
-    async def _one(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_object(self, request: web.Request) -> web.StreamResponse:
         kind, name = request.match_info['kind'], request.match_info['name']
         fault = await self._fault(request)
         if fault is not None:
@@ -208,18 +210,18 @@
             self.remove(kind, name)
             return web.json_response(held)
         self.put(kind, name, body['spec'])
-        return self._written(request, kind, name)
+        return self._write_response(request, kind, name)
 
-    def _written(
+    def _write_response(
         self, request: web.Request, kind: str, name: str
     ) -> web.StreamResponse:
         if self.faults.lose_writes:
             self.faults.lose_writes -= 1
-            return _broken_off(request)
+            return _abort(request)
         return web.json_response(self._objects[kind, name])
 
 
-def _broken_off(request: web.Request) -> web.Response:
+def _abort(request: web.Request) -> web.Response:
     """Break the connection off; what is returned reaches nobody."""
     if request.transport is not None:
         request.transport.abort()
--- a/standins/prepared_system.py
+++ b/standins/prepared_system.py
@@ -115,7 +115,7 @@
         self.store = prepared_store.PreparedStore()
         self.targets: dict[str, PreparedTarget] = {}
         self.runs: list[str] = []
-        self.doors: dict[str, str] = {}
+        self.caller_addresses: dict[str, str] = {}
         self.store_address = ''
         self._settings: dict[str, dict[str, object]] = {}
         self._processes: dict[str, subprocess.Popen] = {}
@@ -240,7 +240,7 @@
             'platform_address': self.store_address, 'balancer_lag_ms': 300,
         }  # fmt: skip
         self.write_settings(name, **settings)
-        self.doors[name] = front
+        self.caller_addresses[name] = front
         self._ready[name] = ready
         await self.restart_daemon(name)
 
@@ -255,7 +255,13 @@
         log = self.log_path(name).open('ab')
         command = [sys.executable, str(_ROOT / 'platform' / 'entry.py')]
         self._processes[name] = subprocess.Popen(
-            [*command, '--settings', str(path), '--callers', self.doors[name]],
+            [
+                *command,
+                '--settings',
+                str(path),
+                '--callers',
+                self.caller_addresses[name],
+            ],
             stdout=log,
             stderr=log,
         )
@@ -364,7 +370,7 @@
             'Request-Id': request_id,
             'Deadline-Ms': str(deadline_ms),
         }
-        url = f'http://{self.doors[daemon]}{path}'
+        url = f'http://{self.caller_addresses[daemon]}{path}'
         async with self._session.request(method, url, headers=headers) as got:
             return got.status, dict(got.headers), await got.read()
 
--- a/standins/search_desk.py
+++ b/standins/scatter_harness.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass
-class Desk:
+class ScatterHarness:
     """One :class:`coordination.Scatter` driven by hand.
 
     Dispatcher of target ``tN`` is ``d(N mod 4)``.
@@ -34,8 +34,8 @@
 
     def __post_init__(self) -> None:
         self.unusable: set[str] = set()
-        self.lost: list[str] = []
-        self.succeeded = 0
+        self.lost_targets: list[str] = []
+        self.success_count = 0
         self.quarantine_after = 2
         self.suspected = False
         self.context = coordination.ScatterContext(
@@ -47,9 +47,9 @@
             coordination.RetryBudget(),
             self,
         )
-        self.begin()
+        self.start_search()
 
-    def begin(self) -> None:
+    def start_search(self) -> None:
         """Plan one more search with the same context."""
         plan = coordination.Plan(
             'q', 'desk', 'bole-a', self.search, {}, self.search.limit, 'f',
@@ -59,11 +59,11 @@
             plan, self.context, self.limits, self.canary
         )
         self.sent: dict[str, protocol.SubQuery] = {}
-        self.waiting: dict[str, protocol.SubQuery] = {}
+        self.pending: dict[str, protocol.SubQuery] = {}
         self.alone: set[str] = set()
         self.drops: list[coordination.DropAttempts] = []
         self.outcome: protocol.SearchOutcome | None = None
-        self.take(self.scatter.start(self.now_ms))
+        self.apply_effects(self.scatter.start(self.now_ms))
 
     # Target view and crash tracker.
 
@@ -74,20 +74,20 @@
         return target not in self.unusable
 
     def record_loss(self, fingerprint: str, target: str, service: str) -> None:
-        self.lost.append(target)
+        self.lost_targets.append(target)
 
     def record_success(self, fingerprint: str) -> None:
-        self.succeeded += 1
+        self.success_count += 1
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        return len(set(self.lost)) >= self.quarantine_after
+        return len(set(self.lost_targets)) >= self.quarantine_after
 
     def is_suspect(self, fingerprint: str) -> bool:
-        return self.suspected or bool(self.lost)
+        return self.suspected or bool(self.lost_targets)
 
     # Driving it.
 
-    def take(self, effects: list) -> list[protocol.SubQuery]:
+    def apply_effects(self, effects: list) -> list[protocol.SubQuery]:
         """Note effects; return the attempts that were sent."""
         new = []
         for effect in effects:
@@ -98,18 +98,20 @@
             elif isinstance(effect, coordination.DropAttempts):
                 self.drops.append(effect)
                 for attempt_id in effect.attempt_ids:
-                    self.waiting.pop(attempt_id, None)
+                    self.pending.pop(attempt_id, None)
             else:
                 self.outcome = effect.outcome
         for item in new:
-            self.sent[item.attempt_id] = self.waiting[item.attempt_id] = item
+            self.sent[item.attempt_id] = self.pending[item.attempt_id] = item
         return new
 
-    def give(self, *answers: Answer) -> list[protocol.SubQuery]:
+    def deliver(self, *answers: Answer) -> list[protocol.SubQuery]:
         """Deliver answers; return the attempts that this sent."""
         for answer in answers:
-            self.waiting.pop(answer.attempt_id, None)
-        return self.take(self.scatter.on_answers(answers, self.now_ms))
+            self.pending.pop(answer.attempt_id, None)
+        return self.apply_effects(
+            self.scatter.on_answers(answers, self.now_ms)
+        )
 
     def tick(self, delta_ms: float) -> list[protocol.SubQuery]:
         """Move time to each due moment in turn."""
@@ -117,19 +119,25 @@
         new = []
         while self.outcome is None and self.scatter.next_due_ms() <= end_ms:
             self.now_ms = max(self.now_ms, self.scatter.next_due_ms())
-            new += self.take(self.scatter.on_tick(self.now_ms))
+            new += self.apply_effects(self.scatter.on_tick(self.now_ms))
         self.now_ms = end_ms
         return new
 
-    def good(self, item: protocol.SubQuery, **changes: object) -> Answer:
+    def good_answer(
+        self, item: protocol.SubQuery, **changes: object
+    ) -> Answer:
         """Return a whole and sound answer, with changes."""
         return memory_searches.good_answer(self.snapshot, item, **changes)
 
-    def failed(self, item: protocol.SubQuery, status: Status, **more: object):
+    def failed_answer(
+        self, item: protocol.SubQuery, status: Status, **more: object
+    ):
         """Return an ending without content."""
         return Answer(item.attempt_id, item.target, status, **more)
 
-    def give_rest(self) -> None:
+    def deliver_rest(self) -> None:
         """Answer what waits, whole, until nothing does."""
-        while self.waiting and self.outcome is None:
-            self.give(*[self.good(row) for row in self.waiting.values()])
+        while self.pending and self.outcome is None:
+            self.deliver(
+                *[self.good_answer(row) for row in self.pending.values()]
+            )
--- a/standins/store.py
+++ b/standins/store.py
@@ -124,7 +124,7 @@
         if found:
             self._previous[key] = found
         self._objects[key] = _Object(self._position, value)
-        self._note(key, value)
+        self._record_change(key, value)
         return web.Response(headers=_version(self._position))
 
     async def _delete(self, request: web.Request) -> web.Response:
@@ -137,10 +137,10 @@
             return web.Response(status=409, text=f'version {found.version}')
         self._position += 1
         del self._objects[key]
-        self._note(key, b'')
+        self._record_change(key, b'')
         return web.Response(headers=_version(self._position))
 
-    def _note(self, key: str, value: bytes) -> None:
+    def _record_change(self, key: str, value: bytes) -> None:
         self._log.append((self._position, key))
         if len(self._writes) < _HISTORY_LIMIT:
             self._writes.append(
--- a/standins/target.py
+++ b/standins/target.py
@@ -88,7 +88,7 @@
         finally:
             for item in batch.items:
                 self._waiting.pop(item.attempt_id, None)
-        answers = self._faults.crossed(answers)
+        answers = self._faults.swap_answer_ids(answers)
         await self._faults.swallow()
         return _json(
             protocol.TargetBatchAnswer(
@@ -113,7 +113,7 @@
         shards = snapshot.indexes[item.index].shards
         held = next(s for s in shards if s.shard_id == item.shard_id)
         execution = self.log.start('sub-query', item, number)
-        self._faults.die_of(item.terms.values())
+        self._faults.die_if_poisoned(item.terms.values())
         service_ms, cut_short = await self._search(
             item.attempt_id, deadline_at_ms
         )
@@ -238,7 +238,7 @@
         self._waiting.pop(order.attempt_id, None)
         self._stats.runs += 1
         execution = self.log.start('run', order, number, order.idempotency_key)
-        self._faults.die_of(order.body.values())
+        self._faults.die_if_poisoned(order.body.values())
         await asyncio.sleep(
             self._faults.draw_service_ms(self._random) / 1000.0
         )
--- a/standins/target_faults.py
+++ b/standins/target_faults.py
@@ -45,12 +45,12 @@
             took_ms *= _STRAGGLER_FACTOR
         return took_ms
 
-    def die_of(self, values: typing.Iterable[str]) -> None:
+    def die_if_poisoned(self, values: typing.Iterable[str]) -> None:
         """Kill this process if the content has the poison term."""
         if self.poison_term in values:
             os.kill(os.getpid(), signal.SIGKILL)
 
-    def crossed(
+    def swap_answer_ids(
         self, answers: list[protocol.TargetAnswer]
     ) -> list[protocol.TargetAnswer]:
         """Return the answers, under each other's ids if told so."""
--- a/tests/failure/test_at_most_once.py
+++ b/tests/failure/test_at_most_once.py
@@ -28,7 +28,7 @@
     def setUp(self) -> None:
         """Start two daemons; the targets answer."""
         super().setUp()
-        self.system.use('answer')
+        self.system.set_behaviours('answer')
 
     async def run_request(
         self, daemon: memory_runners.Daemon, **request: object
@@ -227,7 +227,7 @@
 
         The first caller is answered "unknown".
         """
-        self.system.use('late')
+        self.system.set_behaviours('late')
         first = await self.run_request(self.first, deadline_ms=400)
         self.assertIsInstance(first, protocol.Unknown)
         await self.system.clock.pass_ms(5_000)
@@ -261,7 +261,7 @@
         """
         self.use_one_bucket()
         keys = [f'batch-{number}' for number in range(240)]
-        self.system.use('unread')
+        self.system.set_behaviours('unread')
         calls = [self.system.call(self.first, key) for key in keys]
         outcomes = [await self.system.outcome(call) for call in calls]
         refused = [
@@ -306,7 +306,7 @@
             if found and stop_at_first:
                 break
             counts.update(system.faults)
-            counts['message lost'] += system.hub.faults['loss']
+            counts['message lost'] += system.network.faults['loss']
             counts.update(
                 {key.value: n for key, n in system.store.faults.items()}
             )
--- a/tests/failure/test_cold_start.py
+++ b/tests/failure/test_cold_start.py
@@ -35,8 +35,8 @@
         clock = timers.ManualTimers()
         rng = random.Random(memory_links.SEED)
         targets = cold_links.SlotTargets(clock, rng, work_ms=_WORK_MS)
-        desks = [
-            memory_links.ForwardDesk(
+        harnesses = [
+            memory_links.ForwarderHarness(
                 _SHARDS, _DAEMONS, clock, cold_links.ColdLinks(targets)
             )
             for _ in range(_DAEMONS)
@@ -45,7 +45,7 @@
         tasks = []
         for number in range(_SEARCHES):
             began_ms = clock.now_ms()
-            task = desks[number % _DAEMONS].ask('/all/x', f'r{number}')
+            task = harnesses[number % _DAEMONS].ask('/all/x', f'r{number}')
 
             def record_time(
                 done: asyncio.Task, began_ms: float = began_ms
--- a/tests/failure/test_cross_site_orders.py
+++ b/tests/failure/test_cross_site_orders.py
@@ -43,14 +43,14 @@
 class _Case(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         """Ask 36 shards from a site that has targets of 24 of them."""
-        self.desk = memory_orders.OrderDesk()
-        self.desk.offer(2, least_share=0.5)
-        self.task = self.desk.ask('/all/x')
+        self.harness = memory_orders.OrderHarness()
+        self.harness.offer(2, least_share=0.5)
+        self.task = self.harness.ask('/all/x')
         await memory_links.settle()
 
     def answer_all(self, leave_out: set[str] = frozenset()) -> None:
         """Answer all open exchanges, except for some targets."""
-        for sent in self.desk.links.open:
+        for sent in self.harness.links.open:
             if sent.target not in leave_out:
                 sent.answer(records_of(sent.target))
 
@@ -59,15 +59,15 @@
         for _ in range(steps):
             if self.task.done():
                 break
-            await self.desk.advance(5.0)
+            await self.harness.advance(5.0)
         self.assertTrue(self.task.done(), f'no outcome in {steps * 5} ms')
         return await self.task
 
     async def asyncTearDown(self) -> None:
         """End the exchanges still open."""
-        for sent in self.desk.links.open:
+        for sent in self.harness.links.open:
             sent.refuse()
-        await self.desk.advance(300.0)
+        await self.harness.advance(300.0)
 
     def check_consistent(self, outcome: protocol.ForwardOutcome) -> None:
         """Check that receipts, records and the number missing agree.
@@ -82,7 +82,7 @@
 
     def check_target_limit(self) -> None:
         """Check that no shard ran on more targets than the route allows."""
-        for shard, targets in self.desk.runs().items():
+        for shard, targets in self.harness.asked_targets().items():
             self.assertLessEqual(len(set(targets)), 2, shard)
             self.assertEqual(len(set(targets)), len(targets), shard)
 
@@ -92,17 +92,17 @@
 
     async def test_one_order_per_site_brings_all_parts(self) -> None:
         """24 shards are asked directly, the others by one order per site."""
-        self.assertEqual(36, len(self.desk.links.open))
-        orders = self.desk.order_links.seen
+        self.assertEqual(36, len(self.harness.links.open))
+        orders = self.harness.order_links.seen
         self.assertEqual(['b', 'c'], sorted(row.merger[0] for row in orders))
         ordered = {item.service for row in orders for item in row.order.items}
         here = {
             row.service
-            for row in self.desk.targets.all()
+            for row in self.harness.targets.all()
             if row.site == 'here'
         }
-        self.assertLessEqual(set(self.desk.shards) - here, ordered)
-        self.assertEqual(12, len(set(self.desk.shards) - here))
+        self.assertLessEqual(set(self.harness.shards) - here, ordered)
+        self.assertEqual(12, len(set(self.harness.shards) - here))
         self.answer_all()
         outcome = await self.outcome()
         self.check_consistent(outcome)
@@ -114,13 +114,15 @@
         The other parts come merged when the gather time is over; the slow
         shard is hedged then, and must not be counted twice.
         """
-        ordered = self.desk.order_links.seen[0].order.items
+        ordered = self.harness.order_links.seen[0].order.items
         slow = ordered[0].target
         self.answer_all({slow})
-        await self.desk.advance(44.0)
-        self.assertEqual([slow], [row.target for row in self.desk.links.open])
-        await self.desk.advance(4.0)
-        hedged = [row.target for row in self.desk.links.open]
+        await self.harness.advance(44.0)
+        self.assertEqual(
+            [slow], [row.target for row in self.harness.links.open]
+        )
+        await self.harness.advance(4.0)
+        hedged = [row.target for row in self.harness.links.open]
         self.assertEqual(2, len(hedged))
         self.answer_all()
         outcome = await self.outcome()
@@ -136,19 +138,19 @@
         """
         near = {
             sent.target
-            for sent in self.desk.links.open
-            if self.desk.targets.get(sent.target).site == 'here'
+            for sent in self.harness.links.open
+            if self.harness.targets.get(sent.target).site == 'here'
         }
         held = [
-            sent for sent in self.desk.links.open if sent.target not in near
+            sent for sent in self.harness.links.open if sent.target not in near
         ]
-        for sent in self.desk.links.open:
+        for sent in self.harness.links.open:
             if sent.target in near and sent.target != 's0-0':
                 sent.answer(records_of(sent.target))
-        await self.desk.advance(60.0)
+        await self.harness.advance(60.0)
         hedges = [
             sent
-            for sent in self.desk.links.open
+            for sent in self.harness.links.open
             if sent not in held and sent.target != 's0-0'
         ]
         self.assertGreater(len(hedges), 0)
@@ -166,14 +168,14 @@
         """Targets at other sites must not go on working for nobody."""
         self.task.cancel()
         await memory_links.settle()
-        self.assertTrue(all(row.cancelled for row in self.desk.links.sent))
+        self.assertTrue(all(row.cancelled for row in self.harness.links.sent))
 
     async def test_a_part_of_an_unknown_attempt_is_not_merged(self) -> None:
         """A report lists an attempt that was not ordered.
 
         Its records would be in an answer whose receipts do not cover them.
         """
-        tracker = self.desk.forwarder._sender._order_tracker
+        tracker = self.harness.forwarder._sender._order_tracker
         corrupted = []
         original = tracker._on_report
 
@@ -189,7 +191,7 @@
         tracker._on_report = corrupt_first_report
         self.answer_all()
         for _ in range(12):
-            await self.desk.advance(5.0)
+            await self.harness.advance(5.0)
             self.answer_all()
         outcome = await self.outcome()
         self.assertEqual(1, len(corrupted))
@@ -201,19 +203,19 @@
 
     async def asyncSetUp(self) -> None:
         """Prepare a search; each test breaks daemons before it asks."""
-        self.desk = memory_orders.OrderDesk()
-        self.desk.offer(2, least_share=0.5)
-        self.links = self.desk.order_links
+        self.harness = memory_orders.OrderHarness()
+        self.harness.offer(2, least_share=0.5)
+        self.links = self.harness.order_links
 
     async def _ask(self) -> None:
-        self.task = self.desk.ask('/all/x')
+        self.task = self.harness.ask('/all/x')
         await memory_links.settle()
 
     async def test_unreachable_merger_costs_nothing(self) -> None:
         """The merger's targets are asked directly at once, and none twice."""
-        self.links.dead = set(self.desk.mergers)
+        self.links.dead = set(self.harness.mergers)
         await self._ask()
-        self.assertEqual(36, len(self.desk.links.open))
+        self.assertEqual(36, len(self.harness.links.open))
         self.answer_all()
         outcome = await self.outcome()
         self.check_consistent(outcome)
@@ -222,7 +224,7 @@
 
     async def test_merger_without_support_for_orders(self) -> None:
         """An older daemon refuses; its targets are asked directly."""
-        self.links.old = set(self.desk.mergers)
+        self.links.without_orders = set(self.harness.mergers)
         await self._ask()
         self.answer_all()
         outcome = await self.outcome()
@@ -235,11 +237,11 @@
         It refuses them.  If they were ordered from it again, each search would
         send thousands of orders; they are asked directly instead, once each.
         """
-        for name in self.desk.mergers:
-            self.desk.make_merger_ignorant(name)
+        for name in self.harness.mergers:
+            self.harness.make_merger_without_targets(name)
         await self._ask()
         for _ in range(4):
-            await self.desk.advance(5.0)
+            await self.harness.advance(5.0)
         ordered = [
             item.target for row in self.links.seen for item in row.order.items
         ]
@@ -256,11 +258,11 @@
         The order's shards are hedged at another site when its report is
         overdue, before a partial answer would be due.
         """
-        self.links.frozen = set(self.desk.mergers)
+        self.links.frozen = set(self.harness.mergers)
         await self._ask()
         self.answer_all()
         for _ in range(16):
-            await self.desk.advance(5.0)
+            await self.harness.advance(5.0)
             self.answer_all()
         self.assertTrue(self.task.done())
         outcome = await self.outcome()
@@ -275,19 +277,19 @@
         report is overdue.  Sent through the same daemon, they would hang as
         well.
         """
-        desk = memory_orders.OrderDesk(far_only=True)
-        for shard in desk.shards:
+        harness = memory_orders.OrderHarness(far_only=True)
+        for shard in harness.shards:
             for number in range(2):
-                desk.move(f'{shard}-{number}', 'b')
-        desk.offer(2, least_share=0.5)
-        desk.order_links.frozen = set(desk.mergers)
-        self.desk = desk
-        self.task = desk.ask('/all/x')
+                harness.move_target(f'{shard}-{number}', 'b')
+        harness.offer(2, least_share=0.5)
+        harness.order_links.frozen = set(harness.mergers)
+        self.harness = harness
+        self.task = harness.ask('/all/x')
         await memory_links.settle()
         for _ in range(100):
-            desk.latencies.observe('all', 2.0)
+            harness.latencies.observe('all', 2.0)
         for _ in range(16):
-            await desk.advance(5.0)
+            await harness.advance(5.0)
             self.answer_all()
         self.assertTrue(self.task.done())
         self.check_consistent(await self.outcome())
@@ -302,15 +304,15 @@
         its deadline.
         """
         for _ in range(30):
-            self.desk.latencies.record_overload_sign(
+            self.harness.latencies.record_overload_sign(
                 'all', protocol.SubStatus.SHED, 0.0, 0.0
             )
-        self.assertTrue(self.desk.latencies.is_overloaded('all'))
-        self.links.frozen = set(self.desk.mergers)
+        self.assertTrue(self.harness.latencies.is_overloaded('all'))
+        self.links.frozen = set(self.harness.mergers)
         await self._ask()
         self.answer_all()
         for _ in range(16):
-            await self.desk.advance(5.0)
+            await self.harness.advance(5.0)
             self.answer_all()
         self.assertTrue(self.task.done())
         outcome = await self.outcome()
@@ -325,17 +327,17 @@
         merged part.  They may belong in the answer, so nothing more of that
         order may be used.
         """
-        desk = memory_orders.OrderDesk(far_only=True)
-        desk.offer(2, least_share=0.02)
-        desk.order_links.garbled = set(desk.mergers)
-        self.desk = desk
-        self.task = desk.ask('/all/x')
+        harness = memory_orders.OrderHarness(far_only=True)
+        harness.offer(2, least_share=0.02)
+        harness.order_links.corrupting = set(harness.mergers)
+        self.harness = harness
+        self.task = harness.ask('/all/x')
         await memory_links.settle()
-        orders = [row.order for row in desk.order_links.seen]
+        orders = [row.order for row in harness.order_links.seen]
         slow = {order.items[0].target for order in orders}
         self.answer_all(slow)
-        await desk.advance(47.0)
-        for sent in desk.links.open:
+        await harness.advance(47.0)
+        for sent in harness.links.open:
             if sent.target in slow:
                 sent.answer(records_of(sent.target))
         # No hedge is answered, so no other part has the records cut away.
@@ -354,8 +356,8 @@
         merger = self.links.seen[0].merger
         near = [
             sent
-            for sent in self.desk.links.open
-            if self.desk.targets.get(sent.target).site == 'here'
+            for sent in self.harness.links.open
+            if self.harness.targets.get(sent.target).site == 'here'
         ]
         for sent in near:
             sent.answer(records_of(sent.target))
@@ -380,7 +382,7 @@
         """
         await self._ask()
         stopping = self.links.seen[0].merger
-        self.desk.mergers[stopping].finish_all()
+        self.harness.mergers[stopping].finish_all()
         await self._check_complete_without_merger()
 
     async def test_a_target_of_another_service_is_not_asked(self) -> None:
@@ -405,7 +407,7 @@
         self.answer_all()
         await self.outcome()
         gone = order.order.items[0]
-        self.desk.put(gone.target, gone.service, leaving=True)
+        self.harness.put(gone.target, gone.service, leaving=True)
         await self._check_not_asked(gone.service, gone.target)
 
     async def _check_not_asked(self, service: str, target: str) -> None:
@@ -414,9 +416,9 @@
         A target that is asked by mistake stays silent and the order does not
         end, so it is only given as many turns as a refusal needs.
         """
-        merger = self.desk.mergers[self.links.seen[0].merger]
+        merger = self.harness.mergers[self.links.seen[0].merger]
         self.assertIsNotNone(merger._target_client.target(target))
-        sent_before = len(self.desk.links.sent)
+        sent_before = len(self.harness.links.sent)
         order = protocol.MergeOrder(
             'id2', 'GET', 'h', '/all/x', (), b'', 100.0, 10.0, 5, b'',
             (protocol.OrderedItem(1, service, target),),
@@ -429,7 +431,7 @@
         self.addCleanup(execution.cancel)
         await memory_links.settle()
         self.assertEqual(
-            [], [row.target for row in self.desk.links.sent[sent_before:]]
+            [], [row.target for row in self.harness.links.sent[sent_before:]]
         )
         self.assertTrue(execution.done(), 'the order does not end')
         self.assertEqual(
@@ -453,26 +455,28 @@
                 await self._search(random.Random(seed))
 
     async def _search(self, rng: random.Random) -> None:
-        desk = memory_orders.OrderDesk(far_only=rng.random() < 0.5)
-        desk.offer(2, least_share=rng.choice([0.2, 0.8]))
-        names = sorted(desk.mergers)
-        desk.order_links.dead = set(rng.sample(names, rng.randrange(2)))
-        desk.order_links.frozen = set(rng.sample(names, rng.randrange(3)))
-        desk.order_links.garbled = set(rng.sample(names, rng.randrange(2)))
-        task = desk.ask('/all/x')
+        harness = memory_orders.OrderHarness(far_only=rng.random() < 0.5)
+        harness.offer(2, least_share=rng.choice([0.2, 0.8]))
+        names = sorted(harness.mergers)
+        harness.order_links.dead = set(rng.sample(names, rng.randrange(2)))
+        harness.order_links.frozen = set(rng.sample(names, rng.randrange(3)))
+        harness.order_links.corrupting = set(
+            rng.sample(names, rng.randrange(2))
+        )
+        task = harness.ask('/all/x')
         for _ in range(140):
             await memory_links.settle()
             if task.done():
                 break
-            for sent in desk.links.open:
+            for sent in harness.links.open:
                 _end_randomly(sent, rng)
             if rng.random() < 0.05:
-                desk.order_links.lose(rng.choice(names))
-            await desk.advance(5.0)
+                harness.order_links.lose(rng.choice(names))
+            await harness.advance(5.0)
         outcome = await task
         # Let the remaining exchanges end before the event loop does.
-        await desk.advance(300.0)
-        for shard, targets in desk.runs().items():
+        await harness.advance(300.0)
+        for shard, targets in harness.asked_targets().items():
             self.assertLessEqual(len(set(targets)), 2, shard)
         if not isinstance(outcome, protocol.Gathered):
             return
@@ -510,30 +514,32 @@
         The order ends with the loss of its last target.  If the check were
         cancelled with it, the content would crash one target after the other.
         """
-        desk = memory_orders.OrderDesk()
+        harness = memory_orders.OrderHarness()
         found: list[forwarding.Loss] = []
         crashes = mock.Mock(report_loss=found.append)
         target_client = forwarding.TargetClient(
-            desk.targets,
+            harness.targets,
             memory_links.PlainDialect(),
-            desk.links,
-            desk.clock,
+            harness.links,
+            harness.clock,
             crashes=crashes,
         )
-        merger = forwarding.Merger(target_client, desk.clock, desk.counters)
+        merger = forwarding.Merger(
+            target_client, harness.clock, harness.counters
+        )
         order = protocol.MergeOrder(
             'id', 'GET', 'h', '/all/x', (), b'', 100.0, 10.0, 5, b'',
             (protocol.OrderedItem(1, 's1', 's1-0'),),
         )  # fmt: skip
-        desk.links.dead.add('s1-0')
-        desk.links.listening_takes_turns = 3
+        harness.links.dead.add('s1-0')
+        harness.links.listening_check_turns = 3
 
         async def execute() -> list[protocol.MergeReport]:
             return [report async for report in merger.reports(order)]
 
         execution = asyncio.create_task(execute())
         await memory_links.settle()
-        desk.links.open[0].lose(transport.LinkErrorKind.BROKEN)
+        harness.links.open[0].lose(transport.LinkErrorKind.BROKEN)
         self.assertEqual(1, len((await execution)[0].ended))
         await memory_links.settle()
         self.assertEqual(['s1-0'], [loss.target for loss in found])
--- a/tests/failure/test_finish_all.py
+++ b/tests/failure/test_finish_all.py
@@ -20,10 +20,10 @@
 
     def setUp(self) -> None:
         """Set up ten shards, eight required, and a service of 3 targets."""
-        self.desk = memory_links.ForwardDesk()
+        self.harness = memory_links.ForwarderHarness()
 
     async def _ask(self, path: str) -> asyncio.Task[protocol.ForwardOutcome]:
-        task = self.desk.ask(path)
+        task = self.harness.ask(path)
         await memory_links.settle()
         return task
 
@@ -31,7 +31,7 @@
         self, task: asyncio.Task[protocol.ForwardOutcome]
     ) -> protocol.ForwardOutcome:
         """Finish all requests; the outcome is there without delay."""
-        self.desk.forwarder.finish_all()
+        self.harness.forwarder.finish_all()
         await memory_links.settle()
         self.assertTrue(task.done())
         return task.result()
@@ -48,8 +48,8 @@
     async def test_refused_request_has_not_run(self) -> None:
         """It was waiting for a retry; the caller may go elsewhere at once."""
         task = await self._ask('/once/x')
-        while self.desk.links.open:
-            self.desk.links.open[0].refuse()
+        while self.harness.links.open:
+            self.harness.links.open[0].refuse()
             await memory_links.settle()
         outcome = await self._finish(task)
         self.assertIsInstance(outcome, protocol.NotRun)
@@ -63,17 +63,17 @@
         for path in ('/one/x', '/once/x'):
             with self.subTest(path):
                 self.setUp()
-                self.desk.links.busy = {f'p-{n}' for n in range(3)}
+                self.harness.links.busy = {f'p-{n}' for n in range(3)}
                 outcome = await self._finish(await self._ask(path))
                 self.assertIsInstance(outcome, protocol.NotRun)
-                self.desk.links.busy.clear()
-                await self.desk.advance(200.0)
-                self.assertEqual([], self.desk.links.sent)
+                self.harness.links.busy.clear()
+                await self.harness.advance(200.0)
+                self.assertEqual([], self.harness.links.sent)
 
     async def test_sufficient_parts_are_delivered(self) -> None:
         """A sufficient answer is not discarded for one late part."""
         task = await self._ask('/all/x')
-        for sent in self.desk.links.open[1:]:
+        for sent in self.harness.links.open[1:]:
             sent.answer(RECORD)
         await memory_links.settle()
         outcome = await self._finish(task)
@@ -84,21 +84,21 @@
         """The targets must not go on working for nobody."""
         task = await self._ask('/one/x')
         await self._finish(task)
-        await self.desk.advance(200.0)
-        self.assertTrue(all(row.cancelled for row in self.desk.links.sent))
+        await self.harness.advance(200.0)
+        self.assertTrue(all(row.cancelled for row in self.harness.links.sent))
 
     async def test_later_request_is_refused(self) -> None:
         """It is refused at once; another daemon can run it."""
-        self.desk.forwarder.finish_all()
-        outcome = await self.desk.ask('/one/x')
+        self.harness.forwarder.finish_all()
+        outcome = await self.harness.ask('/one/x')
         self.assertIsInstance(outcome, protocol.NotRun)
         self.assertIs(protocol.NotRunReason.SHUTTING_DOWN, outcome.reason)
-        self.assertEqual([], self.desk.links.sent)
+        self.assertEqual([], self.harness.links.sent)
 
     async def test_refused_handover_can_be_retried(self) -> None:
         """The refusal is not passed on as the caller's final answer."""
-        self.desk.forwarder.finish_all()
-        outcome = await self.desk.ask('/one/x')
+        self.harness.forwarder.finish_all()
+        outcome = await self.harness.ask('/one/x')
         self.assertTrue(forwarding.can_retry_elsewhere(outcome))
 
     async def test_unknown_outcome_is_not_retried(
@@ -119,11 +119,11 @@
 
         Its target has been chosen but has not seen the request.
         """
-        desk = memory_links.ForwardDesk()
-        desk.links.busy = {'p-0'}
-        tasks = [desk.ask('/one/x', f'id-{number}') for number in range(3)]
+        harness = memory_links.ForwarderHarness()
+        harness.links.busy = {'p-0'}
+        tasks = [harness.ask('/one/x', f'id-{number}') for number in range(3)]
         await memory_links.settle()
-        rows = desk.forwarder.pending_requests()
+        rows = harness.forwarder.pending_requests()
         self.assertEqual(
             [('p-1',), ('p-2',)],
             sorted(row.at for row in rows if row.at),
@@ -132,5 +132,5 @@
             [('p-0',)],
             [row.no_connection for row in rows if row.no_connection],
         )
-        desk.forwarder.finish_all()
+        harness.forwarder.finish_all()
         await asyncio.gather(*tasks)
--- a/tests/failure/test_forwarder.py
+++ b/tests/failure/test_forwarder.py
@@ -17,13 +17,13 @@
 
     async def asyncSetUp(self) -> None:
         """Ask ten shards, of which eight must answer."""
-        self.desk = memory_links.ForwardDesk()
-        self.task = self.desk.ask('/all/x')
+        self.harness = memory_links.ForwarderHarness()
+        self.task = self.harness.ask('/all/x')
         await memory_links.settle()
 
     async def test_all_parts_make_the_answer(self) -> None:
         """Each shard's receipt is there once, and nothing is missing."""
-        for sent in self.desk.links.open:
+        for sent in self.harness.links.open:
             sent.answer(RECORD)
         outcome = await self.task
         self.assertEqual(10, len(set(outcome.receipts)))
@@ -38,11 +38,11 @@
         One shard and its hedge stay silent.  Waiting for it would make the
         whole answer late.
         """
-        silent = self.desk.links.open[0].target
-        for sent in self.desk.links.open[1:]:
+        silent = self.harness.links.open[0].target
+        for sent in self.harness.links.open[1:]:
             sent.answer(RECORD)
         for _ in range(11):
-            await self.desk.advance(10.0)
+            await self.harness.advance(10.0)
         outcome = await self.task
         self.assertIsInstance(outcome, protocol.Gathered)
         self.assertEqual(1, outcome.missing)
@@ -50,10 +50,10 @@
 
     async def test_answer_is_late_if_too_few_shards_are_in_time(self) -> None:
         """After the aim, the answer is sent once enough shards are in."""
-        late = self.desk.links.open[:3]
-        for sent in self.desk.links.open[3:]:
+        late = self.harness.links.open[:3]
+        for sent in self.harness.links.open[3:]:
             sent.answer(RECORD)
-        await self.desk.advance(200.0)
+        await self.harness.advance(200.0)
         self.assertFalse(self.task.done())
         late[0].answer(RECORD)
         outcome = await self.task
@@ -65,17 +65,18 @@
         After a start all connections are cold and in use.  A queued hedge
         would delay the first attempt of another search.
         """
-        slow = self.desk.links.open[0]
+        slow = self.harness.links.open[0]
         other = slow.target[:3] + str(1 - int(slow.target[3:]))
-        self.desk.links.full.add(other)
-        for sent in self.desk.links.open[1:]:
+        self.harness.links.full.add(other)
+        for sent in self.harness.links.open[1:]:
             sent.answer(RECORD)
-        await self.desk.advance(40.0)
-        self.assertEqual([slow], self.desk.links.open)
-        self.desk.links.full.clear()
-        await self.desk.advance(9.0)
+        await self.harness.advance(40.0)
+        self.assertEqual([slow], self.harness.links.open)
+        self.harness.links.full.clear()
+        await self.harness.advance(9.0)
         self.assertEqual(
-            {slow.target, other}, {row.target for row in self.desk.links.open}
+            {slow.target, other},
+            {row.target for row in self.harness.links.open},
         )
 
     async def test_many_late_shards_are_hedged_gradually(
@@ -87,27 +88,27 @@
         answer meanwhile.  If a whole site is silent, all its shards must still
         be hedged in time.
         """
-        await self.desk.advance(36.0)
-        counts = [len(self.desk.links.open)]
+        await self.harness.advance(36.0)
+        counts = [len(self.harness.links.open)]
         for _ in range(5):
-            await self.desk.advance(9.0)
-            counts.append(len(self.desk.links.open))
+            await self.harness.advance(9.0)
+            counts.append(len(self.harness.links.open))
         self.assertEqual([12, 14, 16, 18, 20, 20], counts)
 
     async def test_late_loser_does_not_count_twice(self) -> None:
         """Counting both answers of one shard would double its records."""
-        slow = self.desk.links.open[0]
-        for sent in self.desk.links.open[1:8]:
+        slow = self.harness.links.open[0]
+        for sent in self.harness.links.open[1:8]:
             sent.answer(RECORD)
-        await self.desk.advance(160.0)
+        await self.harness.advance(160.0)
         hedge = next(
             row
-            for row in self.desk.links.open
+            for row in self.harness.links.open
             if row.target[:2] == slow.target[:2] and row is not slow
         )
         hedge.answer(RECORD)
         slow.answer(RECORD)
-        for sent in self.desk.links.open:
+        for sent in self.harness.links.open:
             sent.answer(RECORD)
         outcome = await self.task
         shards = [receipt.rsplit('-', 1)[0] for receipt in outcome.receipts]
@@ -115,15 +116,15 @@
 
     async def test_no_shard_is_run_by_more_targets_than_allowed(self) -> None:
         """Every attempt fails; each shard may run on two targets."""
-        while self.desk.links.open:
-            for sent in self.desk.links.open:
+        while self.harness.links.open:
+            for sent in self.harness.links.open:
                 sent.lose(Kind.BROKEN)
-            await self.desk.advance(20.0)
+            await self.harness.advance(20.0)
         await self.task
-        for shard in self.desk.shards:
+        for shard in self.harness.shards:
             tried = [
                 row
-                for row in self.desk.links.sent
+                for row in self.harness.links.sent
                 if row.target.startswith(f'{shard}-')
             ]
             self.assertLessEqual(len(tried), 2)
@@ -135,7 +136,7 @@
         the other seven are still working.
         """
         for _ in range(2):
-            for sent in self.desk.links.open:
+            for sent in self.harness.links.open:
                 if sent.target[:2] in ('s0', 's1', 's2'):
                     sent.lose(Kind.BROKEN)
             await memory_links.settle()
@@ -146,7 +147,7 @@
         """Targets must not go on working for nobody."""
         self.task.cancel()
         await memory_links.settle()
-        self.assertTrue(all(row.cancelled for row in self.desk.links.sent))
+        self.assertTrue(all(row.cancelled for row in self.harness.links.sent))
 
     async def test_cancelled_attempts_do_not_count_as_load(self) -> None:
         """Cancelled attempts must not count as in flight for ever.
@@ -154,23 +155,23 @@
         Otherwise their targets look slower every second, and all work goes to
         another site.
         """
-        asked = [row.target for row in self.desk.links.open]
+        asked = [row.target for row in self.harness.links.open]
         self.task.cancel()
         await memory_links.settle()
-        loads = self.desk.replicas._loads
+        loads = self.harness.replicas._loads
         for target in asked:
             self.assertEqual([], list(loads[target].started_ms), target)
 
     async def test_loser_is_cancelled_after_the_grace_time(self) -> None:
         """Its connection is kept if it ends within the grace time."""
-        sent = list(self.desk.links.open)
+        sent = list(self.harness.links.open)
         for row in sent[:9]:
             row.answer(RECORD)
-        await self.desk.advance(120.0)
+        await self.harness.advance(120.0)
         await self.task
-        await self.desk.advance(100.0)
+        await self.harness.advance(100.0)
         self.assertFalse(sent[9].cancelled)
-        await self.desk.advance(100.0)
+        await self.harness.advance(100.0)
         self.assertTrue(sent[9].cancelled)
 
 
@@ -185,14 +186,14 @@
         same work, and the retries would use up the shared budget within a
         second.
         """
-        desk = memory_links.ForwardDesk(daemons=8)
+        harness = memory_links.ForwarderHarness(daemons=8)
         rng = random.Random(memory_links.SEED)
         complete = 0
         for _ in range(80):
-            task = desk.ask('/all/x')
+            task = harness.ask('/all/x')
             while not task.done():
-                await desk.advance(12.0)
-                for sent in desk.links.open:
+                await harness.advance(12.0)
+                for sent in harness.links.open:
                     if sent.target.endswith('-0') and rng.random() < 0.4:
                         sent.refuse()
                     else:
@@ -210,35 +211,35 @@
 
     async def test_no_target_refuses_at_once(self) -> None:
         """Waiting would end in the same refusal."""
-        desk = memory_links.ForwardDesk()
-        for shard in desk.shards[:3]:
+        harness = memory_links.ForwarderHarness()
+        for shard in harness.shards[:3]:
             for number in range(2):
-                desk.put(f'{shard}-{number}', shard, leaving=True)
-        outcome = await desk.ask('/all/x')
+                harness.put(f'{shard}-{number}', shard, leaving=True)
+        outcome = await harness.ask('/all/x')
         self.assertIsInstance(outcome, protocol.NotRun)
         self.assertGreater(outcome.retry_after_ms, 0)
-        self.assertEqual([], desk.links.sent)
+        self.assertEqual([], harness.links.sent)
 
     async def test_a_path_without_a_route(self) -> None:
         """The refusal names the version of the routing table."""
-        outcome = await memory_links.ForwardDesk().ask('/none/x')
+        outcome = await memory_links.ForwarderHarness().ask('/none/x')
         self.assertIs(protocol.NotRunReason.UNKNOWN_ROUTE, outcome.reason)
         self.assertIn('version 1', outcome.detail)
 
     async def test_older_table_is_ignored(self) -> None:
         """A stale read delivers version 1 after version 5."""
-        desk = memory_links.ForwardDesk()
-        desk.offer(5, shards=('s0', 's1'))
-        desk.offer(1)
-        self.assertEqual(5, desk.routing.table.version)
+        harness = memory_links.ForwarderHarness()
+        harness.offer(5, shards=('s0', 's1'))
+        harness.offer(1)
+        self.assertEqual(5, harness.routing.table.version)
 
     async def test_a_request_keeps_the_shards_it_began_with(self) -> None:
         """Mixing two versions would count records twice or not at all."""
-        desk = memory_links.ForwardDesk()
-        task = desk.ask('/all/x')
+        harness = memory_links.ForwarderHarness()
+        task = harness.ask('/all/x')
         await memory_links.settle()
-        desk.offer(2, shards=('s0', 's1'))
-        for sent in desk.links.open:
+        harness.offer(2, shards=('s0', 's1'))
+        for sent in harness.links.open:
             sent.answer(RECORD)
         self.assertEqual(10, len((await task).receipts))
 
@@ -248,16 +249,16 @@
 
     async def asyncSetUp(self) -> None:
         """Send one request."""
-        self.desk = memory_links.ForwardDesk()
-        self.task = self.desk.ask('/once/x', method='POST')
+        self.harness = memory_links.ForwarderHarness()
+        self.task = self.harness.ask('/once/x', method='POST')
         await memory_links.settle()
 
     async def test_it_is_never_hedged(self) -> None:
         """It waits for its target however late that is."""
         for _ in range(5):
-            await self.desk.advance(100.0)
-        self.assertEqual(1, len(self.desk.links.sent))
-        self.desk.links.open[0].answer(b'late')
+            await self.harness.advance(100.0)
+        self.assertEqual(1, len(self.harness.links.sent))
+        self.harness.links.open[0].answer(b'late')
         self.assertEqual(b'late', (await self.task).reply.body)
 
     async def test_lost_request_is_not_sent_again(self) -> None:
@@ -269,17 +270,17 @@
         for kind in (Kind.BROKEN, Kind.SILENT, Kind.BAD_ANSWER):
             with self.subTest(kind):
                 await self.asyncSetUp()
-                self.desk.links.open[0].lose(kind)
+                self.harness.links.open[0].lose(kind)
                 outcome = await self.task
                 self.assertIsInstance(outcome, protocol.Unknown)
-                self.assertEqual(1, len(self.desk.links.sent))
+                self.assertEqual(1, len(self.harness.links.sent))
 
     async def test_refused_request_is_sent_to_another_target(self) -> None:
         """The target states that it will not run the request."""
-        self.desk.links.open[0].refuse()
+        self.harness.links.open[0].refuse()
         await memory_links.settle()
-        self.assertEqual(2, len(self.desk.links.sent))
-        first, second = self.desk.links.sent
+        self.assertEqual(2, len(self.harness.links.sent))
+        first, second = self.harness.links.sent
         self.assertNotEqual(first.target, second.target)
         second.answer(b'done')
         self.assertEqual(b'done', (await self.task).reply.body)
@@ -287,40 +288,40 @@
     async def test_refused_by_all_targets_is_not_run(self) -> None:
         """The caller may retry; the answer says when."""
         while not self.task.done():
-            for sent in self.desk.links.open:
+            for sent in self.harness.links.open:
                 sent.refuse()
-            await self.desk.advance(20.0)
+            await self.harness.advance(20.0)
         outcome = await self.task
         self.assertIsInstance(outcome, protocol.NotRun)
         self.assertGreater(outcome.retry_after_ms, 0)
 
     async def test_a_refusal_then_a_loss_is_unknown(self) -> None:
         """The second target may have run it."""
-        self.desk.links.open[0].refuse()
+        self.harness.links.open[0].refuse()
         await memory_links.settle()
-        self.desk.links.open[0].lose(Kind.BROKEN)
+        self.harness.links.open[0].lose(Kind.BROKEN)
         self.assertIsInstance(await self.task, protocol.Unknown)
 
     async def test_error_reply_of_a_target_is_passed_on(self) -> None:
         """It ran, and the target reports how it ended."""
-        self.desk.links.open[0].fail(500)
+        self.harness.links.open[0].fail(500)
         outcome = await self.task
         self.assertEqual(500, outcome.reply.status)
-        self.assertEqual(1, len(self.desk.links.sent))
+        self.assertEqual(1, len(self.harness.links.sent))
 
     async def test_route_timeout_ends_the_request(self) -> None:
         """At the route's timeout the outcome is a timeout, not a refusal."""
-        await self.desk.advance(599.0)
+        await self.harness.advance(599.0)
         self.assertFalse(self.task.done())
-        await self.desk.advance(2.0)
+        await self.harness.advance(2.0)
         self.assertIsInstance(await self.task, protocol.TimedOut)
 
     async def test_left_time_shrinks_on_the_way(self) -> None:
         """A target must not work longer than its caller waits."""
-        await self.desk.advance(250.0)
-        self.desk.links.open[0].refuse()
+        await self.harness.advance(250.0)
+        self.harness.links.open[0].refuse()
         await memory_links.settle()
-        headers = dict(self.desk.links.open[0].request.headers)
+        headers = dict(self.harness.links.open[0].request.headers)
         self.assertEqual('350', headers['Left'])
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
--- a/tests/failure/test_leaving_targets.py
+++ b/tests/failure/test_leaving_targets.py
@@ -131,7 +131,7 @@
         await dispatching.settle()
         await self._ask()
         self.assertEqual(1, len(self.link.batches))
-        signs = self.peers.of(protocol.TargetSign)
+        signs = self.peers.of_type(protocol.TargetSign)
         self.assertEqual([True, False], [sign.leaving for sign in signs])
         self.assertGreater(signs[1].at_ms, signs[0].at_ms)
 
--- a/tests/failure/test_limits.py
+++ b/tests/failure/test_limits.py
@@ -16,11 +16,11 @@
 from samphiredock import protocol
 from samphiredock import state
 from samphiredock import timers
-from standins import counted_time
 from standins import memory_peers
 from standins import target as standin
 from standins import target_faults
 from standins import target_limits
+from standins import virtual_time
 from tests.unit import dispatching
 
 _SLOTS = 2
@@ -106,7 +106,7 @@
         Each attempt is answered exactly once, and the target counts no use
         beyond its limits.
         """
-        counted_time.run(self._check_lost_answers_and_cancels())
+        virtual_time.run(self._check_lost_answers_and_cancels())
 
     async def _check_lost_answers_and_cancels(self) -> None:
         async with _System() as system:
@@ -125,7 +125,7 @@
 
         If the slot were freed then, the target would exceed its slots.
         """
-        counted_time.run(self._check_hold())
+        virtual_time.run(self._check_hold())
 
     async def _check_hold(self) -> None:
         counts = []
--- a/tests/failure/test_not_run.py
+++ b/tests/failure/test_not_run.py
@@ -51,7 +51,7 @@
 
         No claim can be written while the store is down; the retry runs.
         """
-        self.system.use('answer')
+        self.system.set_behaviours('answer')
         self.system.store.outage = True
         before_ms = self.system.clock.now_ms()
         await self.assert_not_run(_Reason.PLATFORM_UNAVAILABLE)
@@ -65,7 +65,7 @@
         After the first requests only probes are sent to it; the others are
         refused at once.
         """
-        self.system.use('answer')
+        self.system.set_behaviours('answer')
         self.system.store.silent = True
         await self.assert_not_run(_Reason.OVERLOADED, deadline_ms=1_100)
         await self.assert_not_run(_Reason.OVERLOADED, deadline_ms=100)
@@ -81,7 +81,7 @@
 
         The caller has its outcome at once; the retry reads it later.
         """
-        self.system.use('answer')
+        self.system.set_behaviours('answer')
         call = self.system.call(self.first, _KEY)
         await self.system.wait_executed()
         self.system.store.outage = True
@@ -100,7 +100,7 @@
         Meanwhile new requests are refused; the drain returns what is
         unrecorded.
         """
-        self.system.use('answer')
+        self.system.set_behaviours('answer')
         call = self.system.call(self.first, 'payout-1')
         await self.system.wait_executed()
         self.system.store.outage = True
@@ -116,7 +116,7 @@
 
         The dispatcher wakes long after the deadline and runs the request.
         """
-        self.system.use('frozen')
+        self.system.set_behaviours('frozen')
         await self.assert_outcome(protocol.Unknown, 0, deadline_ms=300)
         await self.system.clock.pass_ms(7_000)
         await self.assert_outcome(protocol.Completed, 1)
@@ -126,11 +126,11 @@
 
         Both dispatchers confirm that they dropped the order from their queues.
         """
-        self.system.use('queue')
+        self.system.set_behaviours('queue')
         for dispatcher in self.system.dispatchers:
             dispatcher.queue_ms = 60_000
         await self.assert_not_run(_Reason.OVERLOADED)
-        self.system.use('answer')
+        self.system.set_behaviours('answer')
         await self.assert_outcome(protocol.Completed, 1)
         await self.system.clock.pass_ms(60_000)
         self.assertEqual(1, self.system.executions())
@@ -140,9 +140,9 @@
 
         The order waits in the dispatcher's queue.
         """
-        self.system.use('queue')
+        self.system.set_behaviours('queue')
         for dispatcher in self.system.dispatchers:
-            dispatcher.deaf_to_cancels = True
+            dispatcher.ignores_cancels = True
         await self.assert_outcome(protocol.Unknown, 0, deadline_ms=40)
         await self.system.clock.pass_ms(5_000)
         await self.assert_outcome(protocol.Completed, 1)
@@ -153,7 +153,7 @@
         No other target is tried.
         """
         for behaviour, executions in (('break', 0), ('break-after', 1)):
-            self.system.use(behaviour)
+            self.system.set_behaviours(behaviour)
             call = self.system.call(self.first, behaviour)
             await self.assert_outcome_type(call, protocol.Unknown)
             self.assertEqual(executions, self.system.executions())
@@ -163,11 +163,11 @@
 
         The caller is refused, and a later retry runs.
         """
-        self.system.use('refuse')
+        self.system.set_behaviours('refuse')
         await self.assert_not_run(_Reason.OVERLOADED)
         orders = [len(row.orders) for row in self.system.dispatchers]
         self.assertEqual([1, 1], orders)
-        self.system.use('answer')
+        self.system.set_behaviours('answer')
         await self.assert_outcome(protocol.Completed, 1)
 
     async def test_no_dispatcher_and_no_target(self) -> None:
@@ -182,7 +182,7 @@
 
         The retry gets its outcome.
         """
-        self.system.use('answer')
+        self.system.set_behaviours('answer')
         call = self.system.call(self.first, _KEY)
         await self.system.clock.pass_ms(2)
         call.cancel()
@@ -201,7 +201,7 @@
         """A quarantined request is refused before it is claimed."""
         quarantine = _Quarantine()
         daemon = self.system.start('entry-3', quarantine)
-        self.system.use('lose-target')
+        self.system.set_behaviours('lose-target')
         call = self.system.call(daemon, _KEY)
         await self.assert_outcome_type(call, protocol.Unknown)
         self.assertEqual(1, len(quarantine.lost))
--- a/tests/failure/test_one_snapshot.py
+++ b/tests/failure/test_one_snapshot.py
@@ -7,7 +7,7 @@
 from samphiredock import protocol
 from samphiredock import state
 from standins import memory_searches
-from standins import search_desk
+from standins import scatter_harness
 
 Status = protocol.SubStatus
 
@@ -20,20 +20,20 @@
 
         It is rejected and counted, and the other replica is queried.
         """
-        desk = search_desk.Desk()
-        first = next(iter(desk.waiting.values()))
-        ahead = desk.good(
+        harness = scatter_harness.ScatterHarness()
+        first = next(iter(harness.pending.values()))
+        ahead = harness.good_answer(
             first, snapshot_id=2, records=[protocol.Record('new', 9.0, {})]
         )
-        (again,) = desk.give(ahead)
+        (again,) = harness.deliver(ahead)
         self.assertNotEqual(first.target, again.target)
-        desk.give_rest()
-        self.assertIsInstance(desk.outcome, protocol.Answered)
-        self.assertEqual(1, desk.outcome.snapshot_id)
+        harness.deliver_rest()
+        self.assertIsInstance(harness.outcome, protocol.Answered)
+        self.assertEqual(1, harness.outcome.snapshot_id)
         self.assertNotIn(
-            'new', [record.key for record in desk.outcome.records]
+            'new', [record.key for record in harness.outcome.records]
         )
-        self.assertEqual(1, desk.scatter.tally.wrong_snapshot_answers)
+        self.assertEqual(1, harness.scatter.tally.wrong_snapshot_answers)
 
     def test_gone_everywhere_restarts_whole_on_the_newer(self) -> None:
         """A search whose snapshot is gone restarts on the newer one.
@@ -41,54 +41,63 @@
         Three shards have answered when both replicas of the fourth no longer
         have the snapshot; all shards are queried again.
         """
-        desk = search_desk.Desk()
-        first, *others = desk.waiting.values()
-        desk.give(*[desk.good(item) for item in others])
-        (second,) = desk.give(desk.failed(first, Status.SNAPSHOT_GONE))
-        desk.give(desk.failed(second, Status.SNAPSHOT_GONE))
-        self.assertIsNone(desk.outcome)
-        desk.snapshot = memory_searches.make_snapshot(2, 6)
-        again = desk.tick(10.0)
+        harness = scatter_harness.ScatterHarness()
+        first, *others = harness.pending.values()
+        harness.deliver(*[harness.good_answer(item) for item in others])
+        (second,) = harness.deliver(
+            harness.failed_answer(first, Status.SNAPSHOT_GONE)
+        )
+        harness.deliver(harness.failed_answer(second, Status.SNAPSHOT_GONE))
+        self.assertIsNone(harness.outcome)
+        harness.snapshot = memory_searches.make_snapshot(2, 6)
+        again = harness.tick(10.0)
         self.assertEqual(6, len(again))
         self.assertEqual({2}, {item.snapshot_id for item in again})
         self.assertEqual(6, len({item.shard_id for item in again}))
-        desk.give_rest()
-        self.assertIsInstance(desk.outcome, protocol.Answered)
-        self.assertEqual(2, desk.outcome.snapshot_id)
+        harness.deliver_rest()
+        self.assertIsInstance(harness.outcome, protocol.Answered)
+        self.assertEqual(2, harness.outcome.snapshot_id)
 
     def test_no_newer_snapshot_gives_the_old_answer_in_time(self) -> None:
         """Without a newer snapshot, the old answers are returned in time.
 
         The search waits for half of its time left, not until the deadline.
         """
-        desk = search_desk.Desk()
-        first, *others = desk.waiting.values()
-        desk.give(*[desk.good(item) for item in others])
-        (second,) = desk.give(desk.failed(first, Status.SNAPSHOT_GONE))
-        desk.give(desk.failed(second, Status.SNAPSHOT_GONE))
-        desk.tick(79.0)
-        self.assertIsNone(desk.outcome)
-        desk.tick(2.0)
-        self.assertIsInstance(desk.outcome, protocol.Partial)
-        self.assertEqual(1, desk.outcome.snapshot_id)
-        self.assertEqual(0.75, desk.outcome.coverage)
+        harness = scatter_harness.ScatterHarness()
+        first, *others = harness.pending.values()
+        harness.deliver(*[harness.good_answer(item) for item in others])
+        (second,) = harness.deliver(
+            harness.failed_answer(first, Status.SNAPSHOT_GONE)
+        )
+        harness.deliver(harness.failed_answer(second, Status.SNAPSHOT_GONE))
+        harness.tick(79.0)
+        self.assertIsNone(harness.outcome)
+        harness.tick(2.0)
+        self.assertIsInstance(harness.outcome, protocol.Partial)
+        self.assertEqual(1, harness.outcome.snapshot_id)
+        self.assertEqual(0.75, harness.outcome.coverage)
 
     def test_restarts_are_bounded(self) -> None:
         """Snapshots that vanish again and again must not loop a search."""
-        desk = search_desk.Desk()
+        harness = scatter_harness.ScatterHarness()
         sent = 0
         for _ in range(10):
-            newer = desk.scatter.tally.search_restarts + 2
-            desk.snapshot = memory_searches.make_snapshot(newer)
-            items = list(desk.waiting.values())
+            newer = harness.scatter.tally.search_restarts + 2
+            harness.snapshot = memory_searches.make_snapshot(newer)
+            items = list(harness.pending.values())
             sent += len(items)
-            desk.give(
-                *[desk.failed(item, Status.SNAPSHOT_GONE) for item in items]
+            harness.deliver(
+                *[
+                    harness.failed_answer(item, Status.SNAPSHOT_GONE)
+                    for item in items
+                ]
             )
-        self.assertEqual(2, desk.scatter.tally.search_restarts)
+        self.assertEqual(2, harness.scatter.tally.search_restarts)
         self.assertLessEqual(sent, 3 * 4 * 2)
-        self.assertIsInstance(desk.outcome, protocol.NotRun)
-        self.assertIs(protocol.NotRunReason.NO_SNAPSHOT, desk.outcome.reason)
+        self.assertIsInstance(harness.outcome, protocol.NotRun)
+        self.assertIs(
+            protocol.NotRunReason.NO_SNAPSHOT, harness.outcome.reason
+        )
 
     def test_malformed_snapshot_leaves_the_older_in_force(self) -> None:
         """A malformed snapshot is counted, and the older one stays in force.
--- a/tests/failure/test_quarantine.py
+++ b/tests/failure/test_quarantine.py
@@ -6,7 +6,7 @@
 
 from samphiredock import protocol
 from standins import memory_searches
-from standins import search_desk
+from standins import scatter_harness
 
 Reason = protocol.NotRunReason
 
@@ -23,7 +23,7 @@
 
     def start(self, search) -> memory_searches.Tier:
         """Return a tier that is closed when the test ends."""
-        tier = memory_searches.Tier(search, search_desk.SEED)
+        tier = memory_searches.Tier(search, scatter_harness.SEED)
         self.addCleanup(tier.close)
         return tier
 
@@ -51,7 +51,7 @@
         # Two service times and the pause between them, but no other wait.
         took_ms = self.tier.clock.now_ms() - started_ms
         self.assertLess(took_ms, 2 * memory_searches.SERVICE_MS + 30.0)
-        await self.tier.move(1.0)
+        await self.tier.advance(1.0)
         before_ms = self.tier.clock.now_ms()
         for name in list(self.tier.daemons) * 10:
             coordinator = self.tier.daemons[name].coordinator
@@ -106,7 +106,7 @@
             ]
             self.assertEqual(20, len(answered))
             self.assertEqual(2, len(self.tier.targets.dead))
-            await self.tier.move(5_000.0)
+            await self.tier.advance(5_000.0)
             for daemon in self.tier.daemons.values():
                 (entry,) = daemon.quarantine.entries()
                 self.assertEqual(2, len(entry.targets))
@@ -133,20 +133,22 @@
 
         The shards are queried again alone, one at a time.
         """
-        desk = search_desk.Desk()
-        first, second, *others = desk.waiting.values()
-        desk.give(*[desk.good(item) for item in others])
+        harness = scatter_harness.ScatterHarness()
+        first, second, *others = harness.pending.values()
+        harness.deliver(*[harness.good_answer(item) for item in others])
         lost = {'target_lost': True, 'ran_alone': False}
-        desk.give(
-            desk.failed(first, protocol.SubStatus.BROKEN, **lost),
-            desk.failed(second, protocol.SubStatus.BROKEN, **lost),
+        harness.deliver(
+            harness.failed_answer(first, protocol.SubStatus.BROKEN, **lost),
+            harness.failed_answer(second, protocol.SubStatus.BROKEN, **lost),
+        )
+        (trial,) = harness.tick(25.0)
+        (other,) = harness.deliver(harness.good_answer(trial))
+        self.assertEqual({trial.attempt_id, other.attempt_id}, harness.alone)
+        harness.deliver(harness.good_answer(other))
+        self.assertIsInstance(harness.outcome, protocol.Answered)
+        self.assertEqual(
+            ([], 1), (harness.lost_targets, harness.success_count)
         )
-        (trial,) = desk.tick(25.0)
-        (other,) = desk.give(desk.good(trial))
-        self.assertEqual({trial.attempt_id, other.attempt_id}, desk.alone)
-        desk.give(desk.good(other))
-        self.assertIsInstance(desk.outcome, protocol.Answered)
-        self.assertEqual(([], 1), (desk.lost, desk.succeeded))
 
     async def test_a_refused_canary_moves_to_another_shard(self) -> None:
         """A canary whose target is dead moves to another shard.
@@ -154,14 +156,14 @@
         The target crashed under another daemon's copy, whose notice is late.
         Once it arrives, the shards are still queried one at a time.
         """
-        desk = search_desk.Desk(canary=True)
-        (canary,) = desk.waiting.values()
+        harness = scatter_harness.ScatterHarness(canary=True)
+        (canary,) = harness.pending.values()
         dead = protocol.SubStatus.UNREACHABLE
-        (second,) = desk.give(desk.failed(canary, dead))
+        (second,) = harness.deliver(harness.failed_answer(canary, dead))
         self.assertNotEqual(canary.shard_id, second.shard_id)
-        desk.suspected = True
-        (third,) = desk.give(desk.failed(second, dead))
-        self.assertIn(third.attempt_id, desk.alone)
+        harness.suspected = True
+        (third,) = harness.deliver(harness.failed_answer(second, dead))
+        self.assertIn(third.attempt_id, harness.alone)
 
     async def test_a_suspect_is_tried_by_one_daemon_at_a_time(self) -> None:
         """While one daemon tries a suspect, the others refuse it.
@@ -171,12 +173,12 @@
         first = self.tier.daemons['d0'].quarantine
         other = self.tier.daemons['d1'].quarantine
         first.record_loss('suspect', 't1')
-        await self.tier.move(1.0)
+        await self.tier.advance(1.0)
         self.assert_refused(other.refusal('suspect'))
-        await self.tier.move(2_000.0)
+        await self.tier.advance(2_000.0)
         self.assertIsNone(other.refusal('suspect'))
         other.begin_run('suspect', 160.0)
-        await self.tier.move(1.0)
+        await self.tier.advance(1.0)
         self.assert_refused(first.refusal('suspect'))
 
     async def test_fresh_daemon_reads_the_store(self) -> None:
@@ -185,8 +187,8 @@
         After a release, an older stored object must not bring it back.
         """
         await self.ask('d0', _POISON)
-        await self.tier.move(3_000.0)
-        await self.tier.move(1.0)
+        await self.tier.advance(3_000.0)
+        await self.tier.advance(1.0)
         (stored,) = self.tier.store.objects.values()
         fresh = self.tier.add('d9')
         fresh.quarantine.on_stored(stored)
@@ -195,7 +197,7 @@
         other = self.tier.daemons['d1'].quarantine
         released = await other.release(entry.fingerprint)
         self.assertIsInstance(released, result.Success)
-        await self.tier.move(1.0)
+        await self.tier.advance(1.0)
         (mark,) = self.tier.store.objects.values()
         for daemon in self.tier.daemons.values():
             daemon.quarantine.on_stored(mark)
@@ -209,12 +211,12 @@
         """
         self.tier.store.outage = True
         await self.ask('d0', _POISON)
-        await self.tier.move(3_000.0)
+        await self.tier.advance(3_000.0)
         for daemon in self.tier.daemons.values():
             self.assert_refused(await daemon.coordinator.search(_POISON))
         self.tier.store.outage = False
-        await self.tier.move(6_000.0)
-        await self.tier.move(1.0)
+        await self.tier.advance(6_000.0)
+        await self.tier.advance(1.0)
         self.assertEqual(1, len(self.tier.store.objects))
 
     async def test_quarantine_ends(self) -> None:
--- a/tests/failure/test_stopped_runs.py
+++ b/tests/failure/test_stopped_runs.py
@@ -44,7 +44,7 @@
 
     async def test_begun(self) -> None:
         """A request that a target has begun is answered "unknown"."""
-        self.system.use('silent')
+        self.system.set_behaviours('silent')
         await self._finish_early(50, protocol.Unknown)
         self.assertEqual(1, self.system.executions())
 
@@ -53,14 +53,14 @@
 
         No second target is tried, as the daemon sends nothing any more.
         """
-        self.system.use('queue')
+        self.system.set_behaviours('queue')
         for dispatcher in self.system.dispatchers:
             dispatcher.queue_ms = 60_000
         outcome = await self._finish_early(50, protocol.NotRun)
         self.assertIs(_Reason.SHUTTING_DOWN, outcome.reason)
         orders = [len(row.orders) for row in self.system.dispatchers]
         self.assertEqual(1, sum(orders))
-        self.system.use('answer')
+        self.system.set_behaviours('answer')
         await self._assert_retry(protocol.Completed, 1)
 
     async def test_dispatcher_stopped_too(self) -> None:
@@ -68,9 +68,9 @@
 
         The dispatcher reads neither the order nor the cancel in time.
         """
-        self.system.use('queue')
+        self.system.set_behaviours('queue')
         for dispatcher in self.system.dispatchers:
-            dispatcher.deaf_to_cancels = True
+            dispatcher.ignores_cancels = True
             dispatcher.queue_ms = 60_000
         await self._finish_early(40, protocol.Unknown)
 
@@ -80,7 +80,7 @@
         The claim may reach the store late, where the daemon closes it; the
         retry runs.
         """
-        self.system.use('answer')
+        self.system.set_behaviours('answer')
         self.system.store.silent = True
         outcome = await self._finish_early(100, protocol.NotRun)
         self.assertIs(_Reason.SHUTTING_DOWN, outcome.reason)
@@ -91,7 +91,7 @@
 
     async def test_another_holder_runs_it(self) -> None:
         """A request that another daemon may have run is answered "unknown"."""
-        self.system.use('silent')
+        self.system.set_behaviours('silent')
         other = self.system.call(self.second, _KEY)
         await self.system.wait_executed()
         await self._finish_early(200, protocol.Unknown)
@@ -100,7 +100,7 @@
 
     async def test_two_callers_with_one_key(self) -> None:
         """Both callers get the same outcome."""
-        self.system.use('silent')
+        self.system.set_behaviours('silent')
         calls = [self.system.call(self.first, _KEY) for _ in range(2)]
         await self.system.wait_executed()
         self.first.runner.finish_all()
@@ -110,7 +110,7 @@
 
     async def test_request_after_finish_all(self) -> None:
         """A request after ``finish_all`` is refused and not sent."""
-        self.system.use('answer')
+        self.system.set_behaviours('answer')
         self.first.runner.finish_all()
         call = self.system.call(self.first, _KEY)
         outcome = await self.assert_outcome_type(call, protocol.NotRun)
--- a/tests/failure/test_truthful_coverage.py
+++ b/tests/failure/test_truthful_coverage.py
@@ -9,7 +9,7 @@
 from samphiredock import protocol
 from samphiredock import state
 from standins import memory_searches
-from standins import search_desk
+from standins import scatter_harness
 
 Status = protocol.SubStatus
 
@@ -19,18 +19,18 @@
 
     def test_a_gap_of_one_key_is_not_rounded_away(self) -> None:
         """A gap of one key in 2**32 must not be rounded to full coverage."""
-        desk = search_desk.Desk()
-        first, *others = desk.waiting.values()
-        desk.give(*[desk.good(item) for item in others])
-        whole = desk.good(first).ranges[0]
+        harness = scatter_harness.ScatterHarness()
+        first, *others = harness.pending.values()
+        harness.deliver(*[harness.good_answer(item) for item in others])
+        whole = harness.good_answer(first).ranges[0]
         short = [protocol.KeyRange(whole.low, whole.high - 1)]
-        (again,) = desk.give(desk.good(first, ranges=short))
-        desk.give(desk.good(again, ranges=short))
-        self.assertIsInstance(desk.outcome, protocol.Partial)
-        self.assertLess(desk.outcome.coverage, 1.0)
+        (again,) = harness.deliver(harness.good_answer(first, ranges=short))
+        harness.deliver(harness.good_answer(again, ranges=short))
+        self.assertIsInstance(harness.outcome, protocol.Partial)
+        self.assertLess(harness.outcome.coverage, 1.0)
         self.assertEqual(
             [protocol.KeyRange(whole.high - 1, whole.high)],
-            desk.outcome.missing,
+            harness.outcome.missing,
         )
 
     def test_a_wider_range_is_rejected(self) -> None:
@@ -38,39 +38,45 @@
 
         One target states the whole key space; another shard has no target.
         """
-        desk = search_desk.Desk()
-        first, second, *others = desk.waiting.values()
-        desk.give(*[desk.good(item) for item in others])
+        harness = scatter_harness.ScatterHarness()
+        first, second, *others = harness.pending.values()
+        harness.deliver(*[harness.good_answer(item) for item in others])
         everything = [protocol.KeyRange(0, state.KEY_SPACE_SIZE)]
-        (again,) = desk.give(desk.good(first, ranges=everything))
-        desk.give(desk.good(again))
-        (other,) = desk.give(desk.failed(second, Status.BROKEN))
-        desk.give(desk.failed(other, Status.BROKEN))
-        self.assertIsInstance(desk.outcome, protocol.Partial)
-        self.assertEqual(0.75, desk.outcome.coverage)
-        self.assertEqual(1, desk.scatter.tally.bad_answers)
+        (again,) = harness.deliver(
+            harness.good_answer(first, ranges=everything)
+        )
+        harness.deliver(harness.good_answer(again))
+        (other,) = harness.deliver(
+            harness.failed_answer(second, Status.BROKEN)
+        )
+        harness.deliver(harness.failed_answer(other, Status.BROKEN))
+        self.assertIsInstance(harness.outcome, protocol.Partial)
+        self.assertEqual(0.75, harness.outcome.coverage)
+        self.assertEqual(1, harness.scatter.tally.bad_answers)
 
     def test_an_empty_answer_is_retried_elsewhere(self) -> None:
         """An answer of a target that has not loaded its shard is retried.
 
         It is well-formed, but has neither records nor ranges.
         """
-        desk = search_desk.Desk()
-        first, *others = desk.waiting.values()
-        desk.give(*[desk.good(item) for item in others])
-        (again,) = desk.give(desk.good(first, ranges=[], records=[]))
-        desk.give(desk.good(again))
-        self.assertIsInstance(desk.outcome, protocol.Answered)
-        self.assertEqual(4, len(desk.outcome.records))
+        harness = scatter_harness.ScatterHarness()
+        first, *others = harness.pending.values()
+        harness.deliver(*[harness.good_answer(item) for item in others])
+        (again,) = harness.deliver(
+            harness.good_answer(first, ranges=[], records=[])
+        )
+        harness.deliver(harness.good_answer(again))
+        self.assertIsInstance(harness.outcome, protocol.Answered)
+        self.assertEqual(4, len(harness.outcome.records))
 
     def test_below_the_least_coverage_there_is_no_answer(self) -> None:
         """With a least coverage of 90 %, 75 % is no answer."""
         search = memory_searches.make_search(least_coverage=0.9)
-        desk = search_desk.Desk(search=search)
-        first, *others = desk.waiting.values()
-        desk.give(*[desk.good(item) for item in others])
-        desk.tick(200.0)
-        self.assertIsInstance(desk.outcome, protocol.Unknown)
+        harness = scatter_harness.ScatterHarness(search=search)
+        first, *others = harness.pending.values()
+        harness.deliver(*[harness.good_answer(item) for item in others])
+        harness.tick(200.0)
+        self.assertIsInstance(harness.outcome, protocol.Unknown)
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
     @hypothesis.given(
@@ -83,55 +89,61 @@
         the wrong snapshot, too wide, broken or not at all.
         """
         rng = random.Random(seed)
-        desk = search_desk.Desk(
+        harness = scatter_harness.ScatterHarness(
             snapshot=memory_searches.make_snapshot(1, rng.randint(1, 7)),
             search=memory_searches.make_search(least_coverage=least),
             canary=rng.random() < 0.5,
         )
         searched: list[tuple[int, int]] = []
-        while desk.outcome is None:
-            if not desk.waiting or rng.random() < 0.05:
-                desk.tick(20.0)
+        while harness.outcome is None:
+            if not harness.pending or rng.random() < 0.05:
+                harness.tick(20.0)
                 continue
-            item = rng.choice(list(desk.waiting.values()))
-            answer, completed = _faulty(desk, item, rng)
-            was_pending = desk.outcome is None
-            desk.give(answer)
+            item = rng.choice(list(harness.pending.values()))
+            answer, completed = _faulty(harness, item, rng)
+            was_pending = harness.outcome is None
+            harness.deliver(answer)
             if rng.random() < 0.3:
-                desk.give(answer)
+                harness.deliver(answer)
             if was_pending:
                 searched += completed
-        _check(self, desk.outcome, searched, least)
+        _check(self, harness.outcome, searched, least)
 
 
 def _faulty(
-    desk: search_desk.Desk, item: protocol.SubQuery, rng: random.Random
+    harness: scatter_harness.ScatterHarness,
+    item: protocol.SubQuery,
+    rng: random.Random,
 ) -> tuple[protocol.SubAnswer, list[tuple[int, int]]]:
     """Return a random answer, and the ranges that it searched completely."""
-    good = desk.good(item)
+    good = harness.good_answer(item)
     low, high = good.ranges[0].low, good.ranges[0].high
     middle = rng.randint(low + 1, high - 1)
     half = rng.choice([(low, middle), (middle, high)])
     kind = rng.randrange(10)
     if kind == 0:
-        return desk.good(item, truncated=True), []
+        return harness.good_answer(item, truncated=True), []
     if kind == 1:
-        return desk.good(item, ranges=[protocol.KeyRange(*half)]), [half]
+        return harness.good_answer(item, ranges=[protocol.KeyRange(*half)]), [
+            half
+        ]
     if kind == 2:
-        return desk.good(item, snapshot_id=item.snapshot_id + 1), []
+        return harness.good_answer(item, snapshot_id=item.snapshot_id + 1), []
     if kind == 3:
         wide = [protocol.KeyRange(low, high + 1)]
-        return desk.good(item, ranges=wide), []
+        return harness.good_answer(item, ranges=wide), []
     if kind == 4:
-        return desk.good(item, ranges=[], records=[]), []
+        return harness.good_answer(item, ranges=[], records=[]), []
     if kind == 5:
         status = rng.choice(
             [status for status in Status if status.value != 'answered']
         )
         lost = status is Status.BROKEN and rng.random() < 0.5
-        alone = item.attempt_id in desk.alone
+        alone = item.attempt_id in harness.alone
         return (
-            desk.failed(item, status, target_lost=lost, ran_alone=alone),
+            harness.failed_answer(
+                item, status, target_lost=lost, ran_alone=alone
+            ),
             [],
         )
     parts = [
@@ -139,7 +151,7 @@
         protocol.KeyRange(low, min(high, middle + 1)),
     ]
     ranges = rng.choice([parts, good.ranges])
-    return desk.good(item, ranges=ranges), [(low, high)]
+    return harness.good_answer(item, ranges=ranges), [(low, high)]
 
 
 def _check(
--- a/tests/process/test_platform.py
+++ b/tests/process/test_platform.py
@@ -201,7 +201,7 @@
             await self.system.start_daemon(name, coordinators_per_site=1)
         lost = await self._coordinator()
         await self.system.stop_daemon(lost, signal.SIGKILL)
-        for name in self.system.doors:
+        for name in self.system.caller_addresses:
             if name != lost:
                 await self._until(200, name, '/search/x')
 
@@ -212,7 +212,7 @@
         await self.system.start_daemon('one')
         await self.system.stop_daemon('one', signal.SIGKILL)
         self.system.launch_daemon('one')
-        host, port = self.system.doors['one'].split(':')
+        host, port = self.system.caller_addresses['one'].split(':')
         while True:
             try:
                 return await asyncio.open_connection(host, port)
@@ -273,7 +273,7 @@
         for _ in range(400):
             handing = [
                 name
-                for name in self.system.doors
+                for name in self.system.caller_addresses
                 if '"coordinates":false' in self.system.log(name)
             ]
             if len(handing) == 2:
@@ -282,7 +282,7 @@
         status, _, _ = await self.system.ask(handing[0], '/search/x', 'h1')
         self.assertEqual(200, status)
         self.assertEqual(4, len(self.system.runs_of('h1')))
-        return next(iter(set(self.system.doors) - set(handing)))
+        return next(iter(set(self.system.caller_addresses) - set(handing)))
 
     async def test_settings_change_while_it_runs(self) -> None:
         """With a signal and without; a broken file changes nothing."""
--- a/tests/simulation_runs.py
+++ b/tests/simulation_runs.py
@@ -27,7 +27,7 @@
     ) -> None:
         super().__init__(seed, counters, latency_ms)
         self.history: list[history_runs.Event] = []
-        self.hub.observers.append(self._observe)
+        self.network.observers.append(self._observe)
         self._calls = itertools.count(1)
 
     def call(
@@ -45,7 +45,7 @@
         """
         number = next(self._calls)
         self.history.append(
-            history_runs.Called(number, daemon.life, key, body)
+            history_runs.Called(number, daemon.process, key, body)
         )
         request = protocol.RunRequest(
             memory_runners.SERVICE,
@@ -150,7 +150,7 @@
         system = self.system
         for name in self.NAMES:
             system.start(name)
-        system.hub.loss = 0.05
+        system.network.loss = 0.05
         system.store.chances = {
             memory_platform.Fault.CONFLICT: 0.10,
             memory_platform.Fault.CONFLICT_AFTER: 0.05,
@@ -228,6 +228,6 @@
     def _end_faults(self) -> None:
         self.system.store.outage = False
         self.system.store.chances = {}
-        self.system.hub.loss = 0.0
+        self.system.network.loss = 0.0
         for daemon in self.system.daemons.values():
             daemon.host.wake(self._random)
--- a/tests/unit/test_coordinator.py
+++ b/tests/unit/test_coordinator.py
@@ -4,7 +4,7 @@
 
 from samphiredock import protocol
 from standins import memory_searches
-from standins import search_desk
+from standins import scatter_harness
 
 
 class CoordinatorTest(unittest.IsolatedAsyncioTestCase):
@@ -13,7 +13,7 @@
     def setUp(self) -> None:
         """Start the scripted tier."""
         self.tier = memory_searches.Tier(
-            memory_searches.make_search(), search_desk.SEED, daemons=3
+            memory_searches.make_search(), scatter_harness.SEED, daemons=3
         )
         self.addCleanup(self.tier.close)
         self.daemon = self.tier.daemons['d2']
@@ -92,7 +92,7 @@
         answer = protocol.SubAnswer('a', 't0', protocol.SubStatus.ANSWERED, 1)
         late = protocol.SubAnswerBatch('gone', [answer])
         self.tier.network.send('d0', 'd2', late)
-        await self.tier.move(1.0)
+        await self.tier.advance(1.0)
         self.assertEqual(1, self.daemon.counters.total('late_answers'))
 
 
@@ -101,7 +101,7 @@
 
     def test_the_quicker_replica_gets_most_and_the_other_some(self) -> None:
         """A slow replica gets few attempts, but enough to see it recover."""
-        replicas = search_desk.Desk().context.replicas
+        replicas = scatter_harness.ScatterHarness().context.replicas
         for _ in range(50):
             for target, took_ms in (('fast', 2.0), ('slow', 40.0)):
                 replicas.record_sent(target)
@@ -112,7 +112,7 @@
 
     def test_work_in_flight_counts(self) -> None:
         """A burst is spread over replicas of equal latency."""
-        replicas = search_desk.Desk().context.replicas
+        replicas = scatter_harness.ScatterHarness().context.replicas
         chosen = []
         for _ in range(100):
             chosen.append(replicas.choose(['a', 'b']))
--- a/tests/unit/test_dispatcher.py
+++ b/tests/unit/test_dispatcher.py
@@ -79,7 +79,9 @@
             )
             await dispatching.settle()
             self._assert_answered(**dict.fromkeys(names, 'broken'))
-            for answer in self.peers.of(protocol.SubAnswerBatch)[0].answers:
+            for answer in self.peers.of_type(protocol.SubAnswerBatch)[
+                0
+            ].answers:
                 self.assertEqual(len(names) == 1, answer.ran_alone)
                 self.assertEqual(not healthy, answer.target_lost)
 
@@ -98,7 +100,7 @@
             memory_link.failure(_KIND.UNREACHABLE)
         )
         await dispatching.settle()
-        (answered,) = self.peers.of(protocol.SubAnswerBatch)
+        (answered,) = self.peers.of_type(protocol.SubAnswerBatch)
         self.assertIs(
             protocol.SubStatus.UNREACHABLE, answered.answers[0].status
         )
@@ -197,7 +199,7 @@
         self.assertEqual(300, sent.deadline_ms)
         self.link.answer()
         await dispatching.settle()
-        answers = self.peers.of(protocol.SubAnswerBatch)
+        answers = self.peers.of_type(protocol.SubAnswerBatch)
         self.assertEqual(100.0, answers[1].answers[0].waited_ms)
 
     async def test_unknown_target_is_not_owned(self) -> None:
--- a/tests/unit/test_ownership.py
+++ b/tests/unit/test_ownership.py
@@ -226,17 +226,17 @@
         self.peers.deliver(message)
         await dispatching.settle()
         self.peers.deliver(protocol.Release('t1'), self.other)
-        self.assertEqual([], self.peers.of(protocol.Released))
+        self.assertEqual([], self.peers.of_type(protocol.Released))
         self._set_live('d1', self.other)
         self.peers.deliver(dispatching.batch(dispatching.item('2')))
         self.peers.deliver(protocol.Release('t1'), self.other)
         await dispatching.settle()
         self.assertEqual({'2': ['not-owner']}, self.peers.statuses())
-        self.assertEqual(1, self.peers.of(protocol.Released)[0].busy)
+        self.assertEqual(1, self.peers.of_type(protocol.Released)[0].busy)
         self.link.answer()
         await dispatching.settle()
         self.peers.deliver(protocol.Release('t1'), self.other)
-        self.assertEqual(0, self.peers.of(protocol.Released)[1].busy)
+        self.assertEqual(0, self.peers.of_type(protocol.Released)[1].busy)
 
     async def test_own_orders_are_sent_after_a_noticed_freeze(self) -> None:
         """Only an order from a peer may have been sent before the freeze."""
--- a/tests/unit/test_soak_checks.py
+++ b/tests/unit/test_soak_checks.py
@@ -32,10 +32,11 @@
 
 
 def history(
-    *asked: _checks.RequestRecord, runs: tuple[_checks.Execution, ...] = ()
+    *requests: _checks.RequestRecord,
+    executions: tuple[_checks.Execution, ...] = (),
 ) -> _checks.History:
     """Return a history of four shards."""
-    return _checks.History(asked, runs, SHARDS, RECORDS, 0.75, 5, 2)
+    return _checks.History(requests, executions, SHARDS, RECORDS, 0.75, 5, 2)
 
 
 class SoakChecksTest(unittest.TestCase):
@@ -53,7 +54,10 @@
             _checks.RequestRecord('pay', 'p2', 503),
             _checks.RequestRecord('fetch', 'f1', 200, ('f1.desk-0',), 0,
                           RECORDS['desk']),
-            runs=(_checks.Execution('p1', 'desk-0'), _checks.Execution('f1', 'desk-0')),
+            executions=(
+                _checks.Execution('p1', 'desk-0'),
+                _checks.Execution('f1', 'desk-0'),
+            ),
         )  # fmt: skip
         self.assertEqual(set(), self._wrong(seen))
 
@@ -63,7 +67,7 @@
             seen = history(
                 _checks.RequestRecord('pay', 'p1', 200, ('p1.desk-0',), 0,
                               RECORDS['desk']),
-                runs=(
+                executions=(
                     _checks.Execution('p1', 'desk-0'), _checks.Execution('p1', second),
                 ),
             )  # fmt: skip
@@ -75,7 +79,7 @@
             for kind in ('pay', 'fetch', 'probe', 'search'):
                 seen = history(
                     _checks.RequestRecord(kind, 'p1', status),
-                    runs=(_checks.Execution('p1', 'desk-0'),),
+                    executions=(_checks.Execution('p1', 'desk-0'),),
                 )
                 self.assertEqual({'not run is true'}, self._wrong(seen))
 
@@ -94,7 +98,9 @@
             with self.subTest(changes):
                 seen = history(dataclasses.replace(sound, **changes))
                 self.assertEqual({'own whole answer'}, self._wrong(seen))
-        fetch = _checks.RequestRecord('fetch', 'f1', 200, ('f1.desk-0',), 0, b'x')
+        fetch = _checks.RequestRecord(
+            'fetch', 'f1', 200, ('f1.desk-0',), 0, b'x'
+        )
         self.assertEqual({'own whole answer'}, self._wrong(history(fetch)))
 
     def test_too_many_targets_and_unknown_routes(self) -> None:
@@ -104,13 +110,17 @@
         """
         seen = history(
             _checks.RequestRecord('fetch', 'f1', 404),
-            runs=tuple(_checks.Execution('q1', f's1-{n}') for n in range(3)),
+            executions=tuple(
+                _checks.Execution('q1', f's1-{n}') for n in range(3)
+            ),
         )
         self.assertEqual({'attempts', 'routes'}, self._wrong(seen))
         for kind, wrong in (('probe', {'attempts'}), ('fetch', set())):
             seen = history(
                 _checks.RequestRecord(kind, 'q1', 502),
-                runs=tuple(_checks.Execution('q1', f'desk-{n}') for n in range(2)),
+                executions=tuple(
+                    _checks.Execution('q1', f'desk-{n}') for n in range(2)
+                ),
             )
             self.assertEqual(wrong, self._wrong(seen))
 
@@ -126,7 +136,9 @@
         began = (_checks.Execution('f1', 'desk-0'),)
         stop = _checks.Stop('one', 2, 4.0, 6.0)
         for stops in ((), (stop,)):
-            seen = dataclasses.replace(history(cut, runs=began), stops=stops)
+            seen = dataclasses.replace(
+                history(cut, executions=began), stops=stops
+            )
             self.assertEqual({'stops cut nothing'}, self._wrong(seen))
         for killed in (('one', 1), ('two', 2)):
             other = dataclasses.replace(seen, killed=frozenset({killed}))
@@ -134,8 +146,8 @@
         excused = dataclasses.replace(seen, killed=frozenset({('one', 2)}))
         self.assertEqual(set(), self._wrong(excused))
         for name, wrong in (('one', {'stops cut nothing'}), ('two', set())):
-            read = {name: frozenset({'f1'})}
-            seen = dataclasses.replace(history(cut), read=read)
+            logged = {name: frozenset({'f1'})}
+            seen = dataclasses.replace(history(cut), logged=logged)
             self.assertEqual(wrong, self._wrong(seen))
         self.assertEqual(set(), self._wrong(history(cut)))
 
@@ -153,7 +165,7 @@
             ({}, {'stops refuse by word'}),
             ({'status': 502}, set()),
             ({'sent_s': 4.5}, set()),
-            ({'behind': 1}, set()),
+            ({'pipeline_index': 1}, set()),
             ({'start': 1}, set()),
         ):
             row = dataclasses.replace(dropped, **change)
@@ -188,13 +200,13 @@
             'probe', 'r2', 404, daemon='one', start=1, sent_s=2.0,
             ended_s=2.1, version=4,
         )  # fmt: skip
-        runs = (_checks.Execution('r1', 'desk-0'),)
+        executions = (_checks.Execution('r1', 'desk-0'),)
         self.assertEqual(
             {'versions never go back'},
-            self._wrong(history(served, lost, runs=runs)),
+            self._wrong(history(served, lost, executions=executions)),
         )
         for change in ({'start': 2}, {'sent_s': 1.05}, {'version': 6}):
             with self.subTest(change):
                 other = dataclasses.replace(lost, **change)
-                seen = history(served, other, runs=runs)
+                seen = history(served, other, executions=executions)
                 self.assertEqual(set(), self._wrong(seen))
--- a/tests/unit/test_target_signs.py
+++ b/tests/unit/test_target_signs.py
@@ -94,7 +94,7 @@
         self,
     ) -> None:
         self.signs.on_target_report('t1', True)
-        sign = self.peers.of(protocol.TargetSign)[0]
+        sign = self.peers.of_type(protocol.TargetSign)[0]
         self.peers.deliver(protocol.TargetSign('t1', False, sign.at_ms - 1))
         self._assert_usable(False)
         self.peers.deliver(protocol.TargetSign('t1', False, sign.at_ms + 1))
@@ -102,7 +102,7 @@
         self.signs.on_target_report('t1', True)
         self._assert_usable(False)
         self.assertGreater(
-            self.peers.of(protocol.TargetSign)[1].at_ms, sign.at_ms + 1
+            self.peers.of_type(protocol.TargetSign)[1].at_ms, sign.at_ms + 1
         )
 
     def test_answer_requested_before_the_sign_is_no_return(self) -> None:
@@ -112,7 +112,7 @@
         self.signs.on_target_report('t1', False, asked_at_ms)
         self._assert_usable(False)
         sent_signs = [
-            row.leaving for row in self.peers.of(protocol.TargetSign)
+            row.leaving for row in self.peers.of_type(protocol.TargetSign)
         ]
         self.assertEqual([True], sent_signs)
         self.signs.on_target_report('t1', False, asked_at_ms + 6)
@@ -183,10 +183,10 @@
     def _exchange(self) -> int:
         """Let the other daemon ask; return how many signs it was sent."""
         self.other._ask_peer()
-        request = self.other_peers.of(protocol.TargetSignsWanted)[-1]
+        request = self.other_peers.of_type(protocol.TargetSignsWanted)[-1]
         self.peers.sent.clear()
         self.peers.deliver(request)
-        sent_signs = self.peers.of(protocol.TargetSign)
+        sent_signs = self.peers.of_type(protocol.TargetSign)
         for sign in sent_signs:
             self.other_peers.deliver(sign)
         return len(sent_signs)
