--- a/standins/memory_links.py
+++ b/standins/memory_links.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(eq=False)
-class Sent:
+class SentRequest:
     """One exchange that waits for the test to end it."""
 
     target: str
@@ -63,14 +63,14 @@
     """
 
     def __init__(self) -> None:
-        self.sent: list[Sent] = []
+        self.sent: list[SentRequest] = []
         self.dead: set[str] = set()
         self.full: set[str] = set()
         self.busy: set[str] = set()
         self.listening_check_turns = 0
 
     @property
-    def open(self) -> list[Sent]:
+    def open(self) -> list[SentRequest]:
         """The exchanges that have not ended."""
         return [row for row in self.sent if not row.done.done()]
 
@@ -90,7 +90,7 @@
         while target.target_id in self.busy:
             await asyncio.sleep(0)
         on_send()
-        sent = Sent(target.target_id, request, future)
+        sent = SentRequest(target.target_id, request, future)
         self.sent.append(sent)
         try:
             return await future
--- a/tests/failure/test_cross_site_orders.py
+++ b/tests/failure/test_cross_site_orders.py
@@ -486,7 +486,7 @@
         self.assertEqual(top_of(shards), outcome.body)
 
 
-def _end_randomly(sent: memory_links.Sent, rng: random.Random) -> None:
+def _end_randomly(sent: memory_links.SentRequest, rng: random.Random) -> None:
     """End an exchange in a random way, or leave it open."""
     draw = rng.random()
     if draw < 0.25:
