--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -182,7 +182,7 @@
 
 async def _read_answer(
     reader: asyncio.StreamReader,
-) -> scripted_target.Seen | None:
+) -> scripted_target.HttpMessage | None:
     """Read one whole answer, None if the connection ends before its end."""
     try:
         return await scripted_target.read_request(reader)
@@ -192,7 +192,7 @@
 
 def _make_record(
     request: Request,
-    seen: scripted_target.Seen | None,
+    seen: scripted_target.HttpMessage | None,
     daemon: str,
     start: int,
     sent_s: float,
--- a/standins/prepared_system.py
+++ b/standins/prepared_system.py
@@ -66,7 +66,7 @@
         )
 
     async def _answer(
-        self, seen: scripted_target.Seen, writer: asyncio.StreamWriter
+        self, seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
     ) -> None:
         request_id = seen.headers['request-id']
         if seen.headers.get('expect-instance') != self.target_id:
--- a/standins/scripted_target.py
+++ b/standins/scripted_target.py
@@ -6,7 +6,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seen:
+class HttpMessage:
     """One request as it came."""
 
     line: str
@@ -15,11 +15,11 @@
 
 
 Script = typing.Callable[
-    [Seen, asyncio.StreamWriter], typing.Awaitable[typing.Any]
+    [HttpMessage, asyncio.StreamWriter], typing.Awaitable[typing.Any]
 ]
 
 
-async def read_request(reader: asyncio.StreamReader) -> Seen | None:
+async def read_request(reader: asyncio.StreamReader) -> HttpMessage | None:
     """Read one request, None at the end of the connection."""
     try:
         head = await reader.readuntil(b'\r\n\r\n')
@@ -31,7 +31,7 @@
         for name, _, value in (row.partition(':') for row in rows)
     }
     body = await reader.readexactly(int(headers.get('content-length', 0)))
-    return Seen(line, headers, body)
+    return HttpMessage(line, headers, body)
 
 
 class ScriptedTarget:
@@ -39,7 +39,7 @@
 
     def __init__(self, script: Script) -> None:
         self.script = script
-        self.seen: list[Seen] = []
+        self.seen: list[HttpMessage] = []
         self.connections = 0
         self.closed = 0
         self._server: asyncio.Server | None = None
--- a/tests/unit/test_connection_pool.py
+++ b/tests/unit/test_connection_pool.py
@@ -35,13 +35,13 @@
         self.clock.close()
 
     async def _plain(
-        self, seen: scripted_target.Seen, writer: asyncio.StreamWriter
+        self, seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
     ) -> None:
         request_id = seen.headers['request-id']
         writer.write(scripted_target.answer(request_id, request_id.encode()))
 
     async def _slow(
-        self, seen: scripted_target.Seen, writer: asyncio.StreamWriter
+        self, seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
     ) -> None:
         await asyncio.sleep(0.02)
         await self._plain(seen, writer)
@@ -83,7 +83,7 @@
         may_reply = asyncio.Event()
 
         async def reply_when_allowed(
-            seen: scripted_target.Seen, writer: asyncio.StreamWriter
+            seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
         ) -> None:
             await may_reply.wait()
             await self._plain(seen, writer)
@@ -144,7 +144,7 @@
         used = set()
 
         async def reset_if_reused(
-            seen: scripted_target.Seen, writer: asyncio.StreamWriter
+            seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
         ) -> None:
             if writer in used:
                 scripted_target.reset(writer)
@@ -177,7 +177,7 @@
                 clock.advance(idle_ms)
 
                 async def reset_after_work(
-                    seen: scripted_target.Seen, writer: asyncio.StreamWriter
+                    seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
                 ) -> None:
                     clock.advance(work_ms)
                     scripted_target.reset(writer)
@@ -253,7 +253,7 @@
         """The request would otherwise wait until the silent exchange ends."""
 
         async def silent_to_first(
-            seen: scripted_target.Seen, writer: asyncio.StreamWriter
+            seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
         ) -> None:
             if seen.headers['request-id'] == 'a':
                 await asyncio.sleep(30.0)
@@ -277,7 +277,7 @@
         """Otherwise the target would be considered lost and get no work."""
 
         async def silent(
-            seen: scripted_target.Seen, writer: asyncio.StreamWriter
+            seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
         ) -> None:
             await asyncio.sleep(30.0)
 
@@ -300,7 +300,7 @@
         """
 
         async def stale_reply_first(
-            seen: scripted_target.Seen, writer: asyncio.StreamWriter
+            seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
         ) -> None:
             request_id = seen.headers['request-id']
             if request_id == 'second':
@@ -319,7 +319,7 @@
         """The first reply is valid; the second could reach a later request."""
 
         async def two_replies(
-            seen: scripted_target.Seen, writer: asyncio.StreamWriter
+            seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
         ) -> None:
             request_id = seen.headers['request-id']
             writer.write(
@@ -338,7 +338,7 @@
         """They would be read as the reply to the next request."""
 
         async def reply_and_extra(
-            seen: scripted_target.Seen, writer: asyncio.StreamWriter
+            seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
         ) -> None:
             await self._plain(seen, writer)
             await writer.drain()
@@ -357,7 +357,7 @@
         """It is complete if the connection was closed without a reset."""
 
         async def unframed(
-            seen: scripted_target.Seen, writer: asyncio.StreamWriter
+            seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
         ) -> None:
             request_id = seen.headers['request-id']
             writer.write(
@@ -376,7 +376,7 @@
         """
 
         async def cut(
-            seen: scripted_target.Seen, writer: asyncio.StreamWriter
+            seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
         ) -> None:
             request_id = seen.headers['request-id']
             writer.write(
@@ -398,7 +398,7 @@
         """The stated length was not reached."""
 
         async def cut(
-            seen: scripted_target.Seen, writer: asyncio.StreamWriter
+            seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
         ) -> None:
             whole = scripted_target.answer('a', b'x' * 100)
             writer.write(whole[:-40])
@@ -413,7 +413,7 @@
         """It is an error value, and the connection is not reused."""
 
         async def garbage(
-            seen: scripted_target.Seen, writer: asyncio.StreamWriter
+            seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
         ) -> None:
             writer.write(b'\x00\xff no answer at all\r\n\r\n')
 
@@ -428,7 +428,7 @@
         """Its late reply could be read as the reply to the next request."""
 
         async def silent(
-            seen: scripted_target.Seen, writer: asyncio.StreamWriter
+            seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
         ) -> None:
             return
 
@@ -443,7 +443,7 @@
         """The close tells the target to stop working on the request."""
 
         async def silent(
-            seen: scripted_target.Seen, writer: asyncio.StreamWriter
+            seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
         ) -> None:
             return
 
@@ -474,7 +474,7 @@
         """The target may be closing it, and the request would be lost."""
 
         async def no_keepalive(
-            seen: scripted_target.Seen, writer: asyncio.StreamWriter
+            seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
         ) -> None:
             request_id = seen.headers['request-id']
             writer.write(
