--- a/standins/memory_orders.py
+++ b/standins/memory_orders.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class OrderSeen:
+class ReceivedOrder:
     """An order as the daemon that it was sent to got it."""
 
     merger: str
@@ -41,7 +41,7 @@
 
     def __init__(self, mergers: dict[str, forwarding.Merger]) -> None:
         self._mergers = mergers
-        self.seen: list[OrderSeen] = []
+        self.seen: list[ReceivedOrder] = []
         self.dead: set[str] = set()
         self.frozen: set[str] = set()
         self.without_orders: set[str] = set()
@@ -71,7 +71,7 @@
         if name in self.without_orders:
             return result.Success(protocol.HttpReply(503))
         order = protocol.decode_order(request.body).unwrap()
-        seen = OrderSeen(name, order)
+        seen = ReceivedOrder(name, order)
         self.seen.append(seen)
         assert on_chunk is not None
         if name in self.frozen:
