--- a/standins/memory_peers.py
+++ b/standins/memory_peers.py
@@ -38,7 +38,7 @@
         self._handlers: dict[type, list[transport.MessageHandler]] = (
             collections.defaultdict(list)
         )
-        self.known: dict[str, str] = {}
+        self.addresses: dict[str, str] = {}
         self.silent: set[str] = set()
         self.resets = 0
         self.open: set[str] = set()
@@ -50,7 +50,7 @@
 
     def set_address(self, member: str, address: str) -> None:
         """Learn an address."""
-        self.known[member] = address
+        self.addresses[member] = address
 
     def reset(self, member: str) -> None:
         """Make a new connection."""
@@ -63,11 +63,11 @@
 
     def send(self, member: str, message: msgspec.Struct) -> bool:
         """Queue a message; False for a member that is not known."""
-        if self._needs_address and member not in self.known:
+        if self._needs_address and member not in self.addresses:
             return False
         if member in self.silent:
             return True
-        address = self.known.get(member, member)
+        address = self.addresses.get(member, member)
         self.open.add(address)
         self._used.add(address)
         sent = self._network.send(
