--- a/standins/target.py
+++ b/standins/target.py
@@ -57,7 +57,7 @@
         app.router.add_get('/control/executions', self._get_executions)
         return app
 
-    def learn(self, snapshot: state.Snapshot) -> None:
+    def hold_snapshot(self, snapshot: state.Snapshot) -> None:
         """Hold a snapshot; the oldest beyond the kept ones is dropped."""
         self._snapshots[snapshot.snapshot_id] = snapshot
         while len(self._snapshots) > _KEPT_SNAPSHOTS:
--- a/tests/failure/test_limits.py
+++ b/tests/failure/test_limits.py
@@ -38,7 +38,7 @@
         whole = protocol.KeyRange(0, state.KEY_SPACE_SIZE)
         shard = state.Shard('shard', whole, ['t1'])
         index = state.IndexSnapshot(1, [shard])
-        self.target.learn(state.Snapshot(1, {'i': index}))
+        self.target.hold_snapshot(state.Snapshot(1, {'i': index}))
         self.faults = target_faults.Faults(service_ms=4.0, straggler=0.02)
         self.target._faults = self.faults
         self.peers = memory_peers.RecordingPeers()
