--- a/standins/prepared_system.py
+++ b/standins/prepared_system.py
@@ -24,7 +24,7 @@
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
 _START_LIMIT_S = 20.0
 _STOP_LIMIT_S = 15.0
-_LOG_LIMIT_S = 15.0
+_LOG_WAIT_LIMIT_S = 15.0
 
 SHARDS = ('shard-1', 'shard-2', 'shard-3', 'shard-4')
 DESK = 'desk'
@@ -332,7 +332,7 @@
         answer.
         """
         loop = asyncio.get_running_loop()
-        ends_s = loop.time() + _LOG_LIMIT_S
+        ends_s = loop.time() + _LOG_WAIT_LIMIT_S
         wanted = f'"request":"{request_id}"'
         while loop.time() < ends_s:
             text = self.log(name)
