--- a/standins/target.py
+++ b/standins/target.py
@@ -317,7 +317,7 @@
                     row['value'], type=state.Snapshot
                 )
                 for target in targets:
-                    target.learn(snapshot)
+                    target.hold_snapshot(snapshot)
 
 
 async def _serve(
--- a/tests/unit/test_connection_pool.py
+++ b/tests/unit/test_connection_pool.py
@@ -177,7 +177,8 @@
                 clock.advance(idle_ms)
 
                 async def reset_after_work(
-                    seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
+                    seen: scripted_target.HttpMessage,
+                    writer: asyncio.StreamWriter,
                 ) -> None:
                     clock.advance(work_ms)
                     scripted_target.reset(writer)
--- a/tests/unit/test_soak_checks.py
+++ b/tests/unit/test_soak_checks.py
@@ -52,8 +52,9 @@
             search('s1-0', 's2-1', 's3-0', missing=1),
             _checks.RequestRecord('pay', 'p1', 502),
             _checks.RequestRecord('pay', 'p2', 503),
-            _checks.RequestRecord('fetch', 'f1', 200, ('f1.desk-0',), 0,
-                          RECORDS['desk']),
+            _checks.RequestRecord(
+                'fetch', 'f1', 200, ('f1.desk-0',), 0, RECORDS['desk']
+            ),
             executions=(
                 _checks.Execution('p1', 'desk-0'),
                 _checks.Execution('f1', 'desk-0'),
@@ -65,10 +66,12 @@
         """At two targets, or twice at one."""
         for second in ('desk-0', 'desk-1'):
             seen = history(
-                _checks.RequestRecord('pay', 'p1', 200, ('p1.desk-0',), 0,
-                              RECORDS['desk']),
+                _checks.RequestRecord(
+                    'pay', 'p1', 200, ('p1.desk-0',), 0, RECORDS['desk']
+                ),
                 executions=(
-                    _checks.Execution('p1', 'desk-0'), _checks.Execution('p1', second),
+                    _checks.Execution('p1', 'desk-0'),
+                    _checks.Execution('p1', second),
                 ),
             )  # fmt: skip
             self.assertEqual({'at most once'}, self._wrong(seen))
