--- a/samphiredock/daemon/_components.py
+++ b/samphiredock/daemon/_components.py
@@ -29,7 +29,7 @@
     protocol.Released,
     *protocol.CONTROL_MESSAGES,
 )
-"""All types of messages between daemons."""
+"""All types of messages between daemons that serve searches and runs."""
 
 _METRICS_FLUSH_MS = 1_000.0
 _OWNERSHIP_REFRESH_MS = 200.0
@@ -54,9 +54,9 @@
         self.platform = transport.HttpPlatform(
             self._session, settings.platform_url
         )
-        self._make_control()
-        self._make_dispatching()
-        self._make_coordinating()
+        self._make_state_and_membership()
+        self._make_dispatcher()
+        self._make_coordinator_and_runner()
         self._follow_changes()
 
     # The view of the coordinator and the runner.
@@ -88,13 +88,13 @@
 
     # Creation.
 
-    def _random(self, part: str) -> random.Random:
+    def _seeded_random(self, part: str) -> random.Random:
         return random.Random(
             f'{part}-{self.member.name}-{self.member.incarnation}'
         )
 
     def _make_hub(self, keys: state.Keys) -> transport.PeerHub:
-        """Bind the peer address; on failure, close what is open."""
+        """Bind the peer address; on failure, close the clock and metrics."""
         try:
             return transport.PeerHub(
                 self._settings.name,
@@ -108,7 +108,7 @@
             self.metrics.close()
             raise
 
-    def _make_control(self) -> None:
+    def _make_state_and_membership(self) -> None:
         self.current_state = coordination.CurrentState(self.metrics)
         self._snapshots = coordination.SnapshotValidator(self.metrics)
         self.watcher = coordination.Watcher(
@@ -123,7 +123,7 @@
             self.clock,
             self.metrics,
             self.current_state.versions,
-            self._random('membership'),
+            self._seeded_random('membership'),
             self._settings.peers,
         )
         self.distribution = coordination.ObjectDistribution(
@@ -140,7 +140,7 @@
             self.platform, self.current_state, self.clock, self.metrics
         )
 
-    def _make_dispatching(self) -> None:
+    def _make_dispatcher(self) -> None:
         self.quarantine = coordination.Quarantine(
             self.hub, self.membership, self.platform, self.clock, self.metrics
         )
@@ -156,7 +156,7 @@
             self.membership,
             self.clock,
             self.metrics,
-            self._random('signs'),
+            self._seeded_random('signs'),
             self.membership.neighbours,
             self.distribution.is_watcher,
         )
@@ -173,7 +173,7 @@
             lambda name: name in self._other_members(),
         )
 
-    def _make_coordinating(self) -> None:
+    def _make_coordinator_and_runner(self) -> None:
         self.admission = coordination.Admission(self.clock)
         self.coordinator = coordination.Coordinator(
             self.member.name,
@@ -185,7 +185,7 @@
             self.metrics,
             self.quarantine,
             self.admission,
-            self._random('coordinator'),
+            self._seeded_random('coordinator'),
         )
         self.runner = coordination.Runner(
             self.member.name,
@@ -196,7 +196,7 @@
             self.platform,
             self.clock,
             self.metrics,
-            self._random('runner'),
+            self._seeded_random('runner'),
             self.quarantine,
         )
 
--- a/samphiredock/logs.py
+++ b/samphiredock/logs.py
@@ -30,8 +30,8 @@
 class BoundedStream:
     """A non-blocking text stream with a bounded buffer.
 
-    ``dropped`` counts the lines that did not fit into the buffer or were lost
-    because the reader had closed its end.
+    ``dropped`` counts the lines that did not fit into the buffer, and the
+    flushes that lost the buffer because the reader had closed its end.
 
     Parameters
     ----------
@@ -52,14 +52,18 @@
         self.dropped = 0
 
     def write(self, text: str) -> int:
-        """Write as much as possible without blocking; buffer the rest."""
+        """Write as much as possible without blocking; buffer the rest.
+
+        Drops the text if it does not fit into the buffer.  Returns the length
+        of the text in any case.
+        """
         data = text.encode('utf-8', 'replace')
         if len(self._buffer) + len(data) > self._limit_bytes:
             self.dropped += 1
             self._unreported += 1
             return len(text)
         if self._unreported and not self._buffer:
-            self._buffer += _line(
+            self._buffer += _json_line(
                 event='log lines dropped', count=self._unreported
             )
             self._unreported = 0
@@ -81,7 +85,7 @@
             self._buffer.clear()
 
 
-def _line(**fields: object) -> bytes:
+def _json_line(**fields: object) -> bytes:
     return msgspec.json.encode(fields, enc_hook=str) + b'\n'
 
 
--- a/tests/unit/test_entry_state.py
+++ b/tests/unit/test_entry_state.py
@@ -19,16 +19,18 @@
 
     def __init__(self, clock: timers.ManualTimers) -> None:
         self._clock = clock
-        self.is_lost = False
+        self.is_unreachable = False
         self.is_silent = False
         self.refuses = False
         self.watches = 0
 
-    async def put(self, *words: object) -> result.Result:
+    async def put(self, *arguments: object) -> result.Result:
         """Accept the registration of a daemon."""
         return result.Success(7)
 
-    async def scan(self, *words: object, **more: object) -> result.Result:
+    async def scan(
+        self, *arguments: object, **options: object
+    ) -> result.Result:
         """Return an empty list."""
         return result.Success(())
 
@@ -36,7 +38,7 @@
         """Fail, or never reply if the store is silent."""
         if self.is_silent:
             await asyncio.Event().wait()
-        return self._lost()
+        return self._lost_failure()
 
     async def watch(
         self, prefix: str, position: int, timeout_ms: int
@@ -44,20 +46,22 @@
         """Return a page without changes, or fail."""
         self.watches += 1
         if self.refuses:
-            return self._lost()
+            return self._lost_failure()
         waiting = asyncio.get_running_loop().create_future()
         self._clock.after(500.0, lambda: waiting.set_result(None))
         await waiting
-        if self.is_lost:
-            return self._lost()
+        if self.is_unreachable:
+            return self._lost_failure()
         return result.Success(transport.WatchPage((), (), position + 1))
 
-    def _lost(self) -> result.Result:
+    def _lost_failure(self) -> result.Result:
         kind = transport.StoreErrorKind.LOST
         return result.Failure(transport.StoreError(kind, 'by the test'))
 
 
 class _Adapter:
+    """The store's keys; the test has no object to read."""
+
     routing_prefix = 'config/'
     routing_key = 'config/main'
     targets_prefix = 'servers/'
@@ -90,7 +94,7 @@
             self.clock.advance(100.0)
         await memory_links.settle()
 
-    async def test_no_service_for_others_without_store_contact(
+    async def test_does_not_serve_others_without_store_contact(
         self,
     ) -> None:
         """Otherwise it would refuse requests for routes added since.
@@ -98,7 +102,7 @@
         Only this coordinator loses contact with the store.
         """
         self.assertTrue(await self.entry_state.can_serve_handed_over(0, False))
-        self.store.is_lost = True
+        self.store.is_unreachable = True
         await self._advance(3_000.0)
         self.assertTrue(await self.entry_state.can_serve_handed_over(0, False))
         await self._advance(1_000.0)
@@ -124,7 +128,7 @@
 
     async def test_serves_while_a_peer_confirms_the_version(self) -> None:
         """A peer that has store contact has no newer version than this one."""
-        self.store.is_lost = True
+        self.store.is_unreachable = True
         await self._advance(4_500.0)
         self.assertFalse(
             await self.entry_state.can_serve_handed_over(0, False)
@@ -140,7 +144,7 @@
 
     async def test_does_not_serve_if_a_peer_has_a_newer_version(self) -> None:
         """Otherwise a caller would see a change undone that it has used."""
-        self.store.is_lost = True
+        self.store.is_unreachable = True
         await self._advance(4_500.0)
         self._record_answers(
             forwarding.StoreStatus(1, True), forwarding.StoreStatus(0, True)
@@ -154,7 +158,7 @@
 
         Otherwise every coordinator would first refuse each request.
         """
-        self.store.is_lost = True
+        self.store.is_unreachable = True
         await self._advance(4_500.0)
         self.assertTrue(self.entry_state.needs_freshness_check())
         self._record_answers(
@@ -164,7 +168,7 @@
 
     async def test_does_not_serve_if_no_peer_answers(self) -> None:
         """This daemon may be the only one cut off."""
-        self.store.is_lost = True
+        self.store.is_unreachable = True
         await self._advance(4_500.0)
         self._record_answers()
         self.assertFalse(
@@ -193,6 +197,7 @@
         await self._advance(1_000.0)
         self.store.watches = 0
         await self._advance(10_000.0)
+        # Two prefixes, each watched again 400 ms after a refusal.
         self.assertLessEqual(self.store.watches, 2 * 26)
         self.store.refuses = False
         await self._advance(1_000.0)
@@ -205,9 +210,9 @@
 
     async def test_serves_stale_state_on_request(self) -> None:
         """Otherwise an outage of the store would stop all requests."""
-        self.store.is_lost = True
+        self.store.is_unreachable = True
         await self._advance(10_000.0)
         self.assertTrue(await self.entry_state.can_serve_handed_over(0, True))
-        self.store.is_lost = False
+        self.store.is_unreachable = False
         await self._advance(1_000.0)
         self.assertTrue(await self.entry_state.can_serve_handed_over(0, False))
