--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The command line of the soak."""
+"""Command line of the soak test."""
 
 import asyncio
 import collections
@@ -21,10 +21,20 @@
     planned: bool = False,
     logs: pathlib.Path | None = None,
 ) -> list[str]:
-    """Run one soak; print what was seen, return what was wrong.
+    """Run one soak, print a summary, and return the problems found.
 
-    ``planned`` lets only planned work fall; ``logs`` is where the daemons'
-    logs are kept.
+    Parameters
+    ----------
+    seed
+        Seed of the faults and requests.
+    seconds
+        How long faults are injected.
+    hosts
+        Number of daemons.
+    planned
+        Inject only planned work, such as drains and restarts.
+    logs
+        Directory to which the daemons' logs are copied.
     """
     faults = _faults.PLANNED if planned else tuple(_faults.FAULTS)
     async with prepared_system.PreparedSystem(_run.SHARDS) as system:
@@ -55,14 +65,14 @@
 
 
 @click.command()
-@click.option('--seed', default=1, help='Draws faults and requests.')
-@click.option('--minutes', default=0.5, help='How long faults fall.')
-@click.option('--hosts', default=3, help='How many daemons.')
-@click.option('--planned', is_flag=True, help='No faults but planned work.')
+@click.option('--seed', default=1, help='Seed of the faults and requests.')
+@click.option('--minutes', default=0.5, help='How long faults are injected.')
+@click.option('--hosts', default=3, help='Number of daemons.')
+@click.option('--planned', is_flag=True, help='Inject planned work only.')
 @click.option(
     '--logs',
     type=click.Path(exists=True, file_okay=False, path_type=pathlib.Path),
-    help='Folder where the logs of the daemons are kept.',
+    help='Directory to copy the logs of the daemons to.',
 )
 def main(
     seed: int,
@@ -71,7 +81,7 @@
     planned: bool,
     logs: pathlib.Path | None,
 ) -> None:
-    """Soak the daemons that pass requests on; exit 1 if a check fails."""
+    """Soak the daemons that forward requests; exit 1 if a check fails."""
     wrong = asyncio.run(run_soak(seed, minutes * 60.0, hosts, planned, logs))
     for problem in wrong[:20]:
         click.echo(problem)
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep open connections, and use them until they end."""
+"""Callers that send requests on kept-alive HTTP/1.1 connections."""
 
 import asyncio
 import collections
@@ -13,17 +13,17 @@
 
 _PAUSE_S = 0.02
 _ROUND_COUNTS = (1, 10, 1_000)
-"""How often a caller uses a connection before it leaves."""
+"""How many rounds a caller sends before it closes its connection."""
 
 _PIPELINE_DEPTHS = (1, 1, 1, 2, 3)
-"""How many requests it sends at once."""
+"""How many requests a caller pipelines in one round."""
 
 _SPLIT_SHARE = 0.2
 _DELAYED_BYTES = 3
-"""Part of the sends whose last bytes come a pause later."""
+"""``_SPLIT_SHARE`` of the sends deliver their last bytes after a pause."""
 
 LONG_MS = 10_000
-"""Longer than a stop may take: its end comes before that of the request."""
+"""Deadline beyond the stop limit, so that a stop ends before the request."""
 
 _DEADLINES_MS = (1_500, 1_500, LONG_MS)
 
@@ -34,7 +34,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """One request; ``version`` adds the route that a probe asks for."""
+    """One request.
+
+    ``version`` is the configuration version that adds the route of a probe.
+    """
 
     kind: str
     request_id: str
@@ -42,7 +45,7 @@
     version: int = 0
 
     def encode(self) -> bytes:
-        """Return all of it as it is sent."""
+        """Return the request as the bytes to send."""
         path = _PATHS.get(self.kind, f'/added-{self.version}/x')
         return (
             f'{_METHODS.get(self.kind, "GET")} {path} HTTP/1.1\r\n'
@@ -54,18 +57,29 @@
 
 
 class Callers:
-    """Ask daemons, and write down what each request came to.
+    """Send requests to daemons and record the outcome of each.
 
-    An HTTP library's client asks again by itself when a connection that it
-    has used ends without an answer: a request that was cut would look like
-    one that was answered.
+    The callers read responses themselves: HTTP client libraries retry
+    silently when a reused connection closes without a response, which would
+    hide a lost request.
 
     Parameters
     ----------
     rng
-        Draws requests and daemons.
+        Source of all random choices.
     system
-        Whose daemons are asked.
+        The system whose daemons get the requests.
+
+    Attributes
+    ----------
+    records
+        One record for each request.
+    starts
+        Number of starts of each daemon.
+    unavailable
+        Daemons that get no new connections now.
+    version
+        The latest configuration version.
     """
 
     def __init__(
@@ -81,7 +95,7 @@
         self._numbers = itertools.count()
 
     async def run_caller(self) -> None:
-        """Use one connection after another as long as callers run."""
+        """Use one connection after another while ``running`` is set."""
         while self.running:
             up = [
                 name
@@ -96,7 +110,10 @@
             await asyncio.sleep(_PAUSE_S)
 
     def draw(self, kind: str, deadline_ms: int = LONG_MS) -> Request:
-        """Return a new request; a probe is for a route of late."""
+        """Return a new request.
+
+        A probe uses the route of one of the last three versions.
+        """
         version = 0
         if kind == 'probe':
             version = self._rng.randint(max(1, self.version - 2), self.version)
@@ -119,10 +136,11 @@
         draw: typing.Callable[[], list[Request]],
         rounds: int = 1,
     ) -> int:
-        """Send what is drawn on one connection, and again after the answers.
+        """Send rounds of requests to a daemon on one new connection.
 
-        The caller leaves only when nothing is under way.  Returns the last
-        status, 0 for no whole answer.
+        ``draw`` returns the requests of a round.  The next round begins when
+        all are answered, and the caller closes the connection only between
+        rounds.  Returns the last status, 0 if there was no complete response.
         """
         start = self.starts[daemon]
         try:
@@ -151,7 +169,7 @@
     async def _send(
         self, writer: asyncio.StreamWriter, requests: list[Request]
     ) -> float:
-        """Send requests; return when the last byte was handed over."""
+        """Send requests; return the time when the last byte was written."""
         data = b''.join(row.encode() for row in requests)
         if self._rng.random() < _SPLIT_SHARE:
             writer.write(data[:-_DELAYED_BYTES])
@@ -162,10 +180,13 @@
 
 
 class _Reader(asyncio.StreamReader):
-    """Keeps what has come before a reset: it may be a whole answer."""
+    """A reader that keeps the bytes received before a reset.
+
+    They may contain a complete response.
+    """
 
     def set_exception(self, exc: Exception) -> None:
-        """Take a broken connection for an ended one."""
+        """Treat a connection error as the end of the stream."""
         self.feed_eof()
 
 
@@ -183,7 +204,7 @@
 async def _read_answer(
     reader: asyncio.StreamReader,
 ) -> scripted_target.HttpMessage | None:
-    """Read one whole answer, None if the connection ends before its end."""
+    """Read one response; return None if it is incomplete."""
     try:
         return await scripted_target.read_request(reader)
     except (asyncio.IncompleteReadError, OSError):
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -1,4 +1,4 @@
-"""What must hold of a run, judged from callers' and targets' side."""
+"""Checks of a soak run, by what callers and targets observed."""
 
 import collections
 import dataclasses
@@ -8,22 +8,24 @@
 
 RECORD_BYTES = 16
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that promise that a request has not run and never will."""
+"""Statuses which state that a request has not run and never will."""
 
 _STOP_SIGNAL_STATUSES = frozenset({-signal.SIGTERM, -signal.SIGHUP})
-"""Exit statuses of a process that ends by a signal which a stop sends."""
+"""Exit statuses of a process that one of the stop signals killed."""
 
 _SINGLE_TARGET_KINDS = frozenset({'probe'})
-"""Kinds whose routes allow one target only."""
+"""Kinds of request whose routes allow a single target."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestRecord:
-    """One request as its caller saw it; status 0 for no whole answer.
+    """One request as its caller saw it.
 
-    ``start`` counts the starts of its daemon; times are of one clock.
-    ``version`` is the configuration that adds the route of a probe,
-    ``pipeline_index`` how many requests were sent before it without a wait.
+    ``status`` is 0 if there was no complete response.  ``start`` is the
+    number of the daemon's start.  Times are in seconds of the event loop's
+    clock.  ``version`` is the configuration version that adds the route of a
+    probe.  ``pipeline_index`` is the number of requests sent before this one
+    in the same round.
     """
 
     kind: str
@@ -42,9 +44,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stop:
-    """A daemon got some ``signals`` to stop, and ended with a status.
+    """One stop of a daemon.
 
-    ``ready`` is False if it was still starting at the first of them.
+    ``signals`` is the number of signals sent, ``status`` the exit status.
+    ``ready`` is False if the daemon was still starting at the first signal.
     """
 
     daemon: str
@@ -58,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Execution:
-    """A target began a request."""
+    """One target began to run a request."""
 
     request_id: str
     target: str
@@ -71,11 +74,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class History:
-    """All that was seen in a run.
-
-    ``records`` are those of each service's targets, ``shards`` the services
-    that a search asks, ``killed`` the starts of daemons that were killed,
-    ``logged`` the requests that the log of each daemon tells of.
+    """Everything observed in a run.
+
+    ``shards`` are the services that a search is sent to, ``records`` the
+    concatenated records of each service, ``top`` the number of records that
+    a search returns, ``least_share`` the share of shards that it needs and
+    ``attempts`` the number of targets that a route allows.  ``killed`` holds
+    the daemon starts that ended by SIGKILL, as ``(daemon, start)``, and
+    ``logged`` the ids of the requests in each daemon's log.
     """
 
     requests: tuple[RequestRecord, ...]
@@ -93,7 +99,7 @@
 
 
 def check_at_most_once(history: History) -> list[str]:
-    """A payment runs at most once."""
+    """Return the payments that ran more than once."""
     payments = {
         row.request_id for row in history.requests if row.kind == 'pay'
     }
@@ -110,7 +116,7 @@
 
 
 def check_not_run(history: History) -> list[str]:
-    """What was refused as not run has not run."""
+    """Return the requests that ran although they were refused as not run."""
     began = {run.request_id for run in history.executions}
     return [
         f'{row.request_id}: got status {row.status}, but it ran'
@@ -120,7 +126,7 @@
 
 
 def check_own_answer(history: History) -> list[str]:
-    """A success is the whole answer of targets that ran this request."""
+    """Return the successes with a wrong, partial or foreign answer."""
     return [
         f'{row.request_id}: {problem}'
         for row in history.requests
@@ -160,7 +166,7 @@
 
 
 def check_attempts(history: History) -> list[str]:
-    """No more targets of a service run a request than its route allows."""
+    """Return the requests that ran at more targets than their route allows."""
     alone = {
         row.request_id
         for row in history.requests
@@ -178,7 +184,10 @@
 
 
 def check_routes(history: History) -> list[str]:
-    """Every route was configured all the time: none is unknown."""
+    """Return the 404s for permanent routes.
+
+    Only the routes of probes are added during a run.
+    """
     return [
         f'{row.request_id}: got 404, its route is in every version'
         for row in history.requests
@@ -187,11 +196,12 @@
 
 
 def check_answered(history: History) -> list[str]:
-    """What a daemon has read or a target begun is answered to its caller.
+    """Return the accepted requests that got no response.
 
-    Callers do not leave, so that only the kill of the daemon that was asked
-    excuses it.  A stop does not, whatever the targets and the other daemons
-    do: what is open at its end is answered as unknown, or refused.
+    A request is accepted once its daemon has logged it or a target has begun
+    it.  Callers wait for every response, so only SIGKILL of the daemon
+    excuses a missing one.  A graceful stop does not: requests still pending
+    at its end are answered as unknown, or refused.
     """
     began = {run.request_id for run in history.executions}
     return [
@@ -204,7 +214,7 @@
 
 
 def _unanswered(history: History) -> list[RequestRecord]:
-    """Return what ended without answer at a daemon that was not killed."""
+    """Return the requests without response at daemons that were not killed."""
     return [
         row
         for row in history.requests
@@ -213,12 +223,13 @@
 
 
 def check_refused(history: History) -> list[str]:
-    """What a daemon had before its stop began is answered or refused.
+    """Return the requests sent before a stop that got no response.
 
-    Whether its log tells of it or not.  One that is sent later may cross
-    the close, and one behind another is told by the other's answer that its
-    connection ends.  A daemon that was not ready has not read what waits
-    for it.
+    These must be answered or refused whether or not the daemon logged them.
+    Excused are requests sent after the stop began, which may cross the close
+    of the connection, and pipelined requests after the first: an earlier
+    response tells their caller that the connection closes.  So are requests
+    to a daemon that was not ready, as it has not read them.
     """
     stops = {(stop.daemon, stop.start): stop for stop in history.stops}
     return [
@@ -234,10 +245,10 @@
 
 
 def check_exits(history: History) -> list[str]:
-    """A stop ends with status 0.
+    """Return the stops that did not exit with status 0.
 
-    A signal of the stop may find a program that handles none yet, or none
-    any more; any other end is a crash.
+    A stop signal may kill the process before its signal handlers are
+    installed or after they are removed; any other exit status is a fault.
     """
     return [
         f'{stop.daemon}: got exit status {stop.status} after {stop.signals} '
@@ -254,10 +265,10 @@
 
 
 def check_versions(history: History) -> list[str]:
-    """A daemon that has served a new route does not forget it.
+    """Return the probes that show a daemon going back to an older version.
 
-    Routes are only added, so a later refusal as unknown can only come from
-    an older version.
+    Routes are only added, so a 404 for a route that the daemon has served
+    before means that it uses an older configuration.
     """
     known: dict[tuple[str, int], list[tuple[float, int]]] = {}
     wrong = []
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -1,4 +1,4 @@
-"""What may go wrong in a run, by name; each for a time in seconds."""
+"""The faults of a soak run, by name; each lasts a time in seconds."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 
 
 class SoakControl(typing.Protocol):
-    """What a fault may draw from a running soak, and do to it."""
+    """The part of a running soak that faults use."""
 
     rng: random.Random
     system: prepared_system.PreparedSystem
@@ -18,29 +18,29 @@
     version: int
 
     def publish_version(self, version: int) -> None:
-        """Write a version."""
+        """Write a new version of the configuration."""
 
     def draw_running(self) -> str | None:
-        """Return a daemon that runs, None if none does."""
+        """Return a running daemon to disturb, or None."""
 
     def draw_target(self) -> prepared_system.PreparedTarget:
-        """Return a target."""
+        """Return a random target."""
 
     async def kill_daemon(self) -> None:
-        """Kill a daemon and start it again."""
+        """Kill a daemon with SIGKILL and restart it."""
 
     async def stop_daemon(self) -> None:
-        """Stop a daemon gracefully and start it again."""
+        """Stop a daemon gracefully and restart it."""
 
     async def freeze(self, for_s: float) -> None:
-        """Pause a daemon."""
+        """Suspend a daemon for a time."""
 
 
 NEVER_S = 3_600.0
-"""A target that takes this long does not answer in any run."""
+"""A service time longer than any run: the target never answers."""
 
 _SILENT_S = (4.0, NEVER_S)
-"""Longer than a stop may take."""
+"""Service times longer than the stop limit."""
 
 Fault = typing.Callable[[SoakControl, float], typing.Awaitable[None]]
 
@@ -50,7 +50,7 @@
     ['no', 'entry'],
     'text',
 )
-"""What another writer may leave among the targets' entries."""
+"""Invalid entries that another writer may leave in the target registry."""
 
 
 async def _kill(soak: SoakControl, for_s: float) -> None:
@@ -62,7 +62,7 @@
 
 
 async def _stop_series(soak: SoakControl, for_s: float) -> None:
-    """Stop daemons while others still stop, or have just started again."""
+    """Stop daemons while others are stopping or have just restarted."""
     stops: list[asyncio.Task[None]] = []
     for _ in range(soak.rng.randint(2, 4)):
         stops.append(asyncio.create_task(soak.stop_daemon()))
@@ -89,7 +89,7 @@
 
 
 async def _silent_service(soak: SoakControl, for_s: float) -> None:
-    """Hold what some targets of a service begin for longer than a stop."""
+    """Keep requests at some targets of a service past the stop limit."""
     drawn = soak.draw_target()
     service = soak.rng.choice((prepared_system.DESK, drawn.service))
     every = [
@@ -106,7 +106,7 @@
 
 
 async def _restart_target(soak: SoakControl, for_s: float) -> None:
-    """Let a target leave and end; it comes back at another address."""
+    """Drain and stop a target, then restart it at another address."""
     name = soak.draw_target().target_id
     soak.system.register(name, 'draining')
     await asyncio.sleep(for_s)
@@ -171,7 +171,7 @@
 
 
 async def _read_settings(soak: SoakControl, for_s: float) -> None:
-    """Change a settings file, and tell the daemon or let it find it."""
+    """Change a settings file, with or without a SIGHUP to the daemon."""
     name = soak.draw_running()
     if name is None:
         return
@@ -213,4 +213,4 @@
     'target restarts',
     'entries lapse',
 )
-"""Planned work, and what targets may do to it."""
+"""Planned work, and slow or silent targets that may delay it."""
--- a/soak/_links.py
+++ b/soak/_links.py
@@ -1,4 +1,4 @@
-"""Relays on loopback before the targets and the store, and their faults."""
+"""Loopback relays that inject network faults at targets and the store."""
 
 import asyncio
 import random
@@ -18,12 +18,12 @@
 
 
 class Links:
-    """One relay for each target, and one to the store for each daemon.
+    """One relay before each target, and one to the store for each daemon.
 
     Parameters
     ----------
     system
-        Whose targets and daemons are linked by the relays.
+        The system whose connections pass through the relays.
     """
 
     def __init__(self, system: prepared_system.PreparedSystem) -> None:
@@ -33,7 +33,7 @@
         self._restarting = asyncio.Lock()
 
     async def place_before_targets(self) -> None:
-        """Let the targets' entries name the relays."""
+        """Start a relay before each target and register its address."""
         for name in self._system.targets:
             await self._place_before(name)
 
@@ -45,7 +45,7 @@
         self._system.register(name)
 
     async def restart_target(self, name: str) -> None:
-        """End a target and start it, both with another address."""
+        """Restart a target and its relay; both get new addresses."""
         async with self._restarting:
             self._targets[name].stop()
             born = self._system.targets[name].born
@@ -53,27 +53,27 @@
             await self._place_before(name)
 
     async def place_before_store(self, daemon: str) -> str:
-        """Return the address at which a daemon reaches the store."""
+        """Start a daemon's relay to the store; return its address."""
         port = int(self._system.store_address.rpartition(':')[2])
         self._stores[daemon] = relay.Route(daemon, 0, port)
         return await self._stores[daemon].start()
 
     async def disturb_target(self, rng: random.Random, for_s: float) -> None:
-        """Let the link to one target misbehave for a time."""
+        """Inject a random fault on the link to a random target."""
         route = self._targets[rng.choice(sorted(self._targets))]
         await _disturb(route, rng.choice(_FAULTS), for_s)
 
     async def disturb_store(self, rng: random.Random, for_s: float) -> None:
-        """Let one daemon's link to the store misbehave for a time."""
+        """Inject a random fault on a random daemon's link to the store."""
         route = self._stores[rng.choice(sorted(self._stores))]
         await _disturb(route, rng.choice(_FAULTS), for_s)
 
     def heal_store(self, daemon: str) -> None:
-        """Let a daemon reach the store; one that starts waits for it."""
+        """End the fault of a daemon's store link, which it needs to start."""
         self._stores[daemon].switch('pass')
 
     def heal(self) -> None:
-        """Let all links pass what comes."""
+        """End the faults of all links."""
         for route in (*self._targets.values(), *self._stores.values()):
             route.switch('pass')
 
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -1,4 +1,4 @@
-"""One run: callers, faults from outside, and the history they leave."""
+"""A soak run: callers, injected faults, and the recorded history."""
 
 import asyncio
 import collections
@@ -23,7 +23,7 @@
 _HOLD_TRIES = 20
 
 STOP_LIMIT_S = 3.0
-"""When a platform would kill a daemon that stops."""
+"""Time after which the platform kills a daemon that is stopping."""
 
 _TERM, _HUP = signal.SIGTERM, signal.SIGHUP
 _STOP_SIGNALS = (
@@ -33,17 +33,17 @@
     (_TERM, _HUP),
     (_TERM, _HUP, _TERM),
 )
-"""What a daemon that is stopped may get, one after the other."""
+"""Series of signals that a stop may send."""
 
 _LOGGED_REQUEST = re.compile('"request":"([a-z0-9]+)"')
-"""A request that a line of a daemon's log is about."""
+"""Finds the request id in a line of a daemon's log."""
 
 _SIGNAL_GAP_S = (0.0, 0.6)
 
 _EARLY_STOP_SHARE = 0.2
 _EARLY_STOP_AFTER_S = (0.1, 1.2)
-"""Part of the starts that are stopped, and how long after the launch: before
-the signal has a handler, before the daemon is ready, and just after."""
+"""``_EARLY_STOP_SHARE`` of the starts are stopped this long after launch:
+before signal handlers exist, before the daemon is ready, or just after."""
 
 
 class Soak:
@@ -52,13 +52,13 @@
     Parameters
     ----------
     seed
-        What is drawn follows from it; when it falls does not.
+        Seed of the random choices; their timing depends on the machine.
     hosts
-        How many daemons.
+        Number of daemons.
     system
-        The stand-ins, and the daemons as processes.
+        The stand-ins and the daemon processes.
     faults
-        Names of the faults that may fall.
+        Names of the faults to inject.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         self._stops: list[_checks.Stop] = []
 
     async def run(self, seconds: float) -> _checks.History:
-        """Start everything, let faults fall, and return what was seen."""
+        """Start everything, inject faults, and return the history."""
         await self.system.start_targets()
         await self.links.place_before_targets()
         self.publish_version(self.version)
@@ -114,7 +114,7 @@
         return self.history()
 
     def publish_version(self, version: int) -> None:
-        """Write a version; each adds a route and keeps those before."""
+        """Write a configuration with one added route for each version."""
         self.version = self.callers.version = version
         self.system.configure(
             version,
@@ -124,7 +124,7 @@
         )
 
     def history(self) -> _checks.History:
-        """Return what was seen so far."""
+        """Return the history so far."""
         records = {
             target.service: target.records()
             for target in self.system.targets.values()
@@ -156,7 +156,7 @@
                 await asyncio.sleep(0.05)
             else:
                 raise AssertionError(
-                    f'{name} serves nothing after the faults\n'
+                    f'{name} answers no search after the faults ended\n'
                     f'{self.system.log(name)[-3000:]}'
                 )
 
@@ -166,7 +166,7 @@
         )
 
     async def _stop_all(self) -> None:
-        """Stop all daemons while each has requests at silent targets."""
+        """Stop all daemons while each has pending requests at targets."""
         for target in self.system.targets.values():
             target.delay_s = _faults.NEVER_S
         held = [
@@ -178,20 +178,20 @@
         await asyncio.gather(*held)
 
     async def _hold_open(self, name: str, kind: str) -> asyncio.Task[int]:
-        """Return a request that a target has begun and does not answer."""
+        """Return a pending request that a target has begun."""
         for _ in range(_HOLD_TRIES):
             asking = await self._ask_until_begun(name, self.callers.draw(kind))
             if not asking.done():
                 return asking
         raise AssertionError(
-            f'{name} brought no {kind} to a target\n'
+            f'{name}: no {kind} stayed pending at a target\n'
             f'{self.system.log(name)[-3000:]}'
         )
 
     async def _ask_until_begun(
         self, name: str, request: _callers.Request
     ) -> asyncio.Task[int]:
-        """Return a request once a target has begun it, or it was refused."""
+        """Send a request; return when a target has begun it or it ended."""
         before, began = len(self.system.runs), f'{request.request_id} '
         asking = asyncio.create_task(
             self.callers.send_requests(name, lambda: [request])
@@ -212,7 +212,7 @@
         await _faults.FAULTS[name](self, for_s)
 
     def draw_running(self) -> str | None:
-        """Return a daemon to disturb; one is always left alone."""
+        """Return a random running daemon, or None if only one runs."""
         up = [
             name
             for name in self.names
@@ -221,7 +221,7 @@
         return self.rng.choice(up) if len(up) > 1 else None
 
     async def kill_daemon(self) -> None:
-        """Kill a daemon and start it again."""
+        """Kill a daemon with SIGKILL and restart it."""
         name = self.draw_running()
         if name is not None:
             self.callers.unavailable.add(name)
@@ -230,9 +230,9 @@
             await self._start_again(name)
 
     async def stop_daemon(self) -> None:
-        """Ask a daemon to stop, and start it again when it is gone.
+        """Stop a daemon by signal, and restart it when it has exited.
 
-        Callers go on using it, on open connections and new ones.
+        Callers continue to use it, on open connections and new ones.
         """
         name = self.draw_running()
         if name is not None:
@@ -240,7 +240,7 @@
             await self._start_again(name)
 
     async def _stop(self, name: str, ready: bool = True) -> None:
-        """Send the signals of one stop; return when the daemon is gone."""
+        """Send the signals of one stop; return when the daemon has exited."""
         self._busy.add(name)
         *first, last = signals = self.rng.choice(_STOP_SIGNALS)
         from_s = asyncio.get_running_loop().time()
@@ -259,7 +259,7 @@
         )
 
     async def _start_again(self, name: str) -> None:
-        """Start a daemon; callers come at once, and perhaps a stop."""
+        """Restart a daemon, at times after further early stops."""
         self._launch(name)
         while self.rng.random() < _EARLY_STOP_SHARE:
             await asyncio.sleep(self.rng.uniform(*_EARLY_STOP_AFTER_S))
@@ -278,7 +278,7 @@
         self.callers.unavailable.discard(name)
 
     async def freeze(self, for_s: float) -> None:
-        """Let a daemon stand still."""
+        """Suspend a daemon with SIGSTOP for a time."""
         name = self.draw_running()
         if name is None:
             return
@@ -289,7 +289,7 @@
         self.callers.unavailable.discard(name)
 
     def draw_target(self) -> prepared_system.PreparedTarget:
-        """Return a target to disturb."""
+        """Return a random target."""
         return self.system.targets[
             self.rng.choice(sorted(self.system.targets))
         ]
--- a/tests/unit/test_soak_checks.py
+++ b/tests/unit/test_soak_checks.py
@@ -1,4 +1,4 @@
-"""The soak's checks fail on histories that are wrong."""
+"""Each check of the soak fails on a history that breaks its promise."""
 
 import dataclasses
 import unittest
@@ -13,7 +13,7 @@
 
 
 def search(*targets: str, missing: int = 0, **changes: object) -> object:
-    """Return a sound search answered by some targets."""
+    """Return a correct search answered by these targets."""
     services = [target.rpartition('-')[0] for target in targets]
     every = b''.join(RECORDS[service] for service in services)
     rows = sorted(
@@ -35,18 +35,18 @@
     *requests: _checks.RequestRecord,
     executions: tuple[_checks.Execution, ...] = (),
 ) -> _checks.History:
-    """Return a history of four shards."""
+    """Return a history with four shards."""
     return _checks.History(requests, executions, SHARDS, RECORDS, 0.75, 5, 2)
 
 
 class SoakChecksTest(unittest.TestCase):
-    """One history for each check that it must fail on."""
+    """Runs all checks on histories with one fault each."""
 
     def _wrong(self, seen: _checks.History) -> set[str]:
         return {name for name, check in _checks.CHECKS.items() if check(seen)}
 
     def test_a_sound_history_passes(self) -> None:
-        """Whole and partial answers, a lost payment, a true refusal."""
+        """Full and partial results, a lost payment, a correct refusal."""
         seen = history(
             search('s1-0', 's2-1', 's3-0', 's4-0'),
             search('s1-0', 's2-1', 's3-0', missing=1),
@@ -63,7 +63,7 @@
         self.assertEqual(set(), self._wrong(seen))
 
     def test_a_payment_that_ran_twice(self) -> None:
-        """At two targets, or twice at one."""
+        """The payment runs at two targets, or twice at one."""
         for second in ('desk-0', 'desk-1'):
             seen = history(
                 _checks.RequestRecord(
@@ -77,7 +77,7 @@
             self.assertEqual({'at most once'}, self._wrong(seen))
 
     def test_a_refusal_that_is_not_true(self) -> None:
-        """The caller would ask again for what was done."""
+        """A refusal as not run would make the caller run the request twice."""
         for status in (408, 421, 429, 503):
             for kind in ('pay', 'fetch', 'probe', 'search'):
                 seen = history(
@@ -87,7 +87,7 @@
                 self.assertEqual({'not run is true'}, self._wrong(seen))
 
     def test_answers_that_are_not_its_own_or_not_whole(self) -> None:
-        """Each is one change of a sound answer."""
+        """Each case changes one thing in a correct answer."""
         parts = ('s1-0', 's2-1', 's3-0', 's4-0')
         sound = search(*parts)
         for changes in (
@@ -107,9 +107,9 @@
         self.assertEqual({'own whole answer'}, self._wrong(history(fetch)))
 
     def test_too_many_targets_and_unknown_routes(self) -> None:
-        """Three targets of a shard; a 404 for a route that is there.
+        """Three targets of a shard, and a 404 for a configured route.
 
-        The route of a probe allows one target.
+        The route of a probe allows a single target.
         """
         seen = history(
             _checks.RequestRecord('fetch', 'f1', 404),
@@ -128,10 +128,10 @@
             self.assertEqual(wrong, self._wrong(seen))
 
     def test_a_request_that_is_cut(self) -> None:
-        """A target had begun it, and its connection ended without answer.
+        """A target has begun a request, and its connection closes unanswered.
 
-        Only a kill of this start of its daemon excuses it; what no target
-        has begun and the daemon has not read may cross a close.
+        Only a kill of the same start of the daemon excuses it.  A request
+        that no target has begun and no log names may cross the close.
         """
         cut = _checks.RequestRecord(
             'fetch', 'f1', 0, daemon='one', start=2, sent_s=4.5, ended_s=5.0
@@ -155,10 +155,10 @@
         self.assertEqual(set(), self._wrong(history(cut)))
 
     def test_a_request_that_is_dropped(self) -> None:
-        """It was sent before the stop, and its connection just ended.
+        """A request sent before a stop, and never begun, gets no response.
 
-        No target has begun it.  One that was sent during the stop may cross
-        the close; one behind another is told by the other's answer.
+        Requests sent during the stop may cross the close, and pipelined
+        requests after the first are excused too.
         """
         dropped = _checks.RequestRecord(
             'fetch', 'f1', 0, daemon='one', start=2, sent_s=3.0, ended_s=5.0
@@ -179,7 +179,7 @@
         self.assertEqual(set(), self._wrong(seen))
 
     def test_a_stop_that_ends_in_disorder(self) -> None:
-        """A failure, a crash, or a signal that nothing handled."""
+        """An error status, a crash, or death by an unhandled signal."""
         for ended in ((1, 1), (1, 3), (-15, 1), (-4, 3), (1, 1, False)):
             stop = _checks.Stop('one', 1, 4.0, 6.0, *ended)
             seen = dataclasses.replace(history(), stops=(stop,))
@@ -190,10 +190,10 @@
             self.assertEqual(set(), self._wrong(seen))
 
     def test_a_version_that_goes_back(self) -> None:
-        """A daemon served the route of version 5 and then knows only 3.
+        """A daemon serves the route of version 5, then 404s that of 4.
 
-        After a restart it may know less for a moment; what was under way
-        at the same time says nothing.
+        A restarted daemon may have an older version at first, and requests
+        that overlap in time prove nothing.
         """
         served = _checks.RequestRecord(
             'probe', 'r1', 200, ('r1.desk-0',), 0, RECORDS['desk'], 'one', 1,
