--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the systems that a tier meets, for tests and trials."""
+"""Stand-ins of targets, stores, networks and hosts for tests and benches."""
--- a/standins/memory_dispatcher.py
+++ b/standins/memory_dispatcher.py
@@ -1,4 +1,4 @@
-"""A dispatcher in memory that runs unrepeatable orders as it is told."""
+"""An in-memory dispatcher that runs unrepeatable requests as configured."""
 
 import random
 import typing
@@ -9,10 +9,25 @@
 
 
 class MemoryDispatcher:
-    """Runs orders as drawn: at once, late, not at all, without a report.
-
-    ``behaviours`` are the ones to draw from.  A cancel proves that an
-    order was not begun while it waits in the queue, and only then.
+    """Handles each run order with a randomly drawn behaviour.
+
+    ``behaviours`` holds the names to draw from.  The method of a behaviour
+    is its name with a leading underscore and ``-`` replaced by ``_``.  A
+    cancel is reported as done only while the order is queued, because only
+    then it is certain that the order has not begun.
+
+    Parameters
+    ----------
+    network
+        The network that the dispatcher joins.
+    name
+        Its member name.
+    clock
+        Source of delays.
+    randomness
+        Source of behaviours and delays.
+    on_execute
+        Called with the order and its receipt when a target runs it.
     """
 
     BEHAVIOURS = (
@@ -91,7 +106,7 @@
         self.report(sender, order, protocol.SubStatus.BROKEN, True)
 
     def _unread(self, sender: str, order: protocol.RunOrder) -> None:
-        """Lose the order, as a dispatcher that dies with it does."""
+        """Lose the order, as if the dispatcher died before reading it."""
 
     def _on_cancel(self, sender: str, cancel: protocol.CancelAttempts) -> None:
         if self.ignores_cancels:
@@ -107,7 +122,7 @@
         self.answer(sender, order, self.execute(order))
 
     def execute(self, order: protocol.RunOrder) -> str:
-        """Run the order at its target."""
+        """Run the order at its target; return the receipt."""
         self.executions += 1
         receipt = f'{self._endpoint.name}-{self.executions}'
         self._on_execute(order, receipt)
@@ -116,7 +131,7 @@
     def answer(
         self, sender: str, order: protocol.RunOrder, receipt: str
     ) -> None:
-        """Report that the target ran it."""
+        """Report that the target ran the order."""
         self._endpoint.send(
             sender,
             protocol.RunReport(
--- a/standins/memory_link.py
+++ b/standins/memory_link.py
@@ -1,4 +1,4 @@
-"""A link to a target in memory, whose exchanges end when told to."""
+"""An in-memory link to a target whose exchanges a test ends."""
 
 import asyncio
 
@@ -10,7 +10,11 @@
 
 
 class MemoryLink:
-    """A ``transport.TargetLink`` whose exchanges the test ends."""
+    """A ``transport.TargetLink`` whose exchanges the test ends.
+
+    ``batches``, ``runs`` and ``cancels`` hold what was sent; ``healthy``,
+    ``draining`` and ``running`` are what the target reports.
+    """
 
     def __init__(self, of_target: state.Target) -> None:
         self.target = of_target
@@ -25,7 +29,7 @@
     async def batch(
         self, body: protocol.TargetBatch, timeout_ms: float
     ) -> result.Result:
-        """Wait for the test; an empty one is answered at once."""
+        """Wait for the test; an empty batch is answered at once."""
         if not body.items:
             return result.Success(
                 protocol.TargetBatchAnswer([], self.draining, self.running)
@@ -45,21 +49,21 @@
     async def cancel(
         self, body: protocol.TargetCancel, timeout_ms: float
     ) -> result.Result:
-        """Answer as the test set it."""
+        """Return ``cancel_answer``."""
         self.cancels.append(body.attempt_ids)
         return result.Success(self.cancel_answer)
 
     async def health(self, timeout_ms: float) -> result.Result:
-        """Answer, or not."""
+        """Return the target's health, or an error if not ``healthy``."""
         if self.healthy:
             return result.Success(protocol.TargetHealth(True, False, 0, 0.0))
         return failure(transport.LinkErrorKind.UNREACHABLE)
 
     async def resize(self, connections: int) -> None:
-        """Keep no connections."""
+        """Do nothing: there are no connections."""
 
     async def close(self) -> None:
-        """Close nothing."""
+        """Do nothing: there are no connections."""
 
     def answer(
         self,
@@ -67,7 +71,7 @@
         status: protocol.TargetStatus = protocol.TargetStatus.OK,
         draining: bool = False,
     ) -> None:
-        """Answer one batch well."""
+        """Answer one batch, by default with success for each item."""
         body, future = self.batches[number]
         answers = [
             protocol.TargetAnswer(row.attempt_id, status, row.snapshot_id)
--- a/standins/memory_links.py
+++ b/standins/memory_links.py
@@ -1,4 +1,4 @@
-"""Targets that are asked directly, answered by hand, in memory."""
+"""Links to targets whose requests a test answers, and a forwarder on them."""
 
 import asyncio
 import dataclasses
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(eq=False)
 class SentRequest:
-    """One exchange that waits for the test to end it."""
+    """One exchange that waits until the test ends it."""
 
     target: str
     request: protocol.HttpRequest
@@ -32,34 +32,36 @@
     cancelled: bool = False
 
     def answer(self, body: bytes, receipt: str = '') -> None:
-        """End it with a success."""
+        """End the exchange with a success."""
         headers = (('Receipt', receipt or f'receipt-{self.target}'),)
         self.end(result.Success(protocol.HttpReply(200, headers, body)))
 
     def refuse(self, status: int = 503) -> None:
-        """End it with a refusal that says that nothing ran."""
+        """End the exchange with a refusal: the request has not run."""
         headers = (('Refused', '1'),)
         self.end(result.Success(protocol.HttpReply(status, headers)))
 
     def fail(self, status: int = 500) -> None:
-        """End it with the target's own failure."""
+        """End the exchange with a failure reported by the target."""
         headers = (('Receipt', f'receipt-{self.target}'),)
         self.end(result.Success(protocol.HttpReply(status, headers, b'no')))
 
     def lose(self, kind: transport.LinkErrorKind) -> None:
-        """End it without an answer."""
+        """End the exchange with a link error."""
         self.end(result.Failure(transport.LinkError(kind, 'by the test')))
 
     def end(self, reply: Reply) -> None:
-        """End it."""
+        """End the exchange, unless it has ended."""
         if not self.done.done():
             self.done.set_result(reply)
 
 
 class ManualLinks:
-    """Implements the forwarder's links; every exchange waits in ``open``.
+    """Links of a forwarder whose exchanges wait in ``open`` for the test.
 
-    Exchanges with ``busy`` targets wait for a connection.
+    Targets in ``dead`` do not listen, ``full`` ones have no free connection,
+    and exchanges with ``busy`` ones wait until the target is removed.
+    ``is_listening`` takes ``listening_check_turns`` turns of the event loop.
     """
 
     def __init__(self) -> None:
@@ -71,7 +73,7 @@
 
     @property
     def open(self) -> list[SentRequest]:
-        """The exchanges that have not ended."""
+        """Exchanges that have not ended."""
         return [row for row in self.sent if not row.done.done()]
 
     async def exchange(
@@ -85,7 +87,7 @@
         on_chunk: typing.Callable[[bytes], None] | None = None,
         on_send: typing.Callable[[], None] = lambda: None,
     ) -> Reply:
-        """Wait for the test."""
+        """Record the request and wait until the test ends the exchange."""
         future = asyncio.get_running_loop().create_future()
         while target.target_id in self.busy:
             await asyncio.sleep(0)
@@ -99,18 +101,18 @@
             raise
 
     def has_room(self, target: state.LiveTarget) -> bool:
-        """Whether the test has not put the target among the full."""
+        """Return whether the target is not in ``full``."""
         return target.target_id not in self.full
 
     async def is_listening(self, target: state.LiveTarget) -> bool:
-        """Whether the test has not put the target among the dead."""
+        """Return whether the target is not in ``dead``."""
         for _ in range(self.listening_check_turns):
             await asyncio.sleep(0)
         return target.target_id not in self.dead
 
 
 class PlainDialect:
-    """The least that a dialect must do."""
+    """A minimal dialect between forwarder and targets."""
 
     def target_request(
         self,
@@ -118,7 +120,7 @@
         target: state.LiveTarget,
         left_ms: float,
     ) -> protocol.HttpRequest:
-        """Pass the request on with the time that is left."""
+        """Return the request with the remaining time as header ``Left``."""
         headers = (*request.headers, ('Left', str(int(left_ms))))
         return protocol.HttpRequest(
             request.method, request.path, headers, request.body
@@ -127,13 +129,13 @@
     def is_reply_to(
         self, request: protocol.ForwardRequest, reply: protocol.HttpReply
     ) -> bool:
-        """Every answer is the right one."""
+        """Return True: replies are never mixed up."""
         return True
 
     def read_reply(
         self, request: protocol.ForwardRequest, reply: protocol.HttpReply
     ) -> protocol.TargetReply:
-        """Success, refusal or failure, by status and ``Refused``."""
+        """Read a reply: status 200, a ``Refused`` header, or a failure."""
         receipt = reply.header('Receipt')
         status = protocol.SubStatus.BROKEN
         if reply.status == 200:
@@ -146,11 +148,11 @@
 
 
 class ForwarderHarness:
-    """A forwarder whose targets are answered by hand, time moved by hand.
+    """A forwarder whose replies and time are set by a test.
 
-    Routes: ``/all/`` asks ``shards`` shards with two targets each,
-    ``/one/`` a service with three, ``/once/`` the same for requests that
-    may not be repeated.
+    Its routes: ``/all/`` searches ``shards`` shards with two targets each,
+    ``/one/`` goes to a service with three targets, and ``/once/`` to the
+    same service for requests that may not be repeated.
     """
 
     def __init__(
@@ -197,7 +199,7 @@
         )
 
     def make_replicas(self) -> coordination.ReplicaSelector:
-        """Return the records of targets; here all are near."""
+        """Return a replica selector that prefers no target."""
         return coordination.ReplicaSelector(
             random.Random(SEED),
             lambda target: True,
@@ -205,11 +207,11 @@
         )
 
     def make_order_client(self) -> forwarding.OrderClient | None:
-        """Return what has other daemons ask targets; here nothing does."""
+        """Return the client of merge orders; None sends no orders."""
         return None
 
     def offer(self, version: int, **changes: typing.Any) -> None:
-        """Put a routing table in force."""
+        """Offer a routing table to the forwarder."""
         common = {'host': 'h', 'timeout_ms': 600.0, 'aim_ms': 118.0}
         one = (state.WeightedService('p', 1.0),)
         routes = (
@@ -242,20 +244,20 @@
     def ask(
         self, path: str, request_id: str = 'id', method: str = 'GET'
     ) -> asyncio.Task[protocol.ForwardOutcome]:
-        """Send a caller's request."""
+        """Start a request of a caller."""
         request = protocol.ForwardRequest(
             request_id, method, 'h', path, (), b'', 2_000.0
         )
         return asyncio.create_task(self.forwarder.forward(request))
 
     async def advance(self, delta_ms: float) -> None:
-        """Let everything run, move the time, let everything run."""
+        """Let tasks settle before and after advancing the time."""
         await settle()
         self.clock.advance(delta_ms)
         await settle()
 
 
 async def settle() -> None:
-    """Give every task that can run its turn."""
+    """Let every task run until it waits."""
     for _ in range(10):
         await asyncio.sleep(0)
--- a/standins/memory_orders.py
+++ b/standins/memory_orders.py
@@ -1,4 +1,4 @@
-"""Searches that cross to each site once: real mergers, targets by hand."""
+"""A harness for merge orders: real mergers, targets answered by the test."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ReceivedOrder:
-    """An order as the daemon that it was sent to got it."""
+    """An order that a merger received; ``lost`` cuts its connection."""
 
     merger: str
     order: protocol.MergeOrder
@@ -31,7 +31,7 @@
 
 
 class OrderLinks:
-    """Carries orders to mergers in memory.
+    """Links that carry orders to mergers in memory.
 
     Mergers in ``dead`` accept no connection, those in ``frozen`` never
     report, those in ``without_orders`` refuse orders with 503, and those in
@@ -48,7 +48,7 @@
         self.corrupting: set[str] = set()
 
     def lose(self, merger: str) -> None:
-        """End all orders of one daemon, as its death would."""
+        """Break the connections of all orders at one merger."""
         for row in self.seen:
             if row.merger == merger:
                 row.lost.set()
@@ -64,7 +64,7 @@
         on_chunk: typing.Callable[[bytes], None] | None = None,
         on_send: typing.Callable[[], None] = lambda: None,
     ) -> memory_links.Reply:
-        """Carry an order, and its reports back."""
+        """Deliver an order and return its reports as chunks."""
         name = target.target_id
         if name in self.dead:
             return _failure(Kind.UNREACHABLE)
@@ -103,11 +103,11 @@
                 spoils = False
 
     def has_room(self, target: state.LiveTarget) -> bool:
-        """Daemons take many connections."""
+        """Return True: connections to mergers are not limited."""
         return True
 
     async def is_listening(self, target: state.LiveTarget) -> bool:
-        """Whether a daemon takes connections."""
+        """Return whether a merger accepts connections."""
         return target.target_id not in self.dead
 
 
@@ -116,10 +116,11 @@
 
 
 class OrderHarness(memory_links.ForwarderHarness):
-    """A search desk at one of three sites, with two mergers at each other.
+    """A forwarder at one of three sites, with two mergers at each other site.
 
-    Shard ``s<n>`` has its targets ``s<n>-0`` and ``s<n>-1`` at two sites, in
-    turn; ``far_only`` puts all of them at the two other sites.
+    The targets ``s<n>-0`` and ``s<n>-1`` of shard ``s<n>`` are at two
+    consecutive sites of ``SITES``; ``far_only`` leaves out the site of the
+    forwarder.
     """
 
     def __init__(self, shards: int = 36, far_only: bool = False) -> None:
@@ -134,7 +135,7 @@
                 self._add_merger(f'{site}-{number}', site)
 
     def put(self, name: str, service: str, **changes: typing.Any) -> None:
-        """Register a target at the site that its name gives."""
+        """Register a target at the site derived from its name."""
         shard, _, number = name.rpartition('-')
         site = 'here'
         if shard != 'p':
@@ -145,7 +146,7 @@
         )
 
     def make_replicas(self) -> coordination.ReplicaSelector:
-        """Return the records of targets; those of this site come first."""
+        """Return a replica selector that prefers targets of this site."""
         return coordination.ReplicaSelector(
             random.Random(memory_links.SEED),
             lambda name: self.targets.get(name).site == 'here',
@@ -154,7 +155,7 @@
         )
 
     def make_order_client(self) -> forwarding.OrderClient:
-        """Return what sends this desk's orders."""
+        """Return the client that sends this forwarder's merge orders."""
         loads = coordination.ReplicaSelector(
             random.Random(memory_links.SEED),
             lambda name: True,
@@ -182,13 +183,13 @@
         )
 
     def move_target(self, name: str, site: str) -> None:
-        """Have a target at a site."""
+        """Register a target again at another site."""
         target = self.targets.get(name)
         assert target is not None
         self.targets.put(dataclasses.replace(target, site=site))
 
     def make_merger_without_targets(self, name: str) -> None:
-        """Have a daemon that knows no targets yet."""
+        """Replace a merger by one that knows no targets yet."""
         asker = forwarding.TargetClient(
             forwarding.LiveTargets(self.clock),
             memory_links.PlainDialect(),
@@ -200,7 +201,7 @@
         )
 
     def asked_targets(self) -> dict[str, list[str]]:
-        """Return the targets that were asked, by shard."""
+        """Return the targets that got a request, by shard."""
         found: dict[str, list[str]] = {}
         for sent in self.links.sent:
             shard = sent.target.rpartition('-')[0]
--- a/standins/memory_peers.py
+++ b/standins/memory_peers.py
@@ -1,4 +1,4 @@
-"""Messages between daemons in memory, with the faults that networks have."""
+"""In-memory messages between daemons, with network faults."""
 
 import collections
 import random
@@ -15,11 +15,11 @@
 
 
 class MemoryPeers:
-    """One member's peer sockets on a :class:`MemoryNetwork`.
+    """One member's endpoint on a :class:`MemoryNetwork`.
 
-    ``silent`` holds members whose open connection swallows what is sent
-    until it is reset.  With ``needs_address`` only members whose address
-    was set can be sent to.
+    ``silent`` holds members whose connection drops messages until it is
+    reset.  With ``needs_address``, only members with a known address can be
+    sent to.  ``place`` is the member's site and region.
     """
 
     def __init__(
@@ -49,20 +49,20 @@
         self._handlers[kind].append(handler)
 
     def set_address(self, member: str, address: str) -> None:
-        """Learn an address."""
+        """Set the address of a member."""
         self.addresses[member] = address
 
     def reset(self, member: str) -> None:
-        """Make a new connection."""
+        """Replace the connection to a member."""
         self.resets += 1
         self.silent.discard(member)
 
     def close_idle(self) -> None:
-        """Close unused connections."""
+        """Close the connections not used since the last call."""
         self.open, self._used = self._used, set()
 
     def send(self, member: str, message: msgspec.Struct) -> bool:
-        """Queue a message; False for a member that is not known."""
+        """Send a message; return False for an unknown member."""
         if self._needs_address and member not in self.addresses:
             return False
         if member in self.silent:
@@ -76,7 +76,7 @@
         return sent or self._needs_address
 
     def answer(self, member: str, message: msgspec.Struct) -> None:
-        """Send; here every member that asks is known."""
+        """Send a reply; every sender is a known member."""
         self.send(member, message)
 
     def broadcast(self, message: msgspec.Struct) -> None:
@@ -86,18 +86,19 @@
                 self.send(member, message)
 
     def deliver(self, sender: str, message: msgspec.Struct) -> None:
-        """Hand a message to its handlers."""
+        """Call the handlers of a message."""
         for handler in self._handlers[type(message)]:
             handler(sender, message)
 
 
 class MemoryNetwork:
-    """Carries messages with random delay, and loses or repeats some.
+    """Delivers messages with random delay, loss and duplication.
 
-    ``loss`` and ``duplicate`` are chances of a message; ``cuts`` holds pairs
-    of names or places between which nothing passes; ``faults`` counts what
-    took effect.  Members of the same last place (their region) are
-    ``near_ms`` apart, others ``far_ms`` (shortest and longest delay).
+    ``loss`` and ``duplicate`` are probabilities per message; ``cuts`` holds
+    pairs of names or places that cannot reach each other; ``faults`` counts
+    the faults that took effect.  ``near_ms`` and ``far_ms`` are the ranges
+    of the delay within a region (the last item of ``place``) and between
+    regions.
     """
 
     def __init__(
@@ -121,18 +122,18 @@
         place: tuple[str, ...] = (),
         needs_address: bool = False,
     ) -> MemoryPeers:
-        """Return the sockets of a new life of a member."""
+        """Return a new endpoint of a member, replacing its former one."""
         host = host or memory_hosts.MemoryHost(self.clock)
         member = MemoryPeers(self, name, host, place, needs_address)
         self._members[name] = member
         return member
 
     def names(self) -> tuple[str, ...]:
-        """Return all members that ever joined."""
+        """Return the names of all members that ever joined."""
         return tuple(self._members)
 
     def send(self, sender: str, member: str, message: msgspec.Struct) -> bool:
-        """Deliver later; False for a member that never joined."""
+        """Deliver a message later; return False for an unknown member."""
         for observe in self.observers:
             observe(sender, message)
         if member not in self._members:
@@ -153,7 +154,7 @@
         return True
 
     def is_cut(self, one: MemoryPeers, other: MemoryPeers) -> bool:
-        """Whether nothing passes between two members."""
+        """Return whether two members cannot reach each other."""
         return any(
             frozenset((left, right)) in self.cuts
             for left in (one.name, *one.place)
@@ -173,7 +174,7 @@
 
 
 class RecordingPeers:
-    """Peers that keep what is sent; the test delivers by hand."""
+    """Peers that record sent messages; the test delivers incoming ones."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, msgspec.Struct]] = []
@@ -182,38 +183,38 @@
         )
 
     def send(self, member: str, message: msgspec.Struct) -> bool:
-        """Keep a message."""
+        """Record a message."""
         self.sent.append((member, message))
         return True
 
     def answer(self, member: str, message: msgspec.Struct) -> None:
-        """Keep an answer."""
+        """Record a reply."""
         self.send(member, message)
 
     def subscribe(self, kind: type, handler: transport.MessageHandler) -> None:
-        """Register a handler."""
+        """Add a handler for messages of a type."""
         self._handlers[kind].append(handler)
 
     def broadcast(self, message: msgspec.Struct) -> None:
-        """Keep a broadcast."""
+        """Record a broadcast, sent to ``*``."""
         self.send('*', message)
 
     def deliver(self, message: msgspec.Struct, sender: str = 'd') -> None:
-        """Give a message to its handlers."""
+        """Call the handlers of a message."""
         for handler in self._handlers[type(message)]:
             handler(sender, message)
 
     def take(self) -> list[tuple[str, msgspec.Struct]]:
-        """Return what was sent since the last call."""
+        """Return the messages sent since the last call."""
         sent, self.sent = self.sent, []
         return sent
 
     def of_type(self, kind: type) -> list[typing.Any]:
-        """Return the messages sent of one type."""
+        """Return the sent messages of one type."""
         return [row for _, row in self.sent if isinstance(row, kind)]
 
     def statuses(self) -> dict[str, list[str]]:
-        """Return how each attempt was reported, in order."""
+        """Return the reported statuses of each attempt, in order."""
         found = collections.defaultdict(list)
         rows = list(self.of_type(protocol.RunReport))
         for message in self.of_type(protocol.SubAnswerBatch):
--- a/standins/memory_platform.py
+++ b/standins/memory_platform.py
@@ -1,8 +1,8 @@
-"""The platform's object service in memory, with the faults it has.
+"""The platform's object service in memory, with its faults.
 
 A :class:`MemoryStore` holds the objects and the fault switches; each daemon
-of a test talks to it through a :class:`MemoryPlatform`.  Time is the test's
-own clock and chance a seeded source, so that a run is the same each time.
+of a test accesses it through a :class:`MemoryPlatform`.  Time comes from the
+test's clock and randomness is seeded, so that runs are reproducible.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class Fault(enum.Enum):
-    """What can befall one call."""
+    """A fault of one call."""
 
     CONFLICT = 'conflict'
     CONFLICT_AFTER = 'conflict with the own effect'
@@ -39,8 +39,8 @@
     fault for fault in Fault if fault not in (Fault.STALE, Fault.OUTAGE)
 )
 
-# An HTTP client that sends a PUT again after a lost connection meets its
-# own first one, or an outage.
+# An HTTP client that retries a PUT after a lost connection conflicts with
+# its own first attempt, or meets an outage.
 _ANSWERS_AFTER_EFFECT = {
     Fault.CONFLICT_AFTER: _Kind.CONFLICT,
     Fault.OUTAGE_AFTER: _Kind.UNAVAILABLE,
@@ -49,19 +49,20 @@
 
 
 class Host(typing.Protocol):
-    """A machine that may be frozen or dead when an answer comes."""
+    """A machine that may be frozen or dead when a response arrives."""
 
     async def wait_until_running(self) -> None:
-        """Wait until the machine runs."""
+        """Wait until the machine is running."""
 
 
 class MemoryStore:
     """Objects and fault switches, shared by all clients of a test.
 
-    ``chances`` gives faults the probability of befalling a call; ``script``
-    holds faults for the next puts, whatever their chance; ``outage`` refuses
-    every call, ``silent`` answers none.  ``faults`` counts what took effect,
-    ``calls`` the calls by name, ``waiting`` the watches that wait now.
+    ``chances`` holds the probability per call of each fault; ``script``
+    holds the faults of the next puts, used before any are drawn; ``outage``
+    refuses every call, ``silent`` answers none.  ``faults`` counts the faults
+    that took effect, ``calls`` the calls by name, and ``waiting`` the
+    watches that wait now.
     """
 
     def __init__(self, randomness: random.Random) -> None:
@@ -79,7 +80,7 @@
         self.waiting = 0
 
     def write(self, key: str, value: bytes) -> int:
-        """Store a value whatever is there; return its version."""
+        """Store a value unconditionally; return its version."""
         self.position += 1
         if key in self.objects:
             self.previous[key] = self.objects[key]
@@ -89,7 +90,7 @@
     def write_if(
         self, key: str, value: bytes, expected_version: int
     ) -> int | None:
-        """Store a value if the version is as expected."""
+        """Store a value if the version matches; return the new version."""
         found = self.objects.get(key)
         version = found.version if found else transport.CREATE_ONLY
         return self.write(key, value) if version == expected_version else None
@@ -101,19 +102,19 @@
         del self.objects[key]
 
     def is_out(self) -> bool:
-        """Whether an outage refuses this call; counted."""
+        """Return whether an outage refuses this call, and count it."""
         self.faults[Fault.OUTAGE] += self.outage
         return self.outage
 
     def draw(self, fault: Fault) -> bool:
-        """Whether a fault befalls this call; counted."""
+        """Draw whether a fault hits this call, and count it."""
         chance = self.chances.get(fault, 0.0)
         drawn = chance > 0.0 and self.random.random() < chance
         self.faults[fault] += drawn
         return drawn
 
     def next_put_fault(self) -> Fault | None:
-        """Return the fault of this put: scripted, else drawn."""
+        """Return the scripted fault of this put, or a drawn one."""
         if not self.script:
             return next(filter(self.draw, _PUT_FAULTS), None)
         fault = self.script.popleft()
@@ -130,12 +131,12 @@
     store
         The objects.
     clock
-        The network's time: calls travel on while a host is frozen.
+        Clock of the network, which runs on while a host is frozen.
     way_ms
-        Shortest and longest time of each way; (0, 0) takes one turn of the
-        event loop.
+        Range of the latency of each direction; with ``(0, 0)`` each takes
+        one turn of the event loop.
     host
-        The client's machine; while it is frozen it hears no answer.
+        The client's machine; while it is frozen, responses wait.
     """
 
     def __init__(
@@ -153,7 +154,7 @@
     async def get(
         self, key: str
     ) -> result.Result[transport.StoredObject, transport.StoreError]:
-        """Read one object, perhaps as it was before the last write."""
+        """Read one object; a stale read returns its previous version."""
         if not await self._arrives('get'):
             return await self._failed(_Kind.UNAVAILABLE)
         if self._store.draw(Fault.LOST_BEFORE):
@@ -169,7 +170,7 @@
     async def put(
         self, key: str, value: bytes, expected_version: int
     ) -> result.Result[int, transport.StoreError]:
-        """Write if the version is as expected, or as the fault has it."""
+        """Write if the version matches, subject to a fault."""
         store = self._store
         if not await self._arrives('put'):
             return await self._failed(_Kind.UNAVAILABLE)
@@ -197,7 +198,7 @@
     async def delete(
         self, key: str, expected_version: int
     ) -> result.Result[int, transport.StoreError]:
-        """Delete if the version is as expected."""
+        """Delete if the version matches."""
         if not await self._arrives('delete'):
             return await self._failed(_Kind.UNAVAILABLE)
         found = self._store.objects.get(key)
@@ -214,7 +215,7 @@
     ) -> result.Result[
         tuple[transport.StoredObject, ...], transport.StoreError
     ]:
-        """Read all objects below a prefix."""
+        """Read all objects with a key prefix."""
         if not await self._arrives('scan'):
             return await self._failed(_Kind.UNAVAILABLE)
         await self._return()
@@ -223,7 +224,7 @@
     async def watch(
         self, prefix: str, position: int, timeout_ms: int
     ) -> result.Result[transport.WatchPage, transport.StoreError]:
-        """Wait for changes below a prefix."""
+        """Wait for changes of objects with a key prefix."""
         if not await self._arrives('watch'):
             return await self._failed(_Kind.UNAVAILABLE)
         stale = position == 0 and self._store.draw(Fault.STALE)
@@ -247,7 +248,7 @@
     async def _changes(
         self, prefix: str, position: int, timeout_ms: int, stale: bool
     ) -> transport.WatchPage | None:
-        """Return the next page, or None if an outage cuts the watch."""
+        """Return the next page, or None if an outage ends the watch."""
         until_ms = self._clock.now_ms() + timeout_ms
         while True:
             page = self._page(prefix, position, stale)
--- a/standins/memory_searches.py
+++ b/standins/memory_searches.py
@@ -1,7 +1,7 @@
-"""Coordinators of several daemons in one process, and what they search.
+"""Search coordinators of several daemons in one process.
 
-The coordinators and quarantines are the product's own; network, store and
-targets are stand-ins in memory.
+The coordinators and quarantines are the real ones; network, store and
+targets are in memory.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 def make_snapshot(
     snapshot_id: int = 1, shards: int = 4, targets: int = 8
 ) -> state.Snapshot:
-    """Return an even snapshot with two replicas a shard."""
+    """Return a snapshot of shards of equal size with two replicas each."""
     edges = [state.KEY_SPACE_SIZE * n // shards for n in range(shards + 1)]
     rows = [
         state.Shard(
@@ -41,7 +41,7 @@
 
 
 def make_search(**changes: object) -> state.Search:
-    """Return a search of the index, by score, 50 records."""
+    """Return a search of ``INDEX`` for the 50 records with the best score."""
     search = state.Search(
         'history',
         INDEX,
@@ -81,7 +81,7 @@
 def good_answer(
     snapshot: state.Snapshot, item: protocol.SubQuery, **changes: object
 ) -> protocol.SubAnswer:
-    """Return a whole answer with one record, read at ``snapshot``."""
+    """Return a complete answer with one record from ``snapshot``."""
     shards = snapshot.indexes[item.index].shards
     (shard,) = [row for row in shards if row.shard_id == item.shard_id]
     values = {
@@ -97,7 +97,7 @@
 
 
 class Daemon:
-    """A coordinator and a quarantine, wired to the tier."""
+    """One daemon of a tier: its coordinator and quarantine."""
 
     def __init__(self, tier: 'Tier', name: str) -> None:
         peers = tier.network.join(name)
@@ -119,7 +119,7 @@
 
 
 class Tier:
-    """Several daemons over targets in memory; messages take no time."""
+    """Daemons and in-memory targets; messages arrive without delay."""
 
     def __init__(
         self, search: state.Search, seed: int, daemons: int = 4
@@ -142,32 +142,32 @@
             self.add(f'd{number}')
 
     def add(self, name: str) -> Daemon:
-        """Start one more daemon, which knows nothing yet."""
+        """Start another daemon with empty state."""
         self.daemons[name] = Daemon(self, name)
         return self.daemons[name]
 
     def close(self) -> None:
-        """Stop the exporters."""
+        """Close the metrics of all daemons."""
         for daemon in self.daemons.values():
             daemon.counters.close()
 
     def owner(self, target: str) -> str:
-        """Return the dispatcher of a target: d0 or d1."""
+        """Return the dispatcher of a target, ``d0`` or ``d1``."""
         return f'd{int(target[1:]) % 2}'
 
     def is_usable(self, target: str) -> bool:
-        """Return that every target may get work."""
+        """Return True: every target is usable."""
         return True
 
     async def gather(self, *searches: typing.Awaitable) -> list:
-        """Run searches while time moves, until all have outcomes."""
+        """Run searches and advance the time until all have outcomes."""
         tasks = [asyncio.ensure_future(row) for row in searches]
         while not all(task.done() for task in tasks):
             await self.advance(_STEP_MS)
         return [task.result() for task in tasks]
 
     async def advance(self, delta_ms: float) -> None:
-        """Deliver the messages, move time, deliver what that caused."""
+        """Deliver messages, advance the time, and run due callbacks."""
         for _ in range(4):
             await asyncio.sleep(0)
             self.clock.advance(0.0)
--- a/standins/scatter_harness.py
+++ b/standins/scatter_harness.py
@@ -1,4 +1,4 @@
-"""The decisions of one search, driven by hand."""
+"""A harness that drives one scatter without network, targets or timers."""
 
 import dataclasses
 import os
@@ -17,9 +17,12 @@
 
 @dataclasses.dataclass
 class ScatterHarness:
-    """One :class:`coordination.Scatter` driven by hand.
+    """One :class:`coordination.Scatter` whose results and time a test sets.
 
-    Dispatcher of target ``tN`` is ``d(N mod 4)``.
+    The dispatcher of target ``tN`` is ``d(N mod 4)``.  ``sent`` holds all
+    attempts by id, ``pending`` those without a result, ``alone`` the ids of
+    attempts that must run alone at their targets.  Targets in ``unusable``
+    get no attempts.
     """
 
     snapshot: state.Snapshot = dataclasses.field(
@@ -50,7 +53,7 @@
         self.start_search()
 
     def start_search(self) -> None:
-        """Plan one more search with the same context."""
+        """Start a new search with the same context."""
         plan = coordination.Plan(
             'q', 'desk', 'bole-a', self.search, {}, self.search.limit, 'f',
             self.snapshot, self.now_ms + self.search.deadline_ms,
@@ -65,7 +68,7 @@
         self.outcome: protocol.SearchOutcome | None = None
         self.apply_effects(self.scatter.start(self.now_ms))
 
-    # Target view and crash tracker.
+    # TargetView and CrashTracker methods.
 
     def owner(self, target: str) -> str:
         return f'd{int(target[1:]) % 4}'
@@ -85,10 +88,10 @@
     def is_suspect(self, fingerprint: str) -> bool:
         return self.suspected or bool(self.lost_targets)
 
-    # Driving it.
+    # Methods that drive the scatter.
 
     def apply_effects(self, effects: list) -> list[protocol.SubQuery]:
-        """Note effects; return the attempts that were sent."""
+        """Record effects; return the attempts that they send."""
         new = []
         for effect in effects:
             if isinstance(effect, coordination.SendAttempts):
@@ -106,7 +109,7 @@
         return new
 
     def deliver(self, *answers: Answer) -> list[protocol.SubQuery]:
-        """Deliver answers; return the attempts that this sent."""
+        """Deliver results; return the attempts sent in response."""
         for answer in answers:
             self.pending.pop(answer.attempt_id, None)
         return self.apply_effects(
@@ -114,7 +117,7 @@
         )
 
     def tick(self, delta_ms: float) -> list[protocol.SubQuery]:
-        """Move time to each due moment in turn."""
+        """Advance the time tick by tick; return the attempts sent."""
         end_ms = self.now_ms + delta_ms
         new = []
         while self.outcome is None and self.scatter.next_due_ms() <= end_ms:
@@ -126,17 +129,17 @@
     def good_answer(
         self, item: protocol.SubQuery, **changes: object
     ) -> Answer:
-        """Return a whole and sound answer, with changes."""
+        """Return a correct, complete answer with some fields changed."""
         return memory_searches.good_answer(self.snapshot, item, **changes)
 
     def failed_answer(
         self, item: protocol.SubQuery, status: Status, **more: object
     ):
-        """Return an ending without content."""
+        """Return a result without content."""
         return Answer(item.attempt_id, item.target, status, **more)
 
     def deliver_rest(self) -> None:
-        """Answer what waits, whole, until nothing does."""
+        """Answer all pending attempts until none is left."""
         while self.pending and self.outcome is None:
             self.deliver(
                 *[self.good_answer(row) for row in self.pending.values()]
