--- a/standins/cold_links.py
+++ b/standins/cold_links.py
@@ -1,8 +1,8 @@
-"""Targets with slots, and connections to them that are cold at first.
+"""Targets with slots, and links that begin without open connections.
 
-A model of what a daemon meets in the second after a start: no connection is
-open, each new one holds a slot of its target for some ms, and a daemon may
-have few of them.  Time is moved by hand.
+A model of the first second after a daemon's start: no connection is open,
+each new one occupies a slot of its target for some ms, and the number of
+connections is limited.  The test advances the time.
 """
 
 import asyncio
@@ -27,17 +27,20 @@
 
 
 class SlotTargets:
-    """Targets that work on ``slots`` things at once, in order of arrival.
+    """Targets that each have ``slots`` slots, taken in order of arrival.
 
     Parameters
     ----------
     clock
-        Time, moved by the test.
+        The clock, advanced by the test.
     rng
-        Seeded; how long each request takes.
-    slots, handshake_ms, work_ms
-        Of each target: what it does at once, how long a new connection
-        holds a slot, and the mean time of a request.
+        Seeded source of service times.
+    slots
+        Number of connects and requests that a target handles at once.
+    handshake_ms
+        How long a new connection occupies a slot.
+    work_ms
+        Mean service time of a request.
     """
 
     def __init__(
@@ -61,12 +64,12 @@
         self.requests = 0
 
     async def accept_connection(self, target: str) -> None:
-        """Take a new connection."""
+        """Accept a new connection."""
         self.handshakes += 1
         await self._hold(target, self._handshake_ms)
 
     async def work(self, target: str) -> None:
-        """Work on a request, also for a caller that has left."""
+        """Run a request, to its end even if the exchange is cancelled."""
         self.requests += 1
         took_ms = self._work_ms * self._rng.uniform(0.6, 1.4)
         await asyncio.shield(self._hold(target, took_ms))
@@ -97,7 +100,7 @@
     )
 
     def wake(self) -> None:
-        """Let the next one look again."""
+        """Wake the next exchange that waits for a connection."""
         while self.waiting:
             turn = self.waiting.popleft()
             if not turn.done():
@@ -106,7 +109,7 @@
 
 
 class ColdLinks(memory_links.ManualLinks):
-    """One daemon's connections, at most ``limit`` to each target."""
+    """One daemon's links, with at most ``limit`` connections per target."""
 
     def __init__(self, targets: SlotTargets, limit: int = 2) -> None:
         super().__init__()
@@ -115,7 +118,7 @@
         self._pools: dict[str, _Pool] = collections.defaultdict(_Pool)
 
     def has_room(self, target: state.LiveTarget) -> bool:
-        """Whether an exchange would get a connection without waiting."""
+        """Return whether an exchange would get a connection at once."""
         pool = self._pools[target.target_id]
         return bool(pool.idle) or pool.open < self._limit
 
@@ -130,7 +133,7 @@
         on_chunk: typing.Callable[[bytes], None] | None = None,
         on_send: typing.Callable[[], None] = lambda: None,
     ) -> memory_links.Reply:
-        """Get a connection, send and wait; a cancelled one is closed."""
+        """Get a connection and run a request; cancelling closes it."""
         name = target.target_id
         pool = self._pools[name]
         await self._connect(pool, name)
--- a/standins/data.py
+++ b/standins/data.py
@@ -1,8 +1,8 @@
-"""A small two-index data set, the same in every process.
+"""A small data set of two indexes, identical in every process.
 
 ``claims`` holds relief claims (Gebeya), ``clip-rights`` clearance records
 (Arkivret).  A record's place in the key space is the hash of its key, so
-that any process can tell which shard holds it.
+that every process knows which shard holds it.
 """
 
 import dataclasses
@@ -81,8 +81,8 @@
 ) -> list[protocol.Record]:
     """Return the records of a range that match every term, best first.
 
-    Each carries the index version it was read at, so that a reader can
-    tell an answer that mixes two.
+    Each carries the index version that it was read at, so that a test can
+    detect an answer that mixes two versions.
     """
     wanted = tuple(sorted(terms.items()))
     return list(
--- a/standins/http_thread.py
+++ b/standins/http_thread.py
@@ -1,4 +1,4 @@
-"""An aiohttp application on a thread of its own, for blocking clients."""
+"""An aiohttp application in its own thread, for blocking clients."""
 
 import asyncio
 import threading
@@ -7,7 +7,7 @@
 
 
 class HttpThread:
-    """Serves one application on loopback until closed."""
+    """Serves an application on loopback, at ``url``, until closed."""
 
     def __init__(self, app: web.Application) -> None:
         self._loop = asyncio.new_event_loop()
--- a/standins/memory_daemons.py
+++ b/standins/memory_daemons.py
@@ -1,8 +1,8 @@
-"""Daemons' control parts on a manual clock and a network in memory.
+"""Control planes of daemons on a manual clock and an in-memory network.
 
-The parts are the product's own; only sockets, clock and store are stand-ins.
-A daemon can be frozen (its timers, messages and store answers wait), cut
-off, killed and started again with nothing kept.
+The components are the real ones; sockets, clock and store are in memory.  A
+daemon can be frozen (its timers, messages and store responses wait), cut
+off, killed, and restarted with empty state.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 
 
 class Counters:
-    """Metrics without an exporter."""
+    """Metrics that only count."""
 
     def __init__(self) -> None:
         self.counts: collections.Counter = collections.Counter()
@@ -38,7 +38,7 @@
 
 
 class SimDaemon:
-    """The control parts of one daemon, as the node wires them."""
+    """The control plane of one daemon, wired as in the real program."""
 
     def __init__(
         self, network: 'Network', name: str, site: str, region: str
@@ -93,7 +93,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether it presents its revision as the one in force."""
+        """Whether the daemon considers its configuration current."""
         return (
             self.current_state.revision > 0
             and self.membership.is_settled()
@@ -101,13 +101,13 @@
         )
 
     def live_names(self) -> set[str]:
-        """Return the names of the members held live."""
+        """Return the names of the members considered live."""
         return {member.name for member in self.membership.live()}
 
     async def apply(
         self, change_id: str, base_revision: int, repeated: bool = False
     ) -> protocol.ChangeOutcome:
-        """Apply a change as an operator would, and push it."""
+        """Apply a change as an operator would, and announce it."""
         change = protocol.ConfigurationChange(
             base_revision, change_id, 'operator', BASE, {}, repeated
         )
@@ -117,14 +117,17 @@
         return outcome
 
     def kill(self) -> None:
-        """End it without a word."""
+        """Kill the daemon without notice to its peers."""
         self.clock.dead = True
         self.membership.close()
         self.watcher.close()
 
 
 class Network(memory_peers.MemoryNetwork):
-    """The daemons of a test, their clock, store and connections."""
+    """The daemons of a test with their clock, store and connections.
+
+    ``sent`` and ``sent_bytes`` count messages and their bytes by type.
+    """
 
     def __init__(self, seed: int, seeds: tuple[str, ...] = ()) -> None:
         self.seed = seed
@@ -138,7 +141,7 @@
         self.observers.append(self._count)
 
     def start(self, name: str, site: str, region: str) -> SimDaemon:
-        """Start a daemon, or start it again with nothing kept."""
+        """Start a daemon, or restart it with empty state."""
         self.daemons[name] = SimDaemon(self, name, site, region)
         return self.daemons[name]
 
@@ -149,7 +152,7 @@
         self.sent_bytes[type(message).__name__] += size
 
     async def run(self, duration_ms: float) -> None:
-        """Let time pass, and the tasks with it."""
+        """Advance the time in steps, running tasks after each."""
         end_ms = self.clock.now_ms() + duration_ms
         while self.clock.now_ms() < end_ms:
             self.clock.advance(STEP_MS)
@@ -157,7 +160,7 @@
                 await asyncio.sleep(0)
 
     def close(self) -> None:
-        """End every daemon."""
+        """Kill every daemon."""
         for daemon in self.daemons.values():
             daemon.kill()
 
@@ -165,7 +168,10 @@
 def start_sites(
     network: Network, sites: typing.Mapping[str, str], count: int
 ) -> None:
-    """Start ``count`` daemons spread over sites (site to region)."""
+    """Start ``count`` daemons, spread evenly over ``sites``.
+
+    ``sites`` maps each site to its region.
+    """
     names = list(sites)
     for number in range(count):
         site = names[number % len(names)]
--- a/standins/memory_hosts.py
+++ b/standins/memory_hosts.py
@@ -1,4 +1,4 @@
-"""Time in memory: a stepped clock, and hosts that freeze and die."""
+"""Manual clocks, and simulated hosts that freeze and die."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 
 
 class SteppedTimers(timers.ManualTimers):
-    """Manual timers that let the event loop settle after each of them."""
+    """Manual timers that let tasks settle after each timer."""
 
     async def settle(self) -> None:
         """Let every task run until it waits."""
@@ -22,7 +22,10 @@
         delta_ms: float,
         is_enough: typing.Callable[[], bool] = lambda: False,
     ) -> None:
-        """Move the clock from one due timer to the next."""
+        """Advance the clock from one due timer to the next.
+
+        Stops early once ``is_enough`` returns True.
+        """
         end_ms = self.now_ms() + delta_ms
         await self.settle()
         while self._heap and self._heap[0][0] <= end_ms:
@@ -49,10 +52,10 @@
 
 
 class MemoryHost:
-    """A machine and its timers; ``frozen`` and ``dead`` are switches.
+    """A simulated machine; ``frozen`` and ``dead`` are switches.
 
-    What falls due while it is frozen is held until it wakes, as the timers
-    and sockets of a stopped process are.
+    Callbacks due while it is frozen are held until it wakes, like the timers
+    and sockets of a suspended process.  A dead host drops them.
     """
 
     def __init__(self, base: timers.Timers) -> None:
@@ -68,7 +71,7 @@
     def after(
         self, delay_ms: float, callback: typing.Callable[[], None]
     ) -> timers.TimerHandle:
-        """Call back once, while the host runs."""
+        """Call back once after a delay, if the host runs."""
         timer = _HostTimer(callback)
         self._base.after(delay_ms, lambda: self.run(timer.fire))
         return timer
@@ -76,39 +79,39 @@
     def every(
         self, period_ms: float, callback: typing.Callable[[], None]
     ) -> timers.TimerHandle:
-        """Call back at each period, while the host runs."""
+        """Call back at each period, if the host runs."""
         return timers._Repeating(self, period_ms, callback)
 
     def on_gap(self, callback: typing.Callable[[float], None]) -> None:
-        """Call back with the length in ms after a freeze."""
+        """Register a callback for the length in ms of each freeze."""
         if not self._gap_callbacks:
             self._last_tick_ms = self.now_ms()
             self.every(timers.TICK_MS, self._check_gap)
         self._gap_callbacks.append(callback)
 
     def frozen_for_ms(self) -> float:
-        """Return how overdue the tick is, before it has been seen."""
+        """Return by how many ms the next tick is overdue."""
         if not self._gap_callbacks:
             return 0.0
         since_ms = self.now_ms() - self._last_tick_ms
         return max(0.0, since_ms - timers.TICK_MS)
 
     def run(self, callback: typing.Callable[[], None]) -> None:
-        """Call back now, when the host wakes, or never."""
+        """Call back now, or when a frozen host wakes; never if dead."""
         if self.frozen:
             self._held.append(callback)
         elif not self.dead:
             callback()
 
     async def wait_until_running(self) -> None:
-        """Wait until the host runs."""
+        """Wait until the host runs; forever if it is dead."""
         if self.frozen or self.dead:
             future = asyncio.get_running_loop().create_future()
             self.run(lambda: future.done() or future.set_result(None))
             await future
 
     def wake(self, randomness: random.Random | None = None) -> None:
-        """Run on, first with what was held: in order, or in any order."""
+        """Resume, and run the held callbacks in order or shuffled."""
         self.frozen = False
         held, self._held = self._held, []
         if randomness is not None:
--- a/standins/memory_peers.py
+++ b/standins/memory_peers.py
@@ -19,7 +19,7 @@
 
     ``silent`` holds members whose connection drops messages until it is
     reset.  With ``needs_address``, only members with a known address can be
-    sent to.  ``place`` is the member's site and region.
+    sent to.  ``place``, if given, is the member's site and region.
     """
 
     def __init__(
--- a/standins/memory_runners.py
+++ b/standins/memory_runners.py
@@ -1,8 +1,7 @@
-"""Runners of several daemons in one process, on stand-ins in memory.
+"""Runners of several daemons in one process.
 
-The runners are the product's own; clock, store, peers and dispatchers are
-stand-ins.  A daemon can be frozen, killed, and started again with nothing
-kept.
+The runners are the real ones; clock, store, peers and dispatchers are in
+memory.  A daemon can be frozen, killed, and restarted with empty state.
 """
 
 import collections
@@ -26,7 +25,7 @@
 
 
 class MemoryView:
-    """A daemon's knowledge: one operation, two targets, two dispatchers."""
+    """A daemon's view: one operation, two targets, two dispatchers."""
 
     def __init__(self) -> None:
         operation = state.Operation(
@@ -45,13 +44,13 @@
         return f'dispatcher-of-{target}'
 
     def is_usable(self, target: str) -> bool:
-        """Whether a target may get work."""
+        """Return whether a target may get work."""
         return target not in self.unusable
 
 
 @dataclasses.dataclass(slots=True)
 class Daemon:
-    """One life of one daemon."""
+    """One process of a daemon, from its start to its end."""
 
     name: str
     incarnation: int
@@ -60,19 +59,22 @@
 
     @property
     def process(self) -> str:
-        """Name and incarnation, as tokens begin."""
+        """Name and incarnation, which identify the process."""
         return f'{self.name}/{self.incarnation}'
 
 
 class RunnerSystem:
-    """Daemons, dispatchers and a store; ``faults`` counts what it did.
+    """Daemons, dispatchers and a store.
+
+    ``started`` lists every daemon process started so far; ``faults`` counts
+    the injected faults.
 
     Parameters
     ----------
     seed
-        Of all chance in it.
+        Seed of all randomness.
     counters
-        Metrics of all its daemons.
+        Metrics of all daemons.
     latency_ms
         Longest time of a store call.
     """
@@ -106,14 +108,14 @@
         self._incarnations = itertools.count(1)
 
     def on_executed(self, order: protocol.RunOrder, receipt: str) -> None:
-        """A target has run an order; for subclasses to note."""
+        """Called when a target has run an order; subclasses record it."""
 
     def start(
         self,
         name: str,
         quarantine: coordination.RunQuarantine | None = None,
     ) -> Daemon:
-        """Start a daemon, or start it again with nothing kept."""
+        """Start a daemon, or restart it with empty state."""
         host = memory_hosts.MemoryHost(self.clock)
         incarnation = next(self._incarnations)
         runner = coordination.Runner(
@@ -135,11 +137,11 @@
         return self.daemons[name]
 
     def set_behaviours(self, *behaviours: str) -> None:
-        """Have all dispatchers draw from these behaviours."""
+        """Set the behaviours that all dispatchers draw from."""
         for dispatcher in self.dispatchers:
             dispatcher.behaviours = behaviours
 
     def kill(self, daemon: Daemon) -> None:
-        """End a daemon at once; its callers hear nothing."""
+        """Kill a daemon; its callers get no response."""
         daemon.host.dead = True
         self.faults['kill'] += 1
--- a/standins/memory_services.py
+++ b/standins/memory_services.py
@@ -1,4 +1,4 @@
-"""What stands behind a daemon's HTTP interfaces, in memory."""
+"""In-memory services behind the HTTP interfaces of a daemon."""
 
 import typing
 
@@ -9,9 +9,9 @@
 
 
 class MemoryService:
-    """A ``RequestExecutor`` that records requests and returns set outcomes.
+    """A ``RequestExecutor`` that records requests and returns ``outcome``.
 
-    ``error``, if set, is raised instead of answering.
+    ``error``, if set, is raised instead.
     """
 
     def __init__(self) -> None:
@@ -22,22 +22,22 @@
         self.issued_at_ms: set[int] = set()
 
     async def search(self, request: protocol.SearchRequest) -> typing.Any:
-        """Note the request and answer."""
+        """Record the request and return the outcome."""
         return self._answer(request)
 
     async def run(
         self, request: protocol.RunRequest, idempotency_key: str
     ) -> typing.Any:
-        """Note the request and answer."""
+        """Record the key and return the outcome."""
         self.issued_at_ms.add(request.issued_at_ms)
         return self._answer(idempotency_key)
 
     def is_ready(self) -> bool:
-        """Always ready."""
+        """Return True."""
         return True
 
     def is_closing(self) -> bool:
-        """As the test says."""
+        """Return ``closing``."""
         return self.closing
 
     def _answer(self, asked: object) -> typing.Any:
@@ -48,10 +48,10 @@
 
 
 class MemoryOperations:
-    """A ``transport.Operations`` whose answers the test sets.
+    """A ``transport.Operations`` whose results the test sets.
 
-    ``outcome`` is that of the next change; ``error`` is raised by the
-    status.  Only the target ``desk-1`` is known.
+    ``outcome`` is returned for each change; ``error``, if set, is raised by
+    ``status``.  Only the target ``desk-1`` exists.
     """
 
     def __init__(self, source: state.ConfigurationSource) -> None:
@@ -62,31 +62,31 @@
         self.error: Exception | None = None
 
     def status(self) -> dict[str, typing.Any]:
-        """Fail if told."""
+        """Return a short status, or raise ``error``."""
         if self.error is not None:
             raise self.error
         return {'name': 'entry-1'}
 
     def configuration_source(self) -> state.ConfigurationSource:
-        """Return the source that it was made with."""
+        """Return the source passed to the constructor."""
         return self._source
 
     async def apply(self, change: protocol.ConfigurationChange) -> typing.Any:
-        """Note the change."""
+        """Record the change and return ``outcome``."""
         self.changes.append(change)
         return self.outcome
 
     async def history(self) -> typing.Any:
-        """Return one change."""
+        """Return a history of one change."""
         return result.Success([protocol.ChangeSummary(1, 'a', 'c', 0)])
 
     def confirmations(self) -> protocol.Confirmations:
-        """Return one daemon."""
+        """Return the confirmation of one daemon."""
         row = protocol.DaemonRevision('entry-1', 'bole-a', 2)
         return protocol.Confirmations(2, [row])
 
     async def set_leaving(self, target: str, leaving: bool) -> typing.Any:
-        """Note the sign; only desk-1 is known."""
+        """Record the flag; fail for targets other than ``desk-1``."""
         if target != 'desk-1':
             kind = protocol.OperatorErrorKind.NOT_FOUND
             return result.Failure(protocol.OperatorError(kind, target))
@@ -94,10 +94,10 @@
         return result.Success(None)
 
     def quarantined(self) -> typing.Any:
-        """Return nothing held."""
+        """Return an empty list."""
         return result.Success([])
 
     async def release(self, fingerprint: str) -> typing.Any:
-        """Say that the store is down."""
+        """Fail: the store is unavailable."""
         kind = protocol.OperatorErrorKind.UNAVAILABLE
         return result.Failure(protocol.OperatorError(kind, 'store', 1_000))
--- a/standins/memory_targets.py
+++ b/standins/memory_targets.py
@@ -1,4 +1,4 @@
-"""Targets in memory behind the dispatchers of a memory network."""
+"""In-memory targets behind the dispatchers of a memory network."""
 
 import collections
 import typing
@@ -20,18 +20,19 @@
 
 
 class MemoryTargets:
-    """Answer sub-queries after a service time; ``POISON`` kills its target.
+    """Answer sub-queries after a service time; ``POISON`` kills the target.
 
-    All that runs at a target when it dies is reported broken, with
-    ``ran_alone`` as it was asked.  ``dead`` lists the targets lost so far,
-    ``ran`` what was begun; dispatchers in ``silent`` read nothing.
+    Every sub-query running at a target when it dies is reported as broken,
+    with ``ran_alone`` as in its batch.  ``dead`` lists the targets lost so
+    far and ``ran`` the target and terms of each sub-query begun.  Dispatchers
+    in ``silent`` ignore all batches.
 
     Parameters
     ----------
     clock
-        The test's time.
+        The clock of the test.
     answer
-        Returns the sound answer to a sub-query.
+        Returns the correct answer to a sub-query.
     service_ms
         How long each sub-query takes.
     """
@@ -51,7 +52,7 @@
         self._running: dict[str, list[_Work]] = collections.defaultdict(list)
 
     def serve(self, dispatcher: memory_peers.MemoryPeers) -> None:
-        """Take the sub-queries that a member of the network gets."""
+        """Handle the sub-queries sent to a member of the network."""
         dispatcher.subscribe(
             protocol.SubQueryBatch,
             lambda sender, batch: self._on_batch(dispatcher, sender, batch),
--- a/standins/virtual_time.py
+++ b/standins/virtual_time.py
@@ -1,8 +1,8 @@
-"""Time that passes while nothing can be done, for parts with real sockets.
+"""An event loop with virtual time for tests with real sockets.
 
-Deadlines of some ms are missed on a busy machine, and what a test judges
-would depend on it.  Here work takes a fixed time however long the machine
-needs for it, so that only waiting for a socket or a timer lets time pass.
+On a busy machine, deadlines of a few ms would be missed at random.  Here a
+turn of the loop takes a fixed virtual time, and otherwise time passes only
+while the loop waits for a socket or a timer.
 """
 
 import asyncio
@@ -11,15 +11,15 @@
 from unittest import mock
 
 _TURN_S = 0.00005
-"""What a turn of the loop takes, so that work without end ends."""
+"""Virtual time of a turn, so that a busy loop reaches its deadlines."""
 
 _WAIT_S = 0.001
-"""The longest wait at once.  It is a real one: what is on its way between two
-sockets of this process then arrives in the time that it takes."""
+"""Longest single wait.  The loop waits in real time, so that data in flight
+between sockets of this process can arrive."""
 
 
 class _Selector(selectors.DefaultSelector):
-    """Waits for sockets, and counts the time."""
+    """A selector that counts the virtual time of its waits."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -28,7 +28,7 @@
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Wait for a moment at most; only a wait in vain counts whole."""
+        """Wait briefly; count the full wait only if nothing was ready."""
         wait_s = _WAIT_S if timeout is None else min(timeout, _WAIT_S)
         found = super().select(max(0.0, wait_s))
         self.now_s += _TURN_S if found else max(wait_s, _TURN_S)
@@ -36,9 +36,9 @@
 
 
 def run(main: typing.Coroutine[typing.Any, typing.Any, None]) -> None:
-    """Run to the end, with a monotonic clock that is counted."""
+    """Run a coroutine to its end in virtual time."""
     selector = _Selector()
-    # The clock of the loop is the monotonic one too.
+    # The event loop reads time.monotonic() too.
     with mock.patch('time.monotonic', lambda: selector.now_s):
         with asyncio.Runner(
             loop_factory=lambda: asyncio.SelectorEventLoop(selector)
