--- a/standins/balancer.py
+++ b/standins/balancer.py
@@ -1,10 +1,10 @@
-"""A small stand-in of the platform's balancer.
+"""A stand-in of the platform's load balancer.
 
 Run as ``python -m standins.balancer --port 7000 --daemon URL ...``.  It
-polls each daemon's ``/ready`` and passes each request to the next daemon
-that was ready at the last poll, over kept-alive connections.  So it goes
-on sending to a daemon that is leaving for up to ``--lag-ms``.  It never
-sends a request twice; a connection that breaks is a 502 for the caller.
+polls each daemon's ``/ready`` and forwards requests round robin to the daemons
+that were ready at the last poll, over kept-alive connections.  It therefore
+continues to use a draining daemon for up to ``--lag-ms``.  It never retries a
+request; if a connection breaks, the caller gets a 502.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class Balancer:
-    """Round robin over the daemons that were ready at the last poll."""
+    """Forwards requests round robin to ready daemons."""
 
     def __init__(self, urls: tuple[str, ...], lag_ms: int) -> None:
         self._urls = urls
@@ -47,7 +47,7 @@
             return False
 
     async def forward(self, request: web.Request) -> web.Response:
-        """Pass one request on."""
+        """Forward one request."""
         if not self._ready:
             return web.Response(status=503, text='no daemon is ready')
         url = self._ready[next(self._turn) % len(self._ready)]
@@ -75,7 +75,7 @@
             return web.Response(status=502, text=text)
 
     async def health(self, request: web.Request) -> web.Response:
-        """Say which daemons get requests."""
+        """Return the URLs of the daemons that get requests."""
         status = 200 if self._ready else 503
         return web.json_response({'ready': self._ready}, status=status)
 
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -1,7 +1,7 @@
 """Start and stop the processes of a small system on loopback.
 
-Used by the process tests, the benchmarks and the quick start.  Every
-process is started here and ended here by its pid.
+Used by the process tests, the benchmarks and the quick start.  A cluster
+signals only processes that it started, by pid.
 """
 
 import asyncio
@@ -29,14 +29,14 @@
 _START_LIMIT_S = 20.0
 _LOWEST_PORT = 10_240
 _PORT_COUNT = 20_000
-# Concurrent runs begin far from each other.
+# Concurrent runs start at distant ports.
 _port_numbers = itertools.count(os.getpid() * 613)
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
 
 
 @dataclasses.dataclass(frozen=True)
 class DaemonPlace:
-    """Where one daemon listens."""
+    """Name, location and addresses of one daemon."""
 
     name: str
     site: str
@@ -47,11 +47,10 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return loopback ports that are free now, each given out once.
+    """Return loopback ports that are free now, none of them twice.
 
-    They lie below the range from which the system takes the ports of
-    outgoing connections (Linux: 32768 and up).  One of that range may be
-    taken by any client between this call and the start of the server.
+    They lie below the system's ephemeral ports (Linux: 32768 and up), since
+    any outgoing connection could take one of those before the server starts.
     """
     ports: list[int] = []
     while len(ports) < count:
@@ -72,7 +71,7 @@
     shards: int,
     replicas: int,
 ) -> state.Snapshot:
-    """Return a snapshot whose shards split the key space evenly."""
+    """Return a snapshot whose shards divide the key space evenly."""
     size = state.KEY_SPACE_SIZE
     rows = []
     for number in range(shards):
@@ -90,7 +89,7 @@
 
 
 class Cluster:
-    """Processes of one small system, each known by name."""
+    """Processes of a small system by name; use as a context manager."""
 
     def __init__(self, folder: pathlib.Path | None = None) -> None:
         self._random = random.Random()
@@ -114,7 +113,7 @@
             shutil.rmtree(self.folder, ignore_errors=True)
 
     def spawn(self, name: str, *arguments: str) -> subprocess.Popen:
-        """Start ``python -m ...`` under a name; its output goes to a file."""
+        """Start ``python -m ...`` under a name, with its output in a file."""
         log = (self.folder / f'{name}.log').open('ab')
         process = subprocess.Popen(
             [sys.executable, '-m', *arguments],
@@ -127,11 +126,11 @@
         return process
 
     def kill(self, name: str, number: int = signal.SIGKILL) -> None:
-        """Send a signal to one process that this object started."""
+        """Send a signal to a process of this cluster."""
         self.processes[name].send_signal(number)
 
     def stop(self) -> None:
-        """End every process that still runs, by pid."""
+        """Kill every process that still runs."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -140,7 +139,7 @@
             process.wait()
 
     async def start_store(self, name: str = 'store') -> None:
-        """Start a platform stand-in; the last started one is used."""
+        """Start a platform stand-in and use it as the store from now on."""
         (port,) = free_ports(1)
         self.store_url = f'http://127.0.0.1:{port}'
         self.spawn(name, 'standins.store', '--port', str(port))
@@ -152,7 +151,7 @@
         *options: str,
         shared_process: str | None = None,
     ) -> None:
-        """Start targets, one process each or all in one."""
+        """Start targets, one process each or all in ``shared_process``."""
         ports = free_ports(len(names))
         rows = list(zip(names, ports))
         for name, port in rows:
@@ -174,7 +173,7 @@
             await self.wait_for(f'{self.target_urls[name]}/health')
 
     def place_daemon(self, name: str, site: str, region: str) -> None:
-        """Choose addresses for a daemon and write its settings."""
+        """Choose the addresses of a daemon and write its settings file."""
         caller, operator, peer = free_ports(3)
         place = DaemonPlace(
             name,
@@ -188,7 +187,7 @@
         self.write_settings(name)
 
     def write_settings(self, name: str, **extra: object) -> pathlib.Path:
-        """Write (again) the settings file of a placed daemon."""
+        """Write or overwrite the settings file of a placed daemon."""
         place = self.daemons[name]
         settings = {
             'name': name,
@@ -205,25 +204,25 @@
         return path
 
     def start_daemon(self, name: str) -> None:
-        """Start a placed daemon, or start it again."""
+        """Start or restart a placed daemon."""
         path = self.folder / f'{name}.settings.json'
         self.spawn(name, 'samphiredock.daemon', '--settings', str(path))
 
     async def wait_ready(self, *names: str) -> None:
-        """Wait until daemons (all, if none is named) are ready."""
+        """Wait until the named daemons, or all, are ready."""
         for name in names or self.daemons:
             url = f'{self.daemons[name].caller_url}/ready'
             await self.wait_for(url, name)
 
     async def wait_for(self, url: str, process: str | None = None) -> None:
-        """Wait until a GET of ``url`` gives 200, while the process lives."""
+        """Wait until ``url`` returns 200; fail if the process exits."""
         loop = asyncio.get_running_loop()
         end = loop.time() + _START_LIMIT_S
         while loop.time() < end:
             if process and self.processes[process].poll() is not None:
                 log = self.folder / f'{process}.log'
                 text = log.read_text(encoding='utf-8')
-                raise RuntimeError(f'{process} has ended:\n{text[-2000:]}')
+                raise RuntimeError(f'{process} has exited:\n{text[-2000:]}')
             try:
                 async with self.session.get(url) as response:
                     if response.status == 200:
@@ -236,7 +235,7 @@
     async def start_relay(
         self, name: str, ports: typing.Mapping[str, int]
     ) -> dict[str, int]:
-        """Start a relay before some ports; return the ports to use."""
+        """Start a relay to ``ports`` by route; return its own ports."""
         listen = free_ports(len(ports) + 1)
         control = listen.pop()
         chosen = dict(zip(ports, listen))
@@ -251,12 +250,12 @@
         return chosen
 
     async def relay_mode(self, name: str, route: str, mode: str) -> None:
-        """Switch one route of a relay."""
+        """Set the mode of a relay's route, see :mod:`standins.relay`."""
         url = f'{self.relay_urls[name]}/control/routes/{route}'
         await self.call('POST', url, {'mode': mode})
 
     async def start_balancer(self, lag_ms: int) -> str:
-        """Start the balancer stand-in before all daemons."""
+        """Start the balancer stand-in for all daemons; return its URL."""
         (port,) = free_ports(1)
         arguments = []
         for place in self.daemons.values():
@@ -271,7 +270,7 @@
         return url
 
     async def put_object(self, key: str, value: object) -> None:
-        """Write an object to the platform stand-in, through its outages."""
+        """Write an object to the platform stand-in, retrying on errors."""
         url = f'{self.store_url}/objects/{key}'
         body = msgspec.json.encode(value)
         loop = asyncio.get_running_loop()
@@ -293,7 +292,7 @@
         body: object = None,
         headers: typing.Mapping[str, str] | None = None,
     ) -> tuple[int, typing.Any]:
-        """Call an HTTP interface; return status and decoded body."""
+        """Send an HTTP request; return the status and the decoded body."""
         data = None if body is None else msgspec.json.encode(body)
         async with self.session.request(
             method, url, data=data, headers=headers
@@ -304,18 +303,18 @@
             return response.status, msgspec.json.decode(content)
 
     def new_key(self) -> str:
-        """Return an idempotency key made now."""
+        """Return a new idempotency key issued at the current time."""
         return protocol.new_idempotency_key(self.wall_ms(), self._random)
 
     def wall_ms(self) -> int:
-        """Return milliseconds since the epoch."""
+        """Return the wall clock time in ms since the epoch."""
         return int(time.time() * 1000)
 
     async def target_faults(self, name: str, **faults: object) -> None:
-        """Switch the faults of one target."""
+        """Set the fault switches of one target."""
         url = f'{self.target_urls[name]}/control/faults'
         await self.call('POST', url, faults)
 
     async def store_faults(self, **faults: object) -> None:
-        """Switch the faults of the platform stand-in."""
+        """Set the fault switches of the platform stand-in."""
         await self.call('POST', f'{self.store_url}/control/faults', faults)
--- a/standins/prepared_quickstart.py
+++ b/standins/prepared_quickstart.py
@@ -1,7 +1,7 @@
-"""The other door of the quick start: requests that are passed on.
+"""The second part of the quick start: requests forwarded to targets.
 
-A stand-in of the users' platform, and two of the daemons that its hosts
-run; the same search is asked of all shards, and a payout of one target.
+Starts a stand-in of the users' platform and two daemons; sends a search to
+all shards and a payout to one target.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 async def show() -> None:
-    """Start the system, ask it, drain a daemon, change a route, stop."""
+    """Start the system, send requests, drain a daemon, explain a request."""
     async with prepared_system.PreparedSystem() as system:
         await system.start_targets()
         system.configure(1)
--- a/standins/prepared_store.py
+++ b/standins/prepared_store.py
@@ -1,7 +1,7 @@
-"""A stand-in of the store on the users' platform, in memory.
+"""A stand-in of the object store on the users' platform.
 
-Objects by kind and name over HTTP, with revisions, conditions and watches,
-and switches for the faults that the platform's pages tell of.
+Serves objects by kind and name over HTTP, with revisions, conditional
+writes, watches, and switches for the platform's documented faults.
 """
 
 import asyncio
@@ -16,12 +16,12 @@
 
 @dataclasses.dataclass
 class StoreFaults:
-    """What goes wrong, until it is set back.
+    """Fault switches of the store.
 
-    ``status`` answers every call with it, ``silent`` answers none,
-    ``lose_writes`` does so many writes and breaks their connections,
-    ``resets`` breaks so many connections and does nothing,
-    ``stale`` shows reads that may be stale as of this revision.
+    ``status`` is the status of every response if not 0; ``silent`` leaves
+    all calls unanswered.  ``lose_writes`` is a number of writes to apply
+    before aborting their connections, ``resets`` a number of calls to abort
+    without effect.  ``stale`` is not used.
     """
 
     status: int = 0
@@ -32,7 +32,7 @@
 
 
 class PreparedStore:
-    """The store; ``put`` and ``remove`` are the operator and the targets."""
+    """The store; ``put`` and ``remove`` act for operators and targets."""
 
     def __init__(self) -> None:
         self.faults = StoreFaults()
@@ -46,7 +46,7 @@
         self._cut = asyncio.Event()
 
     async def start(self) -> str:
-        """Listen; return ``IP:port``."""
+        """Start listening; return ``IP:port``."""
         app = web.Application()
         app.router.add_route('*', '/objects/{kind}', self._handle_kind)
         app.router.add_route(
@@ -64,17 +64,17 @@
         if self._runner is not None:
             await self._runner.cleanup()
 
-    # The operator and the targets.
+    # Direct access for tests.
 
     def put(self, kind: str, name: str, spec: typing.Any) -> None:
-        """Write an object whatever it was."""
+        """Write an object unconditionally."""
         self._revision += 1
         meta = {'Name': name, 'Revision': self._revision}
         row = {'meta': meta, 'spec': spec, 'status': None}
         self._store_row(kind, name, row)
 
     def put_row(self, kind: str, name: str, row: typing.Any) -> None:
-        """Show a row that is no object, as if another writer had left it."""
+        """Store an invalid row, as another writer might leave it."""
         self._revision += 1
         self._store_row(kind, name, row)
 
@@ -83,24 +83,24 @@
         self._record_event(kind, row, False)
 
     def remove(self, kind: str, name: str) -> None:
-        """Remove an object, if it is there."""
+        """Remove an object if it exists."""
         row = self._objects.pop((kind, name), None)
         if row is not None:
             self._revision += 1
             self._record_event(kind, row, True)
 
     def names(self, kind: str) -> set[str]:
-        """Return the names of a kind's objects."""
+        """Return the names of all objects of a kind."""
         return {name for held, name in self._objects if held == kind}
 
     def forget_history(self) -> None:
-        """Watches from before are answered with 410, and cut."""
+        """Drop the event history: watches from earlier revisions get 410."""
         self._oldest = self._revision + 1
         self._events.clear()
         self.cut_watches()
 
     def cut_watches(self) -> None:
-        """Break the connection of every watch that waits."""
+        """Abort the connection of every waiting watch."""
         cut, self._cut = self._cut, asyncio.Event()
         cut.set()
 
@@ -109,7 +109,7 @@
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
-    # Calls.
+    # HTTP handlers.
 
     async def _fault(self, request: web.Request) -> web.Response | None:
         self.calls += 1
@@ -222,7 +222,7 @@
 
 
 def _abort(request: web.Request) -> web.Response:
-    """Break the connection off; what is returned reaches nobody."""
+    """Abort the connection; the returned response is never sent."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
--- a/standins/prepared_system.py
+++ b/standins/prepared_system.py
@@ -1,7 +1,7 @@
 """A small system on the users' platform: store, targets, real daemons.
 
-The store and the targets run in this process, the daemons are the real
-program, each a process of its own that is ended here by its pid.
+The store and the targets run in this process.  Each daemon is a process of
+the real program, which only this module signals, by pid.
 """
 
 import asyncio
@@ -33,7 +33,12 @@
 
 
 class PreparedTarget:
-    """One target: answers with its receipt, and logs what it ran."""
+    """One target, which answers with its records and a receipt.
+
+    Requests that it begins to run are appended to ``log``.  It takes
+    ``delay_s`` for each, and with ``lose_answers`` it resets the connection
+    instead of answering.  ``born`` distinguishes restarts under one id.
+    """
 
     def __init__(
         self, target_id: str, service: str, log: list[str], born: int = 1
@@ -58,7 +63,7 @@
         await self._server.stop()
 
     def records(self) -> bytes:
-        """Return the records of this target's shard, others each life."""
+        """Return the records of the shard, which differ by ``born``."""
         first = self.born * 10
         return b''.join(
             f'{self.service:>8}{number:08}'.encode()
@@ -87,7 +92,7 @@
         )
 
     async def _work(self) -> None:
-        """Take the time of one request, or until the target is stopped."""
+        """Wait for ``delay_s``, or until the target is stopped."""
         if self.delay_s:
             ended = asyncio.create_task(self._ended.wait())
             await asyncio.wait((ended,), timeout=self.delay_s)
@@ -95,14 +100,17 @@
 
 
 class PreparedSystem:
-    """Use as an asynchronous context manager.
+    """A store, targets and daemons; use as an async context manager.
+
+    ``runs`` has a line ``request target`` for each request that a target
+    began.
 
     Parameters
     ----------
     shards
-        The services that a search asks.
+        The services that a search is sent to.
     sites
-        By service: where its targets are, if not at the first site.
+        Site of the targets by service; by default ``SITE``.
     """
 
     def __init__(
@@ -141,7 +149,7 @@
         self._folder.cleanup()
 
     async def start_targets(self, replicas: int = 2) -> None:
-        """Start ``replicas`` targets a service and register them."""
+        """Start and register ``replicas`` targets for each service."""
         for service in (*self._shards, DESK):
             for number in range(replicas):
                 name = f'{service}-{number}'
@@ -151,9 +159,9 @@
                 self.register(name)
 
     async def restart_target(self, name: str, born: int) -> None:
-        """End a target and start it under its id, holding other content.
+        """Restart a target under its id, at a new address.
 
-        It has another address; ``born`` is what it says of its start.
+        Its records differ if ``born``, the start stated in its entry, does.
         """
         before = self.targets[name]
         await before.stop()
@@ -163,7 +171,7 @@
         self.register(name)
 
     def register(self, name: str, state: str = 'ready') -> None:
-        """Write a target's entry."""
+        """Write the registry entry of a target."""
         target = self.targets[name]
         entry = {
             'Service': target.service,
@@ -187,9 +195,10 @@
         added_attempts: int = 2,
         **changes: typing.Any,
     ) -> None:
-        """Write a configuration with three routes, and those ``added``.
+        """Write a configuration with three routes and those in ``added``.
 
-        ``added_attempts`` is how many targets the latter allow a request.
+        ``added_attempts`` is the number of targets that the added routes
+        allow per request.
         """
         common = {'Host': HOST, 'TimeoutMs': timeout_ms, 'MaxAttempts': 2}
         routes = [
@@ -229,7 +238,7 @@
         self.store.put('config', 'main', configuration)
 
     async def start_daemon(self, name: str, **settings: object) -> None:
-        """Start the real program and wait until it is ready."""
+        """Start a daemon on free ports and wait until it is ready."""
         front, ready, peer, metrics = (
             f'127.0.0.1:{port}' for port in cluster.free_ports(4)
         )
@@ -245,12 +254,12 @@
         await self.restart_daemon(name)
 
     async def restart_daemon(self, name: str) -> None:
-        """Start a daemon at its place and wait until it is ready."""
+        """Start a placed daemon and wait until it is ready."""
         self.launch_daemon(name)
         await self.wait_ready(name)
 
     def launch_daemon(self, name: str) -> None:
-        """Start a daemon at its place."""
+        """Start a placed daemon without waiting."""
         path = pathlib.Path(self._folder.name) / f'{name}.json5'
         log = self.log_path(name).open('ab')
         command = [sys.executable, str(_ROOT / 'platform' / 'entry.py')]
@@ -268,7 +277,7 @@
         log.close()
 
     def write_settings(self, name: str, **changes: object) -> pathlib.Path:
-        """Write a daemon's settings file with some fields changed."""
+        """Write the settings file of a daemon with changed fields."""
         self._settings[name].update(changes)
         path = pathlib.Path(self._folder.name) / f'{name}.json5'
         text = json.dumps(self._settings[name])
@@ -276,7 +285,7 @@
         return path
 
     async def counter(self, name: str, counter: str) -> float:
-        """Return the sum of a counter on a daemon's metrics page."""
+        """Return a daemon's counter, summed over its labels."""
         assert self._session is not None
         address = self._settings[name]['metrics_address']
         async with self._session.get(f'http://{address}/metrics') as got:
@@ -288,13 +297,13 @@
         )
 
     def processor_s(self, name: str) -> float:
-        """Return the processor time that a daemon has used (Linux)."""
+        """Return the CPU time of a daemon in s (Linux)."""
         path = pathlib.Path(f'/proc/{self._processes[name].pid}/stat')
         fields = path.read_text(encoding='ascii').rpartition(')')[2].split()
         return sum(map(int, fields[11:13])) / os.sysconf('SC_CLK_TCK')
 
     def memory_mb(self, name: str) -> float:
-        """Return a daemon's peak memory in MB of a million bytes (Linux)."""
+        """Return the peak resident memory of a daemon in MB (Linux)."""
         path = pathlib.Path(f'/proc/{self._processes[name].pid}/status')
         for line in path.read_text(encoding='ascii').splitlines():
             if line.startswith('VmHWM:'):
@@ -302,7 +311,7 @@
         raise ValueError(f'got no VmHWM in {path}, expected one')
 
     async def wait_ready(self, name: str) -> None:
-        """Wait until a daemon says that it is ready."""
+        """Wait until a daemon reports that it is ready."""
         assert self._session is not None
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + _START_LIMIT_S
@@ -322,14 +331,13 @@
         return pathlib.Path(self._folder.name) / f'{name}.log'
 
     def log(self, name: str) -> str:
-        """Return what a daemon has logged."""
+        """Return the log of a daemon."""
         return self.log_path(name).read_text(encoding='utf-8')
 
     async def log_with_end_of(self, name: str, request_id: str) -> str:
-        """Return a daemon's log once it tells how a request ended.
+        """Return a daemon's log once it has the outcome of a request.
 
-        Lines are written a few at a time, so that they come after the
-        answer.
+        The daemon writes its log in batches, possibly after it answers.
         """
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + _LOG_WAIT_LIMIT_S
@@ -340,16 +348,16 @@
                 if '"request ended"' in row and wanted in row:
                     return text
             await asyncio.sleep(0.02)
-        raise TimeoutError(f'{name} never told how {request_id} ended')
+        raise TimeoutError(f'{name} has not logged the end of {request_id}')
 
     def send(self, name: str, number: signal.Signals) -> None:
-        """Send a daemon a signal."""
+        """Send a signal to a daemon."""
         self._processes[name].send_signal(number)
 
     async def stop_daemon(
         self, name: str, number: signal.Signals = signal.SIGTERM
     ) -> int:
-        """End a daemon by its pid; return its exit status."""
+        """Signal a daemon and wait for its exit; return its status."""
         process = self._processes.pop(name)
         process.send_signal(number)
         waiting = asyncio.to_thread(process.wait)
@@ -363,7 +371,7 @@
         method: str = 'GET',
         deadline_ms: int = 3_000,
     ) -> tuple[int, dict[str, str], bytes]:
-        """Send a caller's request; return status, headers and body."""
+        """Send a request as a caller; return status, headers and body."""
         assert self._session is not None
         headers = {
             'Host': HOST,
@@ -375,10 +383,10 @@
             return got.status, dict(got.headers), await got.read()
 
     def runs_of(self, request_id: str) -> list[str]:
-        """Return the targets that began a request."""
+        """Return the targets that began to run a request."""
         rows = (row.split() for row in self.runs)
         return [target for asked, target in rows if asked == request_id]
 
     def run_counts(self) -> collections.Counter[str]:
-        """Return how many targets began each request."""
+        """Return how often each request was begun by a target."""
         return collections.Counter(row.split()[0] for row in self.runs)
--- a/standins/quickstart.py
+++ b/standins/quickstart.py
@@ -1,7 +1,7 @@
 """A small system on loopback, driven by the real command line.
 
-Run by ``quickstart.sh``.  Everything is started here and ended by its pid;
-``--keep`` leaves it running and prints the addresses.
+Run by ``quickstart.sh``.  Only processes started here are stopped, by pid;
+``--keep`` leaves them running and prints the addresses.
 """
 
 import asyncio
@@ -36,7 +36,7 @@
         self._folder = system.folder
 
     async def start(self) -> None:
-        """Start the stand-ins and three daemons, and publish a snapshot."""
+        """Start the stand-ins, publish a snapshot, and start the daemons."""
         system = self._system
         await system.start_store()
         await system.start_targets(_SHARDS)
@@ -59,7 +59,7 @@
     def _write_configuration(self) -> dict[str, str]:
         text = (_EXAMPLE / 'base.json').read_text(encoding='utf-8')
         base = json5.loads(text)
-        # The example's ports may be taken here; its URLs are this run's.
+        # The ports of the example may be taken, so use those of this run.
         for name, url in self._system.target_urls.items():
             base['targets'][name]['url'] = url
         config = self._folder / 'config'
@@ -70,7 +70,7 @@
         return {name: row['region'] for name, row in base['sites'].items()}
 
     async def show(self) -> None:
-        """Apply the files, search, and run one request at two daemons."""
+        """Apply the files, search, and send a payout to two daemons."""
         overlays = []
         for site in _OVERLAYS:
             file = self.path('config', f'{site}.json')
@@ -93,7 +93,7 @@
         await self.at(1, *payout)
 
     async def stop(self) -> None:
-        """Drain the daemons by SIGTERM and wait for their exits."""
+        """Drain the daemons by SIGTERM and wait until they exit."""
         names = list(self._system.daemons)
         for name in names:
             self._system.kill(name, signal.SIGTERM)
@@ -105,7 +105,7 @@
                 raise subprocess.CalledProcessError(code, name)
 
     def path(self, *parts: str) -> str:
-        """Return a path below this run's folder."""
+        """Return a path below the directory of this run."""
         return str(self._folder.joinpath(*parts))
 
     async def at(self, number: int, *arguments: str) -> None:
@@ -119,7 +119,7 @@
         )  # fmt: skip
 
     async def command(self, *arguments: str) -> None:
-        """Run the command line; a status other than 0 ends the run."""
+        """Run the command line; raise if its exit status is not 0."""
         click.echo(f'$ samphiredock {" ".join(arguments)}')
         process = await asyncio.create_subprocess_exec(
             sys.executable, '-m', 'samphiredock.cli', *arguments
@@ -129,7 +129,7 @@
             raise subprocess.CalledProcessError(code, arguments[0])
 
     def addresses(self) -> str:
-        """Return where everything listens and how to end it."""
+        """Return the addresses of all processes and how to stop them."""
         system = self._system
         rows = [f'platform stand-in  {system.store_url}']
         for place in system.daemons.values():
@@ -140,7 +140,7 @@
         rows += [f'{name}  {url}' for name, url in system.target_urls.items()]
         rows.append(f'token file: {self.path("keys", "entry-1.keys.json")}')
         pids = [str(each.pid) for each in system.processes.values()]
-        rows.append(f'to end it: kill {" ".join(pids)}')
+        rows.append(f'to stop it: kill {" ".join(pids)}')
         return '\n'.join(rows)
 
 
@@ -154,7 +154,7 @@
         if keep:
             click.echo(f'\nstill running; files in {folder}')
             click.echo(quick.addresses())
-            # What this object does not know, it does not end.
+            # The context manager kills only processes that are listed.
             system.processes.clear()
             return
         click.echo('')
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,26 +1,26 @@
-"""A small TCP relay with fault switches, for the process tests and the soak.
+"""A TCP relay with fault switches, for process tests and the soak.
 
 Run as ``python -m standins.relay --control-port 7900 --route NAME:IN:OUT``;
-each route listens on port IN and passes bytes to port OUT on loopback.
-``POST /control/routes/NAME`` with ``{"mode": MODE}`` switches a route:
+each route forwards port IN to port OUT on loopback.
+``POST /control/routes/NAME`` with ``{"mode": MODE}`` sets the mode of a route:
 
 ``pass``
-    pass bytes
+    forward all bytes
 ``cut``
-    close every connection and refuse new ones
+    close every open and every new connection
 ``silence-old``
-    swallow the bytes of connections open now, for good, and pass new ones:
-    what a device does that has lost track of them
+    drop the bytes of open connections for good and forward new connections,
+    like a stateful firewall that lost its connection table
 ``silence-all``
-    swallow the bytes of every connection until ``pass``; those that were
-    open then stay silent
+    drop the bytes of all connections until ``pass``; connections opened
+    before ``pass`` stay silent
 ``reset-old``
-    reset every connection open now, and pass new ones
+    reset every open connection and forward new ones
 ``hold-requests``, ``hold-answers``
-    hold the bytes of one direction until another mode is set, and pass them
-    then: a network that is cut one way, and repeats what was lost
+    buffer the bytes of one direction until another mode is set, like a
+    network partition in one direction whose packets are retransmitted
 ``delay``
-    pass every piece ``DELAY_S`` later
+    forward each chunk ``DELAY_S`` later
 """
 
 import asyncio
@@ -34,20 +34,19 @@
 _CHUNK_BYTES = 65_536
 
 DELAY_S = 0.15
-"""Longer than a caller's aim leaves for one target, shorter than its
-deadline."""
+"""Longer than the latency aim of a request, shorter than its deadline."""
 
 _REQUESTS, _ANSWERS = 'requests', 'answers'
 
 
 class Mode(msgspec.Struct, frozen=True):
-    """Body of the control call."""
+    """Body of a control request."""
 
     mode: str
 
 
 class Route:
-    """One listening port, 0 for a free one, and the port behind it."""
+    """Forwards one listening port, 0 for any free one, to another port."""
 
     def __init__(self, name: str, listen_port: int, port: int) -> None:
         self.name = name
@@ -61,7 +60,7 @@
         self._numbers = 0
 
     async def start(self) -> str:
-        """Listen; return ``IP:port``."""
+        """Start listening; return ``IP:port``."""
         self._server = await asyncio.start_server(
             self._accept, '127.0.0.1', self._listen_port
         )
@@ -69,13 +68,13 @@
         return f'{host}:{port}'
 
     def stop(self) -> None:
-        """Stop listening, and reset what is open."""
+        """Stop listening and reset open connections."""
         if self._server is not None:
             self._server.close()
         self.switch('reset-old')
 
     def switch(self, mode: str) -> None:
-        """Change the mode; see the module's text."""
+        """Set the mode, one of those in the module's docstring."""
         if mode in ('silence-old', 'silence-all'):
             self._silent |= set(self._open)
         if mode in ('cut', 'reset-old'):
@@ -90,7 +89,7 @@
         changed.set()
 
     async def _wait(self, direction: str) -> None:
-        """Wait as the mode asks before a piece is passed on."""
+        """Wait as long as the mode holds or delays a chunk."""
         if self._mode == 'delay':
             await asyncio.sleep(DELAY_S)
         while self._mode == f'hold-{direction}':
@@ -138,17 +137,17 @@
                     writer.write(chunk)
                     await writer.drain()
         except OSError:
-            # A body without a length would else look whole.
+            # After a clean close, a body without length would look complete.
             if number not in self._silent:
                 _reset(writer)
             return
-        # A device that lost a connection passes its end on to nobody.
+        # A silenced connection forwards no end of stream either.
         if number not in self._silent:
             writer.close()
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection so that its peer sees a reset, not an end."""
+    """Abort a connection so that its peer sees a reset."""
     connection = writer.get_extra_info('socket')
     if connection is not None and connection.fileno() >= 0:
         connection.setsockopt(
--- a/standins/relayed_system.py
+++ b/standins/relayed_system.py
@@ -1,4 +1,4 @@
-"""A small system of processes, with a relay before the store and targets."""
+"""A system of processes with a relay before the store and the targets."""
 
 import pathlib
 import typing
@@ -18,10 +18,10 @@
 
 
 class RelayedSystem(cluster.Cluster):
-    """A store, targets and daemons over three sites.
+    """A store, targets and daemons at three sites.
 
-    The daemons reach the store and the targets through one relay, whose
-    routes have their names.
+    The daemons reach the store and the targets through one relay, which has
+    a route for each, of the same name.
     """
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
 
     @property
     def execution_log(self) -> pathlib.Path:
-        """The file to which targets write each execution."""
+        """The file to which all targets append their executions."""
         return self.folder / 'executions.jsonl'
 
     async def build(self, daemons: int, targets: int = 6) -> None:
@@ -74,7 +74,7 @@
         }
 
     def write_settings(self, name: str, **extra: object) -> pathlib.Path:
-        """Let the daemon reach the store through the relay."""
+        """Write settings that reach the store through the relay."""
         extra.setdefault('platform_url', self.relayed['store'])
         extra.setdefault('balancer_lag_ms', 1_000)
         return super().write_settings(name, **extra)
@@ -99,7 +99,7 @@
         return base
 
     async def publish_snapshot(self, shards: int) -> None:
-        """Publish the next snapshot, with another number of shards."""
+        """Publish the next snapshot, with this number of shards."""
         snapshot_id = len(self.snapshot_versions) + 1
         self.snapshot_versions[snapshot_id] = snapshot_id
         await self.put_object(
@@ -112,9 +112,9 @@
     async def change_configuration(
         self, daemon: str, number: int
     ) -> tuple[str, int]:
-        """Change one limit through an operator interface.
+        """Change one limit through a daemon's operator interface.
 
-        Returns the outcome's tag and the revision that it names.
+        Returns the type of the outcome and its revision, 0 if it has none.
         """
         url = self.daemons[daemon].operator_url + '/v1/configuration'
         status, current = await self.call('GET', url)
@@ -132,7 +132,7 @@
         return outcome['type'], outcome.get('revision', 0)
 
     def restart_target(self, name: str) -> None:
-        """Start a killed target again on its port."""
+        """Restart a killed target on its port."""
         port = urllib.parse.urlsplit(self.target_urls[name]).port
         slots = '4' if name in DESKS else '2'
         self.spawn(
--- a/standins/scripted_target.py
+++ b/standins/scripted_target.py
@@ -1,4 +1,4 @@
-"""A target that answers with the bytes a test tells it to."""
+"""A target that answers with the bytes that a test writes."""
 
 import asyncio
 import dataclasses
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpMessage:
-    """One request as it came."""
+    """One HTTP message; ``line`` is its request or status line."""
 
     line: str
     headers: dict[str, str]
@@ -20,7 +20,7 @@
 
 
 async def read_request(reader: asyncio.StreamReader) -> HttpMessage | None:
-    """Read one request, None at the end of the connection."""
+    """Read one HTTP message; return None at the end of the connection."""
     try:
         head = await reader.readuntil(b'\r\n\r\n')
     except (asyncio.IncompleteReadError, ConnectionError):
@@ -35,7 +35,7 @@
 
 
 class ScriptedTarget:
-    """Listens on a port of its own; ``script`` answers each request."""
+    """A server on its own port that calls ``script`` for each request."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -76,7 +76,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Break a connection off, so that its peer sees a reset."""
+    """Abort a connection, so that its peer sees a reset."""
     writer.transport.abort()
 
 
@@ -87,7 +87,7 @@
     headers: typing.Mapping[str, str] = {},
     framed: bool = True,
 ) -> bytes:
-    """Return an answer; without a frame it ends with its connection."""
+    """Return a response, without ``Content-Length`` unless ``framed``."""
     rows = {'Request-Id': request_id, **headers}
     if framed:
         rows['Content-Length'] = str(len(body))
--- a/standins/small_system.py
+++ b/standins/small_system.py
@@ -1,4 +1,4 @@
-"""The example configuration on a few processes, without relays."""
+"""The example configuration on a small system without relays."""
 
 import pathlib
 
@@ -10,7 +10,7 @@
 
 
 async def start(system: cluster.Cluster, daemons: int) -> None:
-    """Start a store, six targets and some daemons, all configured."""
+    """Start a store, six targets and ``daemons`` daemons; wait for them."""
     await system.start_store()
     shards = ['shard-1', 'shard-2', 'shard-3', 'shard-4']
     desks = ['desk-1', 'desk-2']
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,21 +1,21 @@
-"""A small stand-in of the platform's object service, with fault switches.
+"""A stand-in of the platform's object service, with fault switches.
 
-Run as ``python -m standins.store --port 7100``.  Objects live in memory.
+Run as ``python -m standins.store --port 7100``.  Objects are in memory.
 
-Faults are switched by ``POST /faults`` with any of:
+``POST /control/faults`` sets the faults, with any of:
 
 ``outage_ms``
-    refuse every call with 503 for that long
+    refuse every call with 503 for that time
 ``silent_ms``
-    accept calls and answer nothing for that long
+    accept calls and answer none for that time
 ``slow_ms``
     delay each call
 ``lose_answers``
-    apply that many writes and then break the connection
+    apply that many writes and abort their connections
 ``stale_reads``
-    answer that many reads with the version before the last
+    answer that many reads with the previous version
 ``hosts_lag_ms``
-    the host list shows what was set that long ago
+    answer the host list as it was that time ago
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 
 class Faults(msgspec.Struct):
-    """The fault switches; see the module's text."""
+    """Fault switches, described in the module's docstring."""
 
     outage_ms: float = 0
     silent_ms: float = 0
@@ -46,7 +46,7 @@
 
 
 class Store:
-    """Objects with versions, conditional writes and waiting watches."""
+    """Objects with versions, conditional writes and long-poll watches."""
 
     def __init__(self) -> None:
         self._objects: dict[str, _Object] = {}
@@ -96,7 +96,7 @@
         write = request.method in ('PUT', 'DELETE')
         if write and self._faults.lose_answers and response.status == 200:
             self._faults.lose_answers -= 1
-            # The write has taken effect; its answer is lost.
+            # The write has taken effect, but the client gets no response.
             request.transport.abort()
         return response
 
--- a/standins/target.py
+++ b/standins/target.py
@@ -1,9 +1,9 @@
-"""A small stand-in of a target, with fault switches.
+"""A stand-in of a target, with fault switches.
 
 Run as ``python -m standins.target --name t1 --port 7400 --store URL``.
-``--name`` and ``--port`` may be given several times: one process then plays
-several targets.  Faults are switched by ``POST /control/faults`` with the
-fields of :class:`standins.target_faults.Faults`.
+Repeat ``--name`` and ``--port`` to run several targets in one process.
+``POST /control/faults`` sets the faults, with the fields of
+:class:`standins.target_faults.Faults` as body.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 
 class Target:
-    """One target: it holds every shard that a snapshot gives it."""
+    """One target, which holds every shard that a snapshot assigns to it."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         return app
 
     def hold_snapshot(self, snapshot: state.Snapshot) -> None:
-        """Hold a snapshot; the oldest beyond the kept ones is dropped."""
+        """Add a snapshot; drop the oldest beyond ``_KEPT_SNAPSHOTS``."""
         self._snapshots[snapshot.snapshot_id] = snapshot
         while len(self._snapshots) > _KEPT_SNAPSHOTS:
             del self._snapshots[min(self._snapshots)]
@@ -108,7 +108,7 @@
                 fingerprint=item.fingerprint,
             )
         deadline_at_ms = self._waiting.pop(item.attempt_id)
-        # A newer snapshot may push this one out while the work is done.
+        # Newer snapshots may replace this one during the search below.
         snapshot = self._snapshots[item.snapshot_id]
         shards = snapshot.indexes[item.index].shards
         held = next(s for s in shards if s.shard_id == item.shard_id)
@@ -130,12 +130,12 @@
         key_range: protocol.KeyRange,
         service_ms: float,
     ) -> protocol.TargetAnswer:
-        """Return what the shard has, or what the faults make of it."""
+        """Return the matching records of the shard, subject to faults."""
         found = data.find(
             item.index, key_range, item.terms, item.index_version
         )
         if self._faults.cold_answers_empty:
-            # Lost its shard but answers: it searched no key range.
+            # The target lost its shard: it has searched no key range.
             return protocol.TargetAnswer(
                 item.attempt_id,
                 protocol.TargetStatus.OK,
@@ -183,7 +183,10 @@
     async def _search(
         self, attempt_id: str, deadline_at_ms: float
     ) -> tuple[float, protocol.TargetStatus | None]:
-        """Work until done, cancelled or past the deadline."""
+        """Wait for the service time, a cancel or the deadline.
+
+        Returns the service time in ms, and the status if it was cut short.
+        """
         took_ms = self._faults.draw_service_ms(self._random)
         if not took_ms:
             return 0.0, None
--- a/standins/target_faults.py
+++ b/standins/target_faults.py
@@ -1,4 +1,4 @@
-"""The fault switches of the target stand-in, and its service times."""
+"""Fault switches and service times of the target stand-in."""
 
 import asyncio
 import os
@@ -15,10 +15,15 @@
 
 
 class Faults(msgspec.Struct):
-    """What this target does wrong.
+    """Fault switches of one target.
 
-    ``service_ms`` is the median of a log-normal service time of an item,
-    ``straggler`` the part of items that take ten times as long.
+    ``service_ms`` is the median and ``sigma`` the shape of the log-normal
+    service time of an item, ``straggler`` the share of items that take ten
+    times as long.  ``cold`` refuses items as not loaded,
+    ``cold_answers_empty`` answers them without records or key range,
+    ``cross_answers`` exchanges the ids of answers, ``lie_healthy`` reports
+    health whatever else is set, and ``swallow_answers`` is the number of
+    answers to withhold.
     """
 
     service_ms: float = 0.0
@@ -37,7 +42,7 @@
     swallow_answers: int = 0
 
     def draw_service_ms(self, randomness: random.Random) -> float:
-        """Return how long an item takes."""
+        """Return a random service time in ms."""
         if not self.service_ms:
             return 0.0
         took_ms = self.service_ms * randomness.lognormvariate(0.0, self.sigma)
@@ -46,14 +51,14 @@
         return took_ms
 
     def die_if_poisoned(self, values: typing.Iterable[str]) -> None:
-        """Kill this process if the content has the poison term."""
+        """Kill this process if a value is the poison term."""
         if self.poison_term in values:
             os.kill(os.getpid(), signal.SIGKILL)
 
     def swap_answer_ids(
         self, answers: list[protocol.TargetAnswer]
     ) -> list[protocol.TargetAnswer]:
-        """Return the answers, under each other's ids if told so."""
+        """Return the answers, with their ids exchanged if switched on."""
         if not self.cross_answers:
             return answers
         ids = [answer.attempt_id for answer in answers]
@@ -64,13 +69,13 @@
         ]
 
     async def swallow(self) -> None:
-        """Never return, if this answer is one to be swallowed."""
+        """Wait forever if this answer is to be withheld."""
         if self.swallow_answers > 0:
             self.swallow_answers -= 1
             await asyncio.Event().wait()
 
 
 async def hang_while(is_told: typing.Callable[[], bool]) -> None:
-    """Wait as long as the target hangs."""
+    """Wait while the target hangs."""
     while is_told():
         await asyncio.sleep(_HANG_STEP_S)
--- a/standins/target_limits.py
+++ b/standins/target_limits.py
@@ -1,4 +1,4 @@
-"""The slots and connections of the target stand-in, and their breaches."""
+"""Slot and connection limits of the target stand-in."""
 
 import asyncio
 import contextlib
@@ -10,7 +10,7 @@
 
 
 class Stats(msgspec.Struct):
-    """Counts of what this target was asked and what broke its limits."""
+    """Counters of a target's load and of breaches of its limits."""
 
     items: int = 0
     batches: int = 0
@@ -25,7 +25,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Capacity:
-    """What one target allows."""
+    """Limits of one target.
+
+    ``connect_ms`` is the time that accepting a connection takes.
+    """
 
     slots: int
     connections: int
@@ -35,7 +38,7 @@
 class Limits:
     """Counts exchanges and connections against a capacity.
 
-    A breach is counted, not refused: what is over the slots waits.
+    Breaches are counted, not refused; exchanges beyond the slots wait.
     """
 
     def __init__(self, capacity: Capacity, stats: Stats) -> None:
@@ -47,17 +50,17 @@
 
     @property
     def running(self) -> int:
-        """How many exchanges are here, with those that wait."""
+        """Number of exchanges, including those that wait for a slot."""
         return self._stats.running
 
     @property
     def load(self) -> float:
-        """Exchanges a slot."""
+        """Exchanges per slot."""
         return self.running / self._capacity.slots
 
     @contextlib.asynccontextmanager
     async def slot(self) -> typing.AsyncIterator[None]:
-        """Take a slot, waiting for one if there is none."""
+        """Hold a slot, waiting until one is free."""
         stats = self._stats
         stats.running += 1
         stats.peak_running = max(stats.peak_running, stats.running)
@@ -70,7 +73,7 @@
             stats.running -= 1
 
     async def admit_connection(self, request: web.Request) -> int:
-        """Count a connection when its first request comes; name it."""
+        """Count a connection at its first request; return its number."""
         transport = request.transport
         if transport is None:
             raise web.HTTPServiceUnavailable()
--- a/standins/target_log.py
+++ b/standins/target_log.py
@@ -1,4 +1,4 @@
-"""What the target stand-in ran, kept for the checkers."""
+"""The log of what the target stand-in ran, for checks of tests."""
 
 import os
 import time
@@ -9,7 +9,7 @@
 
 
 class Execution(msgspec.Struct):
-    """One item or unrepeatable request that this target began to run."""
+    """One sub-query or unrepeatable request that a target began to run."""
 
     kind: str
     attempt_id: str
@@ -21,14 +21,15 @@
 
 
 class ExecutionLog:
-    """Executions of one target: in memory, and in a file if told so.
+    """Executions of one target, in memory and optionally in a file.
 
     Parameters
     ----------
     name
-        The target's name, which each line of the file begins with.
+        The target's name, the first item of each line in the file.
     keeps_sub_queries
-        Whether sub-queries are kept in memory; runs always are.
+        Whether sub-queries are kept in memory; unrepeatable requests
+        always are.
     """
 
     def __init__(self, name: str, keeps_sub_queries: bool) -> None:
@@ -38,7 +39,7 @@
         self.executions: list[Execution] = []
 
     def write_to(self, path: str) -> None:
-        """Append a line to a file at the start of each execution."""
+        """Append each execution to a file when it starts."""
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT
         self._file = os.open(path, flags)
 
@@ -49,7 +50,7 @@
         connection: int,
         idempotency_key: str = '',
     ) -> Execution:
-        """Note that an item begins to run."""
+        """Record the start of an execution."""
         execution = Execution(
             kind,
             item.attempt_id,
@@ -61,12 +62,12 @@
         if self._keeps_sub_queries or kind == 'run':
             self.executions.append(execution)
         if self._file is not None:
-            # Written before the work, so that a kill cannot hide it.
+            # Written before the work, so that it survives SIGKILL.
             row = msgspec.json.encode([self._name, execution])
             os.write(self._file, row + b'\n')
         return execution
 
 
 def now_ms() -> float:
-    """Return the machine's monotonic milliseconds."""
+    """Return the monotonic time in ms."""
     return time.monotonic() * 1000.0
