--- a/samphiredock/daemon/_entry_forwarding.py
+++ b/samphiredock/daemon/_entry_forwarding.py
@@ -117,7 +117,7 @@
         entry_state.peers.on_removed(self._peer_connections.forget)
 
     def start(self) -> None:
-        """Start the regular notices to peers."""
+        """Start the periodic notices to peers."""
         self._peer_notices.start()
 
     def open_requests(self) -> int:
@@ -145,7 +145,7 @@
             forwarder.finish_all()
 
     def close(self) -> None:
-        """Write the log lines held back, and close all connections."""
+        """Write the log lines still queued, and close all connections."""
         for forwarder in self._forwarders:
             forwarder.close()
         self._merger.close()
@@ -270,8 +270,8 @@
             isinstance(outcome, protocol.NotRun)
             and outcome.reason is protocol.NotRunReason.OVERLOADED
         ):
-            # Every coordinator asked refused it, having an older routing
-            # table or no contact with the store.
+            # Every coordinator that was tried refused the request: its routing
+            # table is older, or it has no contact with the store.
             outcome = await self._stale_handover.forward(request)
         if (
             isinstance(outcome, protocol.NotRun)
@@ -337,7 +337,7 @@
             self._metrics.add('orders_unreadable')
             _log.error('order refused', why=read.failure())
             return protocol.HttpReply(400, body=read.failure().encode())
-        if not self._entry_state.follows_targets():
+        if not self._entry_state.has_coordinator_role():
             # The sender's list of daemons has this one as a coordinator;
             # lists differ for some seconds after a change.
             self._entry_state.coordinate_temporarily()
@@ -346,6 +346,7 @@
     async def _reports(
         self, order: protocol.MergeOrder
     ) -> typing.AsyncGenerator[bytes, None]:
+        """Execute a merge order and yield its reports, encoded."""
         self._open_requests += 1
         try:
             async with contextlib.aclosing(
@@ -365,7 +366,7 @@
         """
 
         def warm_up() -> None:
-            if self._entry_state.asks_directly(target):
+            if self._entry_state.sends_directly(target):
                 background.start(self._connections.warm(target), 'warm')
 
         self._clock.after(self._rng.uniform(0.0, _WARM_UP_SPREAD_MS), warm_up)
--- a/samphiredock/daemon/_entry_node.py
+++ b/samphiredock/daemon/_entry_node.py
@@ -22,15 +22,14 @@
 _METRICS_FLUSH_MS = 1_000.0
 
 _METRICS_LOAD_DELAY_MS = 5_000.0
-"""Delay before the metrics libraries are loaded, unless the metrics page is
-requested earlier.  Callers that return all at once after an outage are served
-first; the load, in another thread, then slows them down little."""
+"""Delay before the metrics libraries are imported, unless the metrics page is
+requested earlier.  An import at the start would delay callers that return all
+at once after an outage; later, in another thread, it delays them little."""
 
 _LOG_FLUSH_MS = 200.0
 
 _EXIT_RESERVE_MS = 500.0
-"""Part of the stop limit reserved for the last replies and the exit.  A larger
-reserve would take time from targets that still answer."""
+"""Part of the stop limit reserved for the last replies and the exit."""
 
 _EARLY_CLOSE_MS = 1_000.0
 """How long before the shutdown limit the servers close even if requests keep
@@ -105,7 +104,7 @@
         self._logged_ready = False
 
     def is_closing(self) -> bool:
-        """Whether connections should end after the current answer."""
+        """Whether connections should close after the current reply."""
         return self._shutdown.phase is not _shutdown.Phase.SERVING
 
     def is_ready(self) -> bool:
@@ -119,13 +118,13 @@
     # Start.
 
     async def start(self) -> None:
-        """Start following the store and serving all addresses.
+        """Follow the store and listen on all addresses.
 
         Raises ``OSError`` if an address cannot be listened on.
         """
         self._clock.after(
             _METRICS_LOAD_DELAY_MS,
-            lambda: background.start(self._start_flushing(), 'metrics'),
+            lambda: background.start(self._start_metrics(), 'metrics'),
         )
         self._clock.every(_LOG_FLUSH_MS, self._log_stream.flush)
         self._entry_state.start()
@@ -160,7 +159,7 @@
         while not self.is_ready() and self._clock.now_ms() < ends_ms:
             await asyncio.sleep(_READY_POLL_MS / 1000.0)
 
-    async def _start_flushing(self) -> None:
+    async def _start_metrics(self) -> None:
         await asyncio.to_thread(self._metrics.load)
         self._clock.every(_METRICS_FLUSH_MS, self._metrics.flush)
 
--- a/samphiredock/daemon/_operator_handler.py
+++ b/samphiredock/daemon/_operator_handler.py
@@ -1,4 +1,4 @@
-"""Handles the operators' calls."""
+"""Answers the calls of the operators' HTTP interface."""
 
 import asyncio
 import typing
@@ -44,16 +44,17 @@
         self._settings = settings
         self._is_ready = is_ready
         self._is_stopped = False
-        self._calls: set[asyncio.Future] = set()
+        # One future for each call that waits for the store.
+        self._wakers: set[asyncio.Future] = set()
 
     def open_calls(self) -> int:
         """Return how many calls are waiting for the store."""
-        return len(self._calls)
+        return len(self._wakers)
 
     def finish_all(self) -> None:
         """Answer every waiting call, as the daemon stops."""
         self._is_stopped = True
-        for waker in self._calls:
+        for waker in self._wakers:
             _wake(waker)
 
     async def _run_until_stop(
@@ -72,12 +73,12 @@
         waker = asyncio.get_running_loop().create_future()
         task = asyncio.create_task(work)
         task.add_done_callback(lambda _: _wake(waker))
-        self._calls.add(waker)
+        self._wakers.add(waker)
         try:
             await waker
             return task.result() if task.done() else outcome_at_stop(True)
         finally:
-            self._calls.discard(waker)
+            self._wakers.discard(waker)
             task.cancel()
 
     def status(self) -> dict[str, typing.Any]:
@@ -144,7 +145,7 @@
         return result.Success(await self._components.acceptor.history())
 
     def confirmations(self) -> protocol.Confirmations:
-        """Return the revision that each live daemon reported."""
+        """Return the configuration revision that each live daemon reported."""
         revisions = self._components.membership.revisions()
         daemons = [
             protocol.DaemonRevision(
@@ -159,9 +160,12 @@
     async def set_leaving(
         self, target: str, leaving: bool
     ) -> result.Result[None, protocol.OperatorError]:
-        """Mark a target as leaving, so that it gets no new work, or unmark."""
+        """Mark a target as leaving, or remove the mark.
+
+        A target that is leaving gets no new work.
+        """
         return await self._run_until_stop(
-            self._set_leaving(target, leaving), _write_stopped
+            self._set_leaving(target, leaving), _stopped_write_error
         )
 
     async def _set_leaving(
@@ -198,7 +202,7 @@
     ) -> result.Result[None, protocol.OperatorError]:
         """Release a request content from quarantine."""
         return await self._run_until_stop(
-            self._release(fingerprint), _write_stopped
+            self._release(fingerprint), _stopped_write_error
         )
 
     async def _release(
@@ -241,7 +245,7 @@
     )
 
 
-def _write_stopped(
+def _stopped_write_error(
     has_begun: bool,
 ) -> result.Result[None, protocol.OperatorError]:
     # A write that has begun may have reached the store.
--- a/samphiredock/transport/_entry_connection.py
+++ b/samphiredock/transport/_entry_connection.py
@@ -26,12 +26,12 @@
 has not read yet."""
 
 _PIPELINE_LIMIT = 8
-"""Pipelined requests that may be queued; reading then pauses."""
+"""Number of queued pipelined requests at which reading pauses."""
 
 _PIPELINE_RESUME = 4
-"""Queue length at which reading resumes.  Above 0, so that requests that are
-in the socket are read before the last queued one is answered, which may end
-the connection."""
+"""Queue length at which reading resumes.  It is above 0 so that requests that
+are still in the socket are read before the last queued one is answered: the
+reply to that one may end the connection."""
 
 _HEAD_SLACK_BYTES = 65_536
 """Tolerance above the limit while a request head is incomplete: the bytes
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryCallbacks:
-    """What an entry server calls.
+    """Callbacks of an entry server.
 
     ``handle`` answers a request, ``is_closing`` returns whether connections
     should end after the current reply, and ``limits`` returns the limits in
@@ -76,9 +76,11 @@
 class _Request:
     """One request, from its first byte until it is answered.
 
-    ``refusal`` is the error status of a request that is not handled, 0 for
-    any other, and ``detail`` its reason.  The connection ends after a
-    refusal: where the next request would begin is unknown.
+    ``body_bytes`` is the announced length of the body until the head is
+    complete, then the number of bytes received.  ``refusal_status`` is the
+    error status of a request that is refused and not handled, 0 for any
+    other, and ``detail`` is the reason.  The connection ends after a refusal:
+    where the next request would begin is unknown.
     """
 
     method: str = ''
@@ -90,7 +92,7 @@
     body_bytes: int = 0
     keep_alive: bool = True
     expects_continue: bool = False
-    refusal: int = 0
+    refusal_status: int = 0
     detail: str = ''
 
 
@@ -100,7 +102,7 @@
     Parameters
     ----------
     callbacks
-        The handler of requests, and what the connection has to know.
+        Answer requests and return the state and limits to observe.
     counters
         The metrics of this daemon.
     clock
@@ -124,13 +126,13 @@
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
         self._queued: collections.deque[_Request] = collections.deque()
-        self._reading: _Request | None = None
+        self._partial_request: _Request | None = None
         self._in_head = False
         self._head_bytes_received = 0
-        self._task: asyncio.Task | None = None
+        self._answer_task: asyncio.Task | None = None
         self._write_paused = False
         self._read_paused = False
-        self._stops_reading = False
+        self._reading_ended = False
         self._is_lingering = False
         self._idle_since_ms: float | None = clock.now_ms()
         self._idle_limit_ms = callbacks.limits().idle_ms
@@ -138,22 +140,22 @@
 
     # asyncio.Protocol callbacks.
 
-    def connection_made(self, connection: asyncio.BaseTransport) -> None:
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport."""
-        self._transport = typing.cast(asyncio.Transport, connection)
+        self._transport = typing.cast(asyncio.Transport, transport)
         self._open_connections.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
         """Cancel the running request: its caller is gone."""
-        self._stops_reading = True
+        self._reading_ended = True
         self._queued.clear()
-        if self._task is not None:
-            self._task.cancel()
+        if self._answer_task is not None:
+            self._answer_task.cancel()
         self._open_connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
         """Parse received bytes and start the next request."""
-        if self._stops_reading:
+        if self._reading_ended:
             return
         self._idle_since_ms = None
         self._head_bytes_received += len(data)
@@ -170,8 +172,8 @@
         self._answer_next()
 
     def _is_idle(self) -> bool:
-        """Whether no request is being read, queued or being answered."""
-        return not (self._task or self._queued or self._reading)
+        """Return whether no request is being read, queued or answered."""
+        return not (self._answer_task or self._queued or self._partial_request)
 
     def _limit_head(self) -> None:
         """Limit the size of an incomplete head, and start its time limit."""
@@ -194,20 +196,20 @@
 
     def on_message_begin(self) -> None:
         """Begin a request, unless reading has ended."""
-        if self._stops_reading:
+        if self._reading_ended:
             return
-        self._reading = _Request()
+        self._partial_request = _Request()
         self._in_head = True
 
     def on_url(self, part: bytes) -> None:
         """Append a part of the raw path."""
-        if self._reading is not None:
-            self._reading.path += part
-            self._reading.head_bytes += len(part)
+        if self._partial_request is not None:
+            self._partial_request.path += part
+            self._partial_request.head_bytes += len(part)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Append a header."""
-        request = self._reading
+        request = self._partial_request
         if request is None:
             return
         request.headers.append(
@@ -221,7 +223,7 @@
 
     def on_headers_complete(self) -> None:
         """Refuse a request whose head or announced body is too large."""
-        request = self._reading
+        request = self._partial_request
         if request is None:
             return
         self._in_head = False
@@ -241,19 +243,19 @@
     def _send_continue(self) -> None:
         """Send ``100 Continue`` to a caller that waits for it.
 
-        Only once all earlier requests are answered, since replies go out in
-        order.
+        It is sent only once all earlier requests are answered, since
+        responses are sent in the order of the requests.
         """
-        request = self._reading
+        request = self._partial_request
         if request is None or self._in_head or not request.expects_continue:
             return
-        if self._task is None and not self._queued:
+        if self._answer_task is None and not self._queued:
             request.expects_continue = False
             self._write(_CONTINUE_RESPONSE)
 
     def on_body(self, part: bytes) -> None:
         """Append a part of the body; refuse a body that is too large."""
-        request = self._reading
+        request = self._partial_request
         if request is None:
             return
         request.body.append(part)
@@ -263,49 +265,54 @@
 
     def on_message_complete(self) -> None:
         """Queue a request that has been read completely."""
-        request, self._reading = self._reading, None
+        request, self._partial_request = self._partial_request, None
         self._head_bytes_received = 0
         if request is None:
             return
         self._queued.append(request)
         if len(self._queued) >= _PIPELINE_LIMIT and not self._read_paused:
             self._read_paused = True
-            self._open_transport().pause_reading()
+            self._connected_transport().pause_reading()
 
     # Refusals.
 
     def _refuse_head(self) -> None:
         limit = self._callbacks.limits().header_bytes
         self._refuse(
-            _TOO_LARGE_HEAD, f'expected a head of at most {limit} bytes'
+            _TOO_LARGE_HEAD,
+            f'got a larger request head, expected at most {limit} bytes',
         )
 
     def _refuse_body(self) -> None:
         limit = self._callbacks.limits().body_bytes
-        self._refuse(_TOO_LARGE_BODY, f'expected at most {limit} bytes')
+        self._refuse(
+            _TOO_LARGE_BODY,
+            f'got a larger body, expected at most {limit} bytes',
+        )
 
     def _refuse(self, status: int, detail: str) -> None:
         """Queue an error reply and stop reading."""
-        if self._stops_reading:
+        if self._reading_ended:
             return
         self._metrics.add('http_errors', interface='entry', status=status)
         self._queued.append(
-            _Request(keep_alive=False, refusal=status, detail=detail)
+            _Request(keep_alive=False, refusal_status=status, detail=detail)
         )
         self._end_reading()
 
     def _end_reading(self) -> None:
         """Stop reading; requests that are queued are still answered."""
-        self._stops_reading = True
-        self._reading = None
+        self._reading_ended = True
+        self._partial_request = None
 
     # Time limits.
 
     def check(self, now_ms: float) -> None:
         """Close an idle connection; refuse a head that is overdue.
 
-        A lowered idle limit applies from the next reply on: the caller may
-        rely on the earlier one, and its next request would cross the close.
+        A lowered idle limit applies from the next reply on: a caller that
+        still relies on the earlier one could send a request just as the
+        connection is closed, and lose it.
         """
         limits = self._callbacks.limits()
         if self._idle_since_ms is not None:
@@ -315,18 +322,19 @@
         elif self._head_since_ms is not None:
             if now_ms - self._head_since_ms > limits.header_ms:
                 self._refuse(
-                    _TIMED_OUT, 'the request head was not complete in time'
+                    _TIMED_OUT,
+                    'got no complete request head within the time limit',
                 )
                 self._answer_next()
 
     def close_if_idle(self) -> None:
         """Close the connection if no request or reply is in progress.
 
-        A connection with unsent bytes stays open: its caller has not read a
-        reply without ``Connection: close`` and may send another request.
-        One that lingers closes by itself.
+        A connection with unsent bytes stays open: its caller is still
+        reading a reply that does not state ``Connection: close``, and may
+        send another request.  A lingering connection closes by itself.
         """
-        transport = self._open_transport()
+        transport = self._connected_transport()
         if self._is_lingering or transport.get_write_buffer_size():
             return
         if self._is_idle():
@@ -338,7 +346,7 @@
         Returns whether a request had no reply yet, or a reply was not sent
         completely.
         """
-        transport = self._open_transport()
+        transport = self._connected_transport()
         loses_reply = (
             not self._is_idle() or transport.get_write_buffer_size() > 0
         )
@@ -347,32 +355,36 @@
 
     # Replies.
 
-    def _open_transport(self) -> asyncio.Transport:
+    def _connected_transport(self) -> asyncio.Transport:
         assert self._transport is not None
         return self._transport
 
     def _answer_next(self) -> None:
         """Start the next queued request, unless one is running."""
-        if self._task is not None or self._write_paused or not self._queued:
+        if (
+            self._answer_task is not None
+            or self._write_paused
+            or not self._queued
+        ):
             return
         request = self._queued.popleft()
         if self._read_paused and len(self._queued) <= _PIPELINE_RESUME:
             self._read_paused = False
-            self._open_transport().resume_reading()
-        self._task = asyncio.create_task(self._answer_request(request))
+            self._connected_transport().resume_reading()
+        self._answer_task = asyncio.create_task(self._answer_request(request))
 
     async def _answer_request(self, request: _Request) -> None:
         reply = await self._make_reply(request)
         if isinstance(reply, protocol.StreamedReply):
             is_complete = await self._write_pieces(request, reply)
             if not is_complete:
-                self._task = None
+                self._answer_task = None
                 # The missing last chunk shows that the reply is incomplete;
                 # a reset could also destroy earlier replies.
                 self._close_after_reply()
                 return
-        self._task = None
-        if self._open_transport().is_closing():
+        self._answer_task = None
+        if self._connected_transport().is_closing():
             return
         is_last = self._is_last_reply(request)
         if isinstance(reply, protocol.HttpReply):
@@ -388,17 +400,17 @@
         self._send_continue()
 
     def _is_last_reply(self, request: _Request) -> bool:
-        """Whether the connection ends after the reply to this request.
+        """Return whether the connection ends after the reply to this request.
 
-        Not while another request is queued or partly read: it was sent
-        before the caller could know of the end and must be answered.
+        It does not while another request is queued or partly read: that one
+        was sent before the caller could know of the end and must be answered.
         """
         if not request.keep_alive:
             return True
-        if self._queued or self._reading is not None:
+        if self._queued or self._partial_request is not None:
             return False
-        # Reading has ended after an Upgrade request.
-        return self._stops_reading or self._callbacks.is_closing()
+        # Reading also ends after an Upgrade request.
+        return self._reading_ended or self._callbacks.is_closing()
 
     async def _write_pieces(
         self, request: _Request, reply: protocol.StreamedReply
@@ -420,9 +432,9 @@
     async def _make_reply(
         self, request: _Request
     ) -> protocol.HttpReply | protocol.StreamedReply:
-        if request.refusal:
+        if request.refusal_status:
             return protocol.HttpReply(
-                request.refusal, body=request.detail.encode()
+                request.refusal_status, body=request.detail.encode()
             )
         path = request.path.decode('latin-1')
         try:
@@ -440,14 +452,14 @@
             return protocol.HttpReply(500, body=b'internal error, see the log')
 
     def _write(self, data: bytes) -> None:
-        self._open_transport().write(data)
+        self._connected_transport().write(data)
 
     def _close_after_reply(self) -> None:
         """Close after the last reply; discard what still arrives."""
         self._queued.clear()
-        self._stops_reading = True
+        self._reading_ended = True
         self._is_lingering = True
-        transport = self._open_transport()
+        transport = self._connected_transport()
         if self._read_paused:
             self._read_paused = False
             transport.resume_reading()
@@ -458,7 +470,7 @@
 
     def _end_lingering(self) -> None:
         """Close once everything written has been sent."""
-        transport = self._open_transport()
+        transport = self._connected_transport()
         if transport.get_write_buffer_size():
             self._clock.after(LINGER_MS, self._end_lingering)
             return
--- a/samphiredock/transport/_entry_http.py
+++ b/samphiredock/transport/_entry_http.py
@@ -11,7 +11,7 @@
 """How often connections are checked against their time limits."""
 
 CLOSE_TIMEOUT_MS = 100.0
-"""How long a server that closes waits for pending requests by default."""
+"""Default time for which a closing server waits for pending requests."""
 
 _CLOSE_POLL_MS = 5.0
 
@@ -22,7 +22,7 @@
     Parameters
     ----------
     callbacks
-        The handler of requests, and what connections have to know.
+        Answer requests and return the state and limits to observe.
     counters
         The metrics of this daemon.
     clock
@@ -40,29 +40,30 @@
         self._clock = clock
         self._connections: set[_entry_connection.EntryConnection] = set()
         self._server: asyncio.Server | None = None
-        self._checking: timers.TimerHandle | None = None
+        self._check_timer: timers.TimerHandle | None = None
 
     async def start(
         self,
         address: str,
         backlog: int,
-        listening: socket.socket | None = None,
+        listener: socket.socket | None = None,
     ) -> None:
         """Serve at ``IP:port``; raises ``OSError`` if it cannot listen there.
 
-        ``listening`` is a socket that already listens at the address.
+        ``listener`` is a socket that already listens at the address;
+        without it a new one is opened.
         """
         loop = asyncio.get_running_loop()
-        if listening is not None:
+        if listener is not None:
             self._server = await loop.create_server(
-                self._connect, sock=listening, backlog=backlog
+                self._connect, sock=listener, backlog=backlog
             )
         else:
             host, _, port = address.rpartition(':')
             self._server = await loop.create_server(
                 self._connect, host, int(port), backlog=backlog
             )
-        self._checking = self._clock.every(_CHECK_INTERVAL_MS, self._check)
+        self._check_timer = self._clock.every(_CHECK_INTERVAL_MS, self._check)
 
     def address(self) -> str:
         """Return ``IP:port`` of the running server."""
@@ -78,10 +79,10 @@
         """
         if self._server is not None:
             self._server.close()
-        # One turn of the event loop opens connections that were just
-        # accepted, so that they are seen below.  Another one reads what had
-        # arrived on idle connections, so that it is answered before they
-        # are closed.
+        # In the first turn of the event loop, connections that were just
+        # accepted are opened and so found below.  In the second one,
+        # requests that had arrived on idle connections are read, so that
+        # they are answered before the connections are closed.
         for _ in range(2):
             await asyncio.sleep(0)
         ends_ms = self._clock.now_ms() + limit_ms
@@ -92,8 +93,8 @@
         self.abort()
         # Cancelled last: until here the checks refuse overdue heads, which
         # would delay the close.
-        if self._checking is not None:
-            self._checking.cancel()
+        if self._check_timer is not None:
+            self._check_timer.cancel()
 
     def abort(self) -> int:
         """Abort the remaining connections.
--- a/samphiredock/transport/_http_connection.py
+++ b/samphiredock/transport/_http_connection.py
@@ -21,9 +21,9 @@
 
 _MIN_TIMEOUT_MS = 1.0
 
-_KEEPALIVE_IDLE_S = 2
-_KEEPALIVE_INTERVAL_S = 1
-_KEEPALIVE_PROBES = 2
+_PROBE_IDLE_S = 2
+_PROBE_INTERVAL_S = 1
+_PROBE_COUNT = 2
 """A host that lost power never closes its connections.  The kernel's
 keepalive probes detect that within about 4 s and close them here."""
 
@@ -50,8 +50,10 @@
 class _ReplyReader:
     """Parses the bytes received during one exchange and finds its reply.
 
-    ``found`` is that reply once it is complete; ``skipped`` counts replies
-    that belong to other requests.
+    ``found`` is that reply once it is complete; ``reusable`` is False if the
+    connection must not carry another exchange; ``skipped`` counts replies
+    that belong to other requests.  The ``on_`` methods are called by
+    ``httptools``.
     """
 
     def __init__(
@@ -94,21 +96,22 @@
             self._complete()
 
     def on_message_begin(self) -> None:
-        """Implement the callback of ``httptools``."""
+        """Begin a reply."""
         if self.found is not None:
-            # A second reply: a later request would get a wrong one.
+            # A second reply has arrived, which a later request would take
+            # for its own.
             self.reusable = False
         self._begin()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Implement the callback of ``httptools``."""
+        """Append a header; note whether it delimits the body."""
         key = name.decode('latin-1')
         self._headers.append((key, value.decode('latin-1')))
         if key.lower() in ('content-length', 'transfer-encoding'):
             self._has_framing = True
 
     def on_headers_complete(self) -> None:
-        """Implement the callback of ``httptools``."""
+        """Begin the body; complete a reply to HEAD, which has none."""
         self._in_body = True
         if self._method == 'HEAD':
             # The parser would wait for the body that the Content-Length of
@@ -117,11 +120,11 @@
             self._complete()
 
     def on_body(self, body: bytes) -> None:
-        """Implement the callback of ``httptools``."""
+        """Append a part of the body."""
         self._body.append(body)
 
     def on_chunk_complete(self) -> None:
-        """Implement the callback of ``httptools``."""
+        """Pass a chunk of the awaited reply to ``on_chunk``."""
         if self._on_chunk is None or self.found is not None or not self._body:
             return
         chunk = b''.join(self._body)
@@ -133,7 +136,7 @@
             self._on_chunk(chunk)
 
     def on_message_complete(self) -> None:
-        """Implement the callback of ``httptools``."""
+        """Complete the reply."""
         self._complete()
 
     def _complete(self) -> None:
@@ -171,13 +174,17 @@
 
     # asyncio.Protocol callbacks.
 
-    def connection_made(self, connection: asyncio.BaseTransport) -> None:
-        """Store the transport and enable keepalive probes."""
-        self._transport = typing.cast(asyncio.Transport, connection)
-        _set_keepalive(connection.get_extra_info('socket'))
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Store the transport and set the options of its socket."""
+        self._transport = typing.cast(asyncio.Transport, transport)
+        _set_socket_options(transport.get_extra_info('socket'))
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of a reply; close on bytes outside of an exchange."""
+        """Parse a part of a reply.
+
+        Bytes outside of an exchange close the connection: the next request
+        would take them for its reply.
+        """
         if self._reader is None:
             self.close()
             return
@@ -227,7 +234,8 @@
         transport = self._transport
         if transport is None or self._closed:
             return _link_errors.LinkError(
-                _Kind.UNREACHABLE, 'closed before the request'
+                _Kind.UNREACHABLE,
+                'connection closed before the request was sent',
             )
         self._reader = _ReplyReader(request.method, is_reply, on_chunk)
         loop = asyncio.get_running_loop()
@@ -291,16 +299,16 @@
     return connection
 
 
-def _set_keepalive(connection: socket.socket) -> None:
+def _set_socket_options(sock: socket.socket) -> None:
     options = (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_IDLE_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_INTERVAL_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBE_COUNT),
     )
     for level, option, value in options:
-        connection.setsockopt(level, option, value)
+        sock.setsockopt(level, option, value)
 
 
 def _encode(request: protocol.HttpRequest) -> bytes:
--- a/tests/process/test_explain_day.py
+++ b/tests/process/test_explain_day.py
@@ -1,4 +1,4 @@
-"""Requests that fail in six ways; the logs lead to each cause."""
+"""``explain`` finds the causes of six failures in a real daemon's log."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
     """One daemon on the stand-in of the users' platform."""
 
     async def asyncSetUp(self) -> None:
-        """Start everything; the routes wait 500 ms at most."""
+        """Start the platform's stand-in, its targets and one daemon."""
         self.system = await prepared_system.PreparedSystem().__aenter__()
         self.addAsyncCleanup(self.system.__aexit__, None, None, None)
         await self.system.start_targets()
@@ -21,17 +21,19 @@
 
     async def _cause(self, request_id: str) -> str:
         text = await self.system.log_with_end_of('one', request_id)
-        rows = _explain.read_lines(text.splitlines())
-        story = _explain.select_request_lines(rows, request_id)
-        self.assertTrue(story, request_id)
-        self.assertTrue(all(json.dumps(line.row) for line in story))
-        return _explain.find_cause(story)
+        all_lines = _explain.read_lines(text.splitlines())
+        lines = _explain.select_request_lines(all_lines, request_id)
+        self.assertTrue(lines, request_id)
+        self.assertTrue(all(json.dumps(line.row) for line in lines))
+        return _explain.find_cause(lines)
 
-    async def _ask(self, path: str, request_id: str, **words: object) -> int:
-        status, _, _ = await self.system.ask('one', path, request_id, **words)
+    async def _ask(self, path: str, request_id: str, **options: object) -> int:
+        status, _, _ = await self.system.ask(
+            'one', path, request_id, **options
+        )
         return status
 
-    def _disturb(self, service: str, **changes: object) -> None:
+    def _change_targets(self, service: str, **changes: object) -> None:
         for name, target in self.system.targets.items():
             if target.service == service:
                 for field, value in changes.items():
@@ -43,12 +45,12 @@
         self.assertEqual(404, await self._ask('/none/x', 'no-route'))
         self.assertIn('no route', await self._cause('no-route'))
 
-        self._disturb('desk', lose_answers=True)
+        self._change_targets('desk', lose_answers=True)
         status = await self._ask('/pay/x', 'lost', method='POST')
         self.assertEqual(502, status)
         self.assertIn('may have run', await self._cause('lost'))
         self.assertIn('broke off', await self._cause('lost'))
-        self._disturb('desk', lose_answers=False, delay_s=9.0)
+        self._change_targets('desk', lose_answers=False, delay_s=9.0)
 
         status = await self._ask(
             '/pay/x', 'slow', method='POST', deadline_ms=300
@@ -56,7 +58,7 @@
         self.assertEqual(504, status)
         self.assertIn('no answer from desk', await self._cause('slow'))
 
-        self._disturb('shard-2', delay_s=9.0)
+        self._change_targets('shard-2', delay_s=9.0)
         self.assertEqual(200, await self._ask('/search/x', 'part'))
         self.assertIn('without 1 of 4', await self._cause('part'))
         self.assertIn('shard-2', await self._cause('part'))
@@ -70,6 +72,7 @@
         for name, target in self.system.targets.items():
             if target.service == 'desk':
                 self.system.register(name, 'draining')
+        # Until the daemon has read the new entries, targets are still asked.
         for number in range(200):
             request_id = f'none-{number}'
             status = await self._ask('/fetch/x', request_id, deadline_ms=50)
