--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -14,7 +14,7 @@
 from standins import prepared_system
 
 
-async def judge(
+async def run_soak(
     seed: int,
     seconds: float,
     hosts: int,
@@ -33,10 +33,10 @@
         for name in soak.names if logs else ():
             shutil.copy(system.log_path(name), logs)
     statuses = collections.Counter(
-        f'{row.kind} {row.status}' for row in history.asked
+        f'{row.kind} {row.status}' for row in history.requests
     )
     click.echo(f'seed {seed}: {dict(sorted(statuses.items()))}')
-    click.echo(f'faults: {dict(sorted(soak.faults.items()))}')
+    click.echo(f'faults: {dict(sorted(soak.fault_counts.items()))}')
     longest_s = max(stop.to_s - stop.from_s for stop in history.stops)
     click.echo(
         f'{len(history.stops)} stops, the longest {longest_s:.2f} s; a '
@@ -48,7 +48,7 @@
         click.echo(f'{name}: {len(found)} wrong')
         wrong += [f'{name}: {problem}' for problem in found]
     if logs:
-        cut = [row for row in history.asked if not row.status]
+        cut = [row for row in history.requests if not row.status]
         lines = [*wrong, *map(str, [*history.stops, *cut])]
         (logs / 'seen.txt').write_text('\n'.join(lines), encoding='utf-8')
     return wrong
@@ -72,7 +72,7 @@
     logs: pathlib.Path | None,
 ) -> None:
     """Soak the daemons that pass requests on; exit 1 if a check fails."""
-    wrong = asyncio.run(judge(seed, minutes * 60.0, hosts, planned, logs))
+    wrong = asyncio.run(run_soak(seed, minutes * 60.0, hosts, planned, logs))
     for problem in wrong[:20]:
         click.echo(problem)
     sys.exit(1 if wrong else 0)
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -12,14 +12,14 @@
 from standins import scripted_target
 
 _PAUSE_S = 0.02
-_ROUNDS = (1, 10, 1_000)
+_ROUND_COUNTS = (1, 10, 1_000)
 """How often a caller uses a connection before it leaves."""
 
-_PIPELINED = (1, 1, 1, 2, 3)
+_PIPELINE_DEPTHS = (1, 1, 1, 2, 3)
 """How many requests it sends at once."""
 
 _SPLIT_SHARE = 0.2
-_LATE_BYTES = 3
+_DELAYED_BYTES = 3
 """Part of the sends whose last bytes come a pause later."""
 
 LONG_MS = 10_000
@@ -71,22 +71,28 @@
     def __init__(
         self, rng: random.Random, system: prepared_system.PreparedSystem
     ) -> None:
-        self.asked: list[_checks.Asked] = []
+        self.records: list[_checks.RequestRecord] = []
         self.starts: collections.Counter[str] = collections.Counter()
-        self.away: set[str] = set()
+        self.unavailable: set[str] = set()
         self.version = 1
         self.running = True
         self._rng = rng
         self._system = system
         self._numbers = itertools.count()
 
-    async def call(self) -> None:
+    async def run_caller(self) -> None:
         """Use one connection after another as long as callers run."""
         while self.running:
-            up = [name for name in self._system.doors if name not in self.away]
+            up = [
+                name
+                for name in self._system.caller_addresses
+                if name not in self.unavailable
+            ]
             if up:
-                rounds = self._rng.choice(_ROUNDS)
-                await self.use(self._rng.choice(up), self._draw_many, rounds)
+                rounds = self._rng.choice(_ROUND_COUNTS)
+                await self.send_requests(
+                    self._rng.choice(up), self._draw_many, rounds
+                )
             await asyncio.sleep(_PAUSE_S)
 
     def draw(self, kind: str, deadline_ms: int = LONG_MS) -> Request:
@@ -99,13 +105,15 @@
 
     def _draw_many(self) -> list[Request]:
         kinds = self._rng.choices(
-            list(KINDS), list(KINDS.values()), k=self._rng.choice(_PIPELINED)
+            list(KINDS),
+            list(KINDS.values()),
+            k=self._rng.choice(_PIPELINE_DEPTHS),
         )
         return [
             self.draw(kind, self._rng.choice(_DEADLINES_MS)) for kind in kinds
         ]
 
-    async def use(
+    async def send_requests(
         self,
         daemon: str,
         draw: typing.Callable[[], list[Request]],
@@ -118,17 +126,21 @@
         """
         start = self.starts[daemon]
         try:
-            reader, writer = await _connect(self._system.doors[daemon])
+            reader, writer = await _connect(
+                self._system.caller_addresses[daemon]
+            )
         except OSError:
             return 0
         status = 0
         for _ in range(rounds):
             requests = draw()
             sent_s = await self._send(writer, requests)
-            for behind, request in enumerate(requests):
+            for pipeline_index, request in enumerate(requests):
                 seen = await _read_answer(reader)
-                row = _asked(request, seen, daemon, start, sent_s, behind)
-                self.asked.append(row)
+                row = _make_record(
+                    request, seen, daemon, start, sent_s, pipeline_index
+                )
+                self.records.append(row)
                 status = row.status
             if not status or not self.running:
                 break
@@ -142,9 +154,9 @@
         """Send requests; return when the last byte was handed over."""
         data = b''.join(row.encode() for row in requests)
         if self._rng.random() < _SPLIT_SHARE:
-            writer.write(data[:-_LATE_BYTES])
+            writer.write(data[:-_DELAYED_BYTES])
             await asyncio.sleep(_PAUSE_S)
-            data = data[-_LATE_BYTES:]
+            data = data[-_DELAYED_BYTES:]
         writer.write(data)
         return asyncio.get_running_loop().time()
 
@@ -170,7 +182,7 @@
 
 async def _read_answer(
     reader: asyncio.StreamReader,
-) -> scripted_target.Seen | None:
+) -> scripted_target.HttpMessage | None:
     """Read one whole answer, None if the connection ends before its end."""
     try:
         return await scripted_target.read_request(reader)
@@ -178,20 +190,20 @@
         return None
 
 
-def _asked(
+def _make_record(
     request: Request,
-    seen: scripted_target.Seen | None,
+    seen: scripted_target.HttpMessage | None,
     daemon: str,
     start: int,
     sent_s: float,
-    behind: int,
-) -> _checks.Asked:
+    pipeline_index: int,
+) -> _checks.RequestRecord:
     status, headers, body = 0, {}, b''
     if seen is not None:
         status, headers = int(seen.line.split()[1]), seen.headers
         body = seen.body
     stated = headers.get('part-stamps') or headers.get('answer-stamp', '')
-    return _checks.Asked(
+    return _checks.RequestRecord(
         request.kind,
         request.request_id,
         status,
@@ -203,5 +215,5 @@
         sent_s,
         asyncio.get_running_loop().time(),
         request.version,
-        behind,
+        pipeline_index,
     )
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -7,23 +7,23 @@
 import typing
 
 RECORD_BYTES = 16
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise that a request has not run and never will."""
 
-_SENT = frozenset({-signal.SIGTERM, -signal.SIGHUP})
+_STOP_SIGNAL_STATUSES = frozenset({-signal.SIGTERM, -signal.SIGHUP})
 """Exit statuses of a process that ends by a signal which a stop sends."""
 
-_ONE_TARGET = frozenset({'probe'})
+_SINGLE_TARGET_KINDS = frozenset({'probe'})
 """Kinds whose routes allow one target only."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
+class RequestRecord:
     """One request as its caller saw it; status 0 for no whole answer.
 
     ``start`` counts the starts of its daemon; times are of one clock.
     ``version`` is the configuration that adds the route of a probe,
-    ``behind`` how many requests were sent before it without a wait.
+    ``pipeline_index`` how many requests were sent before it without a wait.
     """
 
     kind: str
@@ -37,7 +37,7 @@
     sent_s: float = 0.0
     ended_s: float = 0.0
     version: int = 0
-    behind: int = 0
+    pipeline_index: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Run:
+class Execution:
     """A target began a request."""
 
     request_id: str
@@ -75,11 +75,11 @@
 
     ``records`` are those of each service's targets, ``shards`` the services
     that a search asks, ``killed`` the starts of daemons that were killed,
-    ``read`` the requests that the log of each daemon tells of.
+    ``logged`` the requests that the log of each daemon tells of.
     """
 
-    asked: tuple[Asked, ...]
-    runs: tuple[Run, ...]
+    requests: tuple[RequestRecord, ...]
+    executions: tuple[Execution, ...]
     shards: tuple[str, ...]
     records: typing.Mapping[str, bytes]
     least_share: float
@@ -87,16 +87,20 @@
     attempts: int
     stops: tuple[Stop, ...] = ()
     killed: frozenset[tuple[str, int]] = frozenset()
-    read: typing.Mapping[str, frozenset[str]] = dataclasses.field(
+    logged: typing.Mapping[str, frozenset[str]] = dataclasses.field(
         default_factory=dict
     )
 
 
 def check_at_most_once(history: History) -> list[str]:
     """A payment runs at most once."""
-    payments = {row.request_id for row in history.asked if row.kind == 'pay'}
+    payments = {
+        row.request_id for row in history.requests if row.kind == 'pay'
+    }
     counts = collections.Counter(
-        run.request_id for run in history.runs if run.request_id in payments
+        run.request_id
+        for run in history.executions
+        if run.request_id in payments
     )
     return [
         f'{request_id}: got {count} runs, expected at most one'
@@ -107,11 +111,11 @@
 
 def check_not_run(history: History) -> list[str]:
     """What was refused as not run has not run."""
-    began = {run.request_id for run in history.runs}
+    began = {run.request_id for run in history.executions}
     return [
         f'{row.request_id}: got status {row.status}, but it ran'
-        for row in history.asked
-        if row.status in PROMISES and row.request_id in began
+        for row in history.requests
+        if row.status in NOT_RUN_STATUSES and row.request_id in began
     ]
 
 
@@ -119,13 +123,13 @@
     """A success is the whole answer of targets that ran this request."""
     return [
         f'{row.request_id}: {problem}'
-        for row in history.asked
+        for row in history.requests
         if row.status == 200
         for problem in _problems_of(row, history)
     ]
 
 
-def _problems_of(row: Asked, history: History) -> typing.Iterator[str]:
+def _problems_of(row: RequestRecord, history: History) -> typing.Iterator[str]:
     parts = [receipt.rpartition('.') for receipt in row.receipts]
     if any(request_id != row.request_id for request_id, _, _ in parts):
         yield f'got receipts {row.receipts[:3]}, expected its own'
@@ -142,11 +146,11 @@
     least = math.ceil(history.least_share * len(history.shards) - 1e-6)
     if len(services) < least:
         yield f'got {len(services)} parts, expected at least {least}'
-    if row.body != _merged(services, history):
+    if row.body != _expected_body(services, history):
         yield 'got a body that is not the greatest records of its parts'
 
 
-def _merged(services: list[str], history: History) -> bytes:
+def _expected_body(services: list[str], history: History) -> bytes:
     every = b''.join(history.records[service] for service in services)
     rows = [
         every[at : at + RECORD_BYTES]
@@ -158,10 +162,12 @@
 def check_attempts(history: History) -> list[str]:
     """No more targets of a service run a request than its route allows."""
     alone = {
-        row.request_id for row in history.asked if row.kind in _ONE_TARGET
+        row.request_id
+        for row in history.requests
+        if row.kind in _SINGLE_TARGET_KINDS
     }
     targets = collections.defaultdict(set)
-    for run in history.runs:
+    for run in history.executions:
         targets[run.request_id, run.service].add(run.target)
     return [
         f'{request_id}: got {len(found)} targets of {service}, expected at '
@@ -175,7 +181,7 @@
     """Every route was configured all the time: none is unknown."""
     return [
         f'{row.request_id}: got 404, its route is in every version'
-        for row in history.asked
+        for row in history.requests
         if row.status == 404 and row.kind != 'probe'
     ]
 
@@ -187,21 +193,21 @@
     excuses it.  A stop does not, whatever the targets and the other daemons
     do: what is open at its end is answered as unknown, or refused.
     """
-    began = {run.request_id for run in history.runs}
+    began = {run.request_id for run in history.executions}
     return [
         f'{row.request_id}: got no answer of {row.daemon}, start {row.start}, '
         f'{row.ended_s - row.sent_s:.3f} s after it was sent'
-        for row in _cut(history)
+        for row in _unanswered(history)
         if row.request_id in began
-        or row.request_id in history.read.get(row.daemon, ())
+        or row.request_id in history.logged.get(row.daemon, ())
     ]
 
 
-def _cut(history: History) -> list[Asked]:
+def _unanswered(history: History) -> list[RequestRecord]:
     """Return what ended without answer at a daemon that was not killed."""
     return [
         row
-        for row in history.asked
+        for row in history.requests
         if row.status == 0 and (row.daemon, row.start) not in history.killed
     ]
 
@@ -219,11 +225,11 @@
         f'{row.request_id}: got no answer, its connection to {row.daemon}, '
         f'start {row.start}, ended {row.ended_s - stop.from_s:.3f} s after '
         f'the first of {stop.signals} signals'
-        for row in _cut(history)
+        for row in _unanswered(history)
         if (stop := stops.get((row.daemon, row.start)))
         and stop.ready
         and row.sent_s < stop.from_s
-        and not row.behind
+        and not row.pipeline_index
     ]
 
 
@@ -242,7 +248,9 @@
 
 
 def _ends_by_signal(stop: Stop) -> bool:
-    return stop.status in _SENT and (stop.signals > 1 or not stop.ready)
+    return stop.status in _STOP_SIGNAL_STATUSES and (
+        stop.signals > 1 or not stop.ready
+    )
 
 
 def check_versions(history: History) -> list[str]:
@@ -253,7 +261,7 @@
     """
     known: dict[tuple[str, int], list[tuple[float, int]]] = {}
     wrong = []
-    probes = [row for row in history.asked if row.kind == 'probe']
+    probes = [row for row in history.requests if row.kind == 'probe']
     for row in sorted(probes, key=lambda row: row.ended_s):
         place = (row.daemon, row.start)
         seen = known.setdefault(place, [])
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -14,13 +14,13 @@
 from standins import prepared_system
 
 SHARDS = tuple(f'shard-{number}' for number in range(1, 7))
-_CALLERS = 12
+_CALLER_COUNT = 12
 _FAULT_EVERY_S = (0.2, 1.0)
 _FAULT_FOR_S = (0.3, 1.5)
 _SETTLE_S = 1.5
-_ROUTES_MS = 30_000
-_LOOK_S = 0.02
-_TRIES = 20
+_ROUTE_TIMEOUT_MS = 30_000
+_POLL_S = 0.02
+_HOLD_TRIES = 20
 
 STOP_LIMIT_S = 3.0
 """When a platform would kill a daemon that stops."""
@@ -35,13 +35,13 @@
 )
 """What a daemon that is stopped may get, one after the other."""
 
-_TOLD_OF = re.compile('"request":"([a-z0-9]+)"')
+_LOGGED_REQUEST = re.compile('"request":"([a-z0-9]+)"')
 """A request that a line of a daemon's log is about."""
 
 _SIGNAL_GAP_S = (0.0, 0.6)
 
-_STOPPED_EARLY_SHARE = 0.2
-_STOPPED_EARLY_S = (0.1, 1.2)
+_EARLY_STOP_SHARE = 0.2
+_EARLY_STOP_AFTER_S = (0.1, 1.2)
 """Part of the starts that are stopped, and how long after the launch: before
 the signal has a handler, before the daemon is ready, and just after."""
 
@@ -72,10 +72,10 @@
         self.system = system
         self.names = [f'entry-{number}' for number in range(hosts)]
         self.callers = _callers.Callers(self.rng, system)
-        self.faults: collections.Counter[str] = collections.Counter()
+        self.fault_counts: collections.Counter[str] = collections.Counter()
         self.version = 1
         self.links = _links.Links(system)
-        self._names_of_faults = sorted(faults)
+        self._fault_names = sorted(faults)
         self._busy: set[str] = set()
         self._killed: set[tuple[str, int]] = set()
         self._stops: list[_checks.Stop] = []
@@ -84,7 +84,7 @@
         """Start everything, let faults fall, and return what was seen."""
         await self.system.start_targets()
         await self.links.place_before_targets()
-        self.configure(self.version)
+        self.publish_version(self.version)
         for name in self.names:
             store = await self.links.place_before_store(name)
             await self.system.start_daemon(
@@ -94,7 +94,8 @@
                 stop_limit_s=STOP_LIMIT_S,
             )
         callers = [
-            asyncio.create_task(self.callers.call()) for _ in range(_CALLERS)
+            asyncio.create_task(self.callers.run_caller())
+            for _ in range(_CALLER_COUNT)
         ]
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + seconds
@@ -105,20 +106,20 @@
         await asyncio.gather(*pending)
         self.links.heal()
         await asyncio.sleep(_SETTLE_S)
-        await self._serves_again()
+        await self._wait_until_serving()
         await self._stop_all()
         self.callers.running = False
         await asyncio.gather(*callers)
         self.links.close()
         return self.history()
 
-    def configure(self, version: int) -> None:
+    def publish_version(self, version: int) -> None:
         """Write a version; each adds a route and keeps those before."""
         self.version = self.callers.version = version
         self.system.configure(
             version,
             added=range(1, version + 1),
-            timeout_ms=_ROUTES_MS,
+            timeout_ms=_ROUTE_TIMEOUT_MS,
             added_attempts=1,
         )
 
@@ -128,9 +129,11 @@
             target.service: target.records()
             for target in self.system.targets.values()
         }
-        runs = tuple(_checks.Run(*row.split()) for row in self.system.runs)
+        runs = tuple(
+            _checks.Execution(*row.split()) for row in self.system.runs
+        )
         return _checks.History(
-            tuple(self.callers.asked),
+            tuple(self.callers.records),
             runs,
             SHARDS,
             records,
@@ -140,12 +143,12 @@
             tuple(self._stops),
             frozenset(self._killed),
             {
-                name: frozenset(_TOLD_OF.findall(self.system.log(name)))
+                name: frozenset(_LOGGED_REQUEST.findall(self.system.log(name)))
                 for name in self.names
             },
         )
 
-    async def _serves_again(self) -> None:
+    async def _wait_until_serving(self) -> None:
         for name in self.names:
             for _ in range(200):
                 if await self._search(name) == 200:
@@ -158,7 +161,7 @@
                 )
 
     async def _search(self, name: str) -> int:
-        return await self.callers.use(
+        return await self.callers.send_requests(
             name, lambda: [self.callers.draw('search', 1_500)]
         )
 
@@ -176,7 +179,7 @@
 
     async def _hold_open(self, name: str, kind: str) -> asyncio.Task[int]:
         """Return a request that a target has begun and does not answer."""
-        for _ in range(_TRIES):
+        for _ in range(_HOLD_TRIES):
             asking = await self._ask_until_begun(name, self.callers.draw(kind))
             if not asking.done():
                 return asking
@@ -190,19 +193,21 @@
     ) -> asyncio.Task[int]:
         """Return a request once a target has begun it, or it was refused."""
         before, began = len(self.system.runs), f'{request.request_id} '
-        asking = asyncio.create_task(self.callers.use(name, lambda: [request]))
+        asking = asyncio.create_task(
+            self.callers.send_requests(name, lambda: [request])
+        )
         while not asking.done():
             new = self.system.runs[before:]
             if any(row.startswith(began) for row in new):
                 break
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_S)
         return asking
 
     # Faults.
 
     async def _fault(self) -> None:
-        name = self.rng.choice(self._names_of_faults)
-        self.faults[name] += 1
+        name = self.rng.choice(self._fault_names)
+        self.fault_counts[name] += 1
         for_s = self.rng.uniform(*_FAULT_FOR_S)
         await _faults.FAULTS[name](self, for_s)
 
@@ -211,7 +216,7 @@
         up = [
             name
             for name in self.names
-            if name not in self.callers.away | self._busy
+            if name not in self.callers.unavailable | self._busy
         ]
         return self.rng.choice(up) if len(up) > 1 else None
 
@@ -219,7 +224,7 @@
         """Kill a daemon and start it again."""
         name = self.draw_running()
         if name is not None:
-            self.callers.away.add(name)
+            self.callers.unavailable.add(name)
             self._killed.add((name, self.callers.starts[name]))
             await self.system.stop_daemon(name, signal.SIGKILL)
             await self._start_again(name)
@@ -243,7 +248,7 @@
             self.system.send(name, number)
             await asyncio.sleep(self.rng.uniform(*_SIGNAL_GAP_S))
         status = await self.system.stop_daemon(name, last)
-        self.callers.away.add(name)
+        self.callers.unavailable.add(name)
         self._busy.discard(name)
         to_s = asyncio.get_running_loop().time()
         start = self.callers.starts[name]
@@ -256,8 +261,8 @@
     async def _start_again(self, name: str) -> None:
         """Start a daemon; callers come at once, and perhaps a stop."""
         self._launch(name)
-        while self.rng.random() < _STOPPED_EARLY_SHARE:
-            await asyncio.sleep(self.rng.uniform(*_STOPPED_EARLY_S))
+        while self.rng.random() < _EARLY_STOP_SHARE:
+            await asyncio.sleep(self.rng.uniform(*_EARLY_STOP_AFTER_S))
             await self._stop(name, ready=False)
             self._launch(name)
         await self.system.wait_ready(name)
@@ -270,18 +275,18 @@
         self.system.store.faults.status = 0
         self.system.store.faults.silent = False
         self.system.launch_daemon(name)
-        self.callers.away.discard(name)
+        self.callers.unavailable.discard(name)
 
     async def freeze(self, for_s: float) -> None:
         """Let a daemon stand still."""
         name = self.draw_running()
         if name is None:
             return
-        self.callers.away.add(name)
+        self.callers.unavailable.add(name)
         self.system.send(name, signal.SIGSTOP)
         await asyncio.sleep(for_s)
         self.system.send(name, signal.SIGCONT)
-        self.callers.away.discard(name)
+        self.callers.unavailable.discard(name)
 
     def draw_target(self) -> prepared_system.PreparedTarget:
         """Return a target to disturb."""
--- a/standins/prepared_system.py
+++ b/standins/prepared_system.py
@@ -24,7 +24,7 @@
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
 _START_LIMIT_S = 20.0
 _STOP_LIMIT_S = 15.0
-_LOG_LIMIT_S = 15.0
+_LOG_WAIT_LIMIT_S = 15.0
 
 SHARDS = ('shard-1', 'shard-2', 'shard-3', 'shard-4')
 DESK = 'desk'
@@ -66,7 +66,7 @@
         )
 
     async def _answer(
-        self, seen: scripted_target.Seen, writer: asyncio.StreamWriter
+        self, seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
     ) -> None:
         request_id = seen.headers['request-id']
         if seen.headers.get('expect-instance') != self.target_id:
@@ -115,7 +115,7 @@
         self.store = prepared_store.PreparedStore()
         self.targets: dict[str, PreparedTarget] = {}
         self.runs: list[str] = []
-        self.doors: dict[str, str] = {}
+        self.caller_addresses: dict[str, str] = {}
         self.store_address = ''
         self._settings: dict[str, dict[str, object]] = {}
         self._processes: dict[str, subprocess.Popen] = {}
@@ -240,7 +240,7 @@
             'platform_address': self.store_address, 'balancer_lag_ms': 300,
         }  # fmt: skip
         self.write_settings(name, **settings)
-        self.doors[name] = front
+        self.caller_addresses[name] = front
         self._ready[name] = ready
         await self.restart_daemon(name)
 
@@ -255,7 +255,13 @@
         log = self.log_path(name).open('ab')
         command = [sys.executable, str(_ROOT / 'platform' / 'entry.py')]
         self._processes[name] = subprocess.Popen(
-            [*command, '--settings', str(path), '--callers', self.doors[name]],
+            [
+                *command,
+                '--settings',
+                str(path),
+                '--callers',
+                self.caller_addresses[name],
+            ],
             stdout=log,
             stderr=log,
         )
@@ -326,7 +332,7 @@
         answer.
         """
         loop = asyncio.get_running_loop()
-        ends_s = loop.time() + _LOG_LIMIT_S
+        ends_s = loop.time() + _LOG_WAIT_LIMIT_S
         wanted = f'"request":"{request_id}"'
         while loop.time() < ends_s:
             text = self.log(name)
@@ -364,7 +370,7 @@
             'Request-Id': request_id,
             'Deadline-Ms': str(deadline_ms),
         }
-        url = f'http://{self.doors[daemon]}{path}'
+        url = f'http://{self.caller_addresses[daemon]}{path}'
         async with self._session.request(method, url, headers=headers) as got:
             return got.status, dict(got.headers), await got.read()
 
--- a/standins/target.py
+++ b/standins/target.py
@@ -57,7 +57,7 @@
         app.router.add_get('/control/executions', self._get_executions)
         return app
 
-    def learn(self, snapshot: state.Snapshot) -> None:
+    def hold_snapshot(self, snapshot: state.Snapshot) -> None:
         """Hold a snapshot; the oldest beyond the kept ones is dropped."""
         self._snapshots[snapshot.snapshot_id] = snapshot
         while len(self._snapshots) > _KEPT_SNAPSHOTS:
@@ -88,7 +88,7 @@
         finally:
             for item in batch.items:
                 self._waiting.pop(item.attempt_id, None)
-        answers = self._faults.crossed(answers)
+        answers = self._faults.swap_answer_ids(answers)
         await self._faults.swallow()
         return _json(
             protocol.TargetBatchAnswer(
@@ -113,7 +113,7 @@
         shards = snapshot.indexes[item.index].shards
         held = next(s for s in shards if s.shard_id == item.shard_id)
         execution = self.log.start('sub-query', item, number)
-        self._faults.die_of(item.terms.values())
+        self._faults.die_if_poisoned(item.terms.values())
         service_ms, cut_short = await self._search(
             item.attempt_id, deadline_at_ms
         )
@@ -238,7 +238,7 @@
         self._waiting.pop(order.attempt_id, None)
         self._stats.runs += 1
         execution = self.log.start('run', order, number, order.idempotency_key)
-        self._faults.die_of(order.body.values())
+        self._faults.die_if_poisoned(order.body.values())
         await asyncio.sleep(
             self._faults.draw_service_ms(self._random) / 1000.0
         )
@@ -317,7 +317,7 @@
                     row['value'], type=state.Snapshot
                 )
                 for target in targets:
-                    target.learn(snapshot)
+                    target.hold_snapshot(snapshot)
 
 
 async def _serve(
--- a/tests/failure/test_limits.py
+++ b/tests/failure/test_limits.py
@@ -16,11 +16,11 @@
 from samphiredock import protocol
 from samphiredock import state
 from samphiredock import timers
-from standins import counted_time
 from standins import memory_peers
 from standins import target as standin
 from standins import target_faults
 from standins import target_limits
+from standins import virtual_time
 from tests.unit import dispatching
 
 _SLOTS = 2
@@ -38,7 +38,7 @@
         whole = protocol.KeyRange(0, state.KEY_SPACE_SIZE)
         shard = state.Shard('shard', whole, ['t1'])
         index = state.IndexSnapshot(1, [shard])
-        self.target.learn(state.Snapshot(1, {'i': index}))
+        self.target.hold_snapshot(state.Snapshot(1, {'i': index}))
         self.faults = target_faults.Faults(service_ms=4.0, straggler=0.02)
         self.target._faults = self.faults
         self.peers = memory_peers.RecordingPeers()
@@ -106,7 +106,7 @@
         Each attempt is answered exactly once, and the target counts no use
         beyond its limits.
         """
-        counted_time.run(self._check_lost_answers_and_cancels())
+        virtual_time.run(self._check_lost_answers_and_cancels())
 
     async def _check_lost_answers_and_cancels(self) -> None:
         async with _System() as system:
@@ -125,7 +125,7 @@
 
         If the slot were freed then, the target would exceed its slots.
         """
-        counted_time.run(self._check_hold())
+        virtual_time.run(self._check_hold())
 
     async def _check_hold(self) -> None:
         counts = []
