--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -97,15 +97,15 @@
     async def run_caller(self) -> None:
         """Use one connection after another while ``running`` is set."""
         while self.running:
-            up = [
+            available = [
                 name
                 for name in self._system.caller_addresses
                 if name not in self.unavailable
             ]
-            if up:
+            if available:
                 rounds = self._rng.choice(_ROUND_COUNTS)
                 await self.send_requests(
-                    self._rng.choice(up), self._draw_many, rounds
+                    self._rng.choice(available), self._draw_many, rounds
                 )
             await asyncio.sleep(_PAUSE_S)
 
@@ -154,9 +154,9 @@
             requests = draw()
             sent_s = await self._send(writer, requests)
             for pipeline_index, request in enumerate(requests):
-                seen = await _read_answer(reader)
+                response = await _read_answer(reader)
                 row = _make_record(
-                    request, seen, daemon, start, sent_s, pipeline_index
+                    request, response, daemon, start, sent_s, pipeline_index
                 )
                 self.records.append(row)
                 status = row.status
@@ -213,22 +213,22 @@
 
 def _make_record(
     request: Request,
-    seen: scripted_target.HttpMessage | None,
+    response: scripted_target.HttpMessage | None,
     daemon: str,
     start: int,
     sent_s: float,
     pipeline_index: int,
 ) -> _checks.RequestRecord:
     status, headers, body = 0, {}, b''
-    if seen is not None:
-        status, headers = int(seen.line.split()[1]), seen.headers
-        body = seen.body
-    stated = headers.get('part-stamps') or headers.get('answer-stamp', '')
+    if response is not None:
+        status, headers = int(response.line.split()[1]), response.headers
+        body = response.body
+    receipts = headers.get('part-stamps') or headers.get('answer-stamp', '')
     return _checks.RequestRecord(
         request.kind,
         request.request_id,
         status,
-        tuple(row.strip() for row in stated.split(',') if row),
+        tuple(row.strip() for row in receipts.split(',') if row),
         int(headers.get('missing-parts', 0)),
         body,
         daemon,
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -149,25 +149,25 @@
         yield f'got a shard twice in {services}'
     if len(services) + row.missing != len(history.shards):
         yield f'got {len(services)} parts and {row.missing} missing'
-    least = math.ceil(history.least_share * len(history.shards) - 1e-6)
-    if len(services) < least:
+    least_parts = math.ceil(history.least_share * len(history.shards) - 1e-6)
+    if len(services) < least_parts:
         yield f'got {len(services)} parts, expected at least {least}'
     if row.body != _expected_body(services, history):
         yield 'got a body that is not the greatest records of its parts'
 
 
 def _expected_body(services: list[str], history: History) -> bytes:
-    every = b''.join(history.records[service] for service in services)
+    all_records = b''.join(history.records[service] for service in services)
     rows = [
-        every[at : at + RECORD_BYTES]
-        for at in range(0, len(every), RECORD_BYTES)
+        all_records[at : at + RECORD_BYTES]
+        for at in range(0, len(all_records), RECORD_BYTES)
     ]
     return b''.join(sorted(rows, reverse=True)[: history.top])
 
 
 def check_attempts(history: History) -> list[str]:
     """Return the requests that ran at more targets than their route allows."""
-    alone = {
+    single_target_ids = {
         row.request_id
         for row in history.requests
         if row.kind in _SINGLE_TARGET_KINDS
@@ -179,7 +179,8 @@
         f'{request_id}: got {len(found)} targets of {service}, expected at '
         f'most {1 if request_id in alone else history.attempts}'
         for (request_id, service), found in targets.items()
-        if len(found) > (1 if request_id in alone else history.attempts)
+        if len(found)
+        > (1 if request_id in single_target_ids else history.attempts)
     ]
 
 
@@ -274,8 +275,8 @@
     wrong = []
     probes = [row for row in history.requests if row.kind == 'probe']
     for row in sorted(probes, key=lambda row: row.ended_s):
-        place = (row.daemon, row.start)
-        seen = known.setdefault(place, [])
+        process = (row.daemon, row.start)
+        seen = known.setdefault(process, [])
         newer = [
             version
             for at_s, version in seen
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -92,12 +92,12 @@
     """Keep requests at some targets of a service past the stop limit."""
     drawn = soak.draw_target()
     service = soak.rng.choice((prepared_system.DESK, drawn.service))
-    every = [
+    targets = [
         target
         for target in soak.system.targets.values()
         if target.service == service
     ]
-    silent = every[: soak.rng.randint(1, len(every))]
+    silent = targets[: soak.rng.randint(1, len(targets))]
     for target in silent:
         target.delay_s = soak.rng.choice(_SILENT_S)
     await asyncio.sleep(for_s)
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -169,39 +169,41 @@
         """Stop all daemons while each has pending requests at targets."""
         for target in self.system.targets.values():
             target.delay_s = _faults.NEVER_S
-        held = [
-            await self._hold_open(name, kind)
+        pending = [
+            await self._start_pending_request(name, kind)
             for name in self.names
             for kind in _callers.KINDS
         ]
         await asyncio.gather(*map(self._stop, self.names))
-        await asyncio.gather(*held)
+        await asyncio.gather(*pending)
 
-    async def _hold_open(self, name: str, kind: str) -> asyncio.Task[int]:
+    async def _start_pending_request(
+        self, name: str, kind: str
+    ) -> asyncio.Task[int]:
         """Return a pending request that a target has begun."""
         for _ in range(_HOLD_TRIES):
-            asking = await self._ask_until_begun(name, self.callers.draw(kind))
-            if not asking.done():
-                return asking
+            task = await self._send_until_begun(name, self.callers.draw(kind))
+            if not task.done():
+                return task
         raise AssertionError(
             f'{name}: no {kind} stayed pending at a target\n'
             f'{self.system.log(name)[-3000:]}'
         )
 
-    async def _ask_until_begun(
+    async def _send_until_begun(
         self, name: str, request: _callers.Request
     ) -> asyncio.Task[int]:
         """Send a request; return when a target has begun it or it ended."""
         before, began = len(self.system.runs), f'{request.request_id} '
-        asking = asyncio.create_task(
+        task = asyncio.create_task(
             self.callers.send_requests(name, lambda: [request])
         )
-        while not asking.done():
+        while not task.done():
             new = self.system.runs[before:]
             if any(row.startswith(began) for row in new):
                 break
             await asyncio.sleep(_POLL_S)
-        return asking
+        return task
 
     # Faults.
 
--- a/standins/cold_links.py
+++ b/standins/cold_links.py
@@ -71,23 +71,23 @@
     async def work(self, target: str) -> None:
         """Run a request, to its end even if the exchange is cancelled."""
         self.requests += 1
-        took_ms = self._work_ms * self._rng.uniform(0.6, 1.4)
-        await asyncio.shield(self._hold(target, took_ms))
+        work_ms = self._work_ms * self._rng.uniform(0.6, 1.4)
+        await asyncio.shield(self._hold(target, work_ms))
 
     async def _hold(self, target: str, span_ms: float) -> None:
         if self._busy[target] >= self._slots:
-            turn = asyncio.get_running_loop().create_future()
-            self._queues[target].append(turn)
-            await turn
+            waiter = asyncio.get_running_loop().create_future()
+            self._queues[target].append(waiter)
+            await waiter
         self._busy[target] += 1
-        over = asyncio.get_running_loop().create_future()
-        self._clock.after(span_ms, lambda: over.set_result(None))
-        await over
+        finished = asyncio.get_running_loop().create_future()
+        self._clock.after(span_ms, lambda: finished.set_result(None))
+        await finished
         self._busy[target] -= 1
         while self._queues[target]:
-            turn = self._queues[target].popleft()
-            if not turn.done():
-                turn.set_result(None)
+            waiter = self._queues[target].popleft()
+            if not waiter.done():
+                waiter.set_result(None)
                 return
 
 
@@ -102,9 +102,9 @@
     def wake(self) -> None:
         """Wake the next exchange that waits for a connection."""
         while self.waiting:
-            turn = self.waiting.popleft()
-            if not turn.done():
-                turn.set_result(None)
+            waiter = self.waiting.popleft()
+            if not waiter.done():
+                waiter.set_result(None)
                 return
 
 
@@ -151,9 +151,9 @@
 
     async def _connect(self, pool: _Pool, name: str) -> None:
         while not pool.idle and pool.open >= self._limit:
-            turn = asyncio.get_running_loop().create_future()
-            pool.waiting.append(turn)
-            await turn
+            waiter = asyncio.get_running_loop().create_future()
+            pool.waiting.append(waiter)
+            await waiter
         if pool.idle:
             pool.idle -= 1
             return
--- a/standins/memory_orders.py
+++ b/standins/memory_orders.py
@@ -95,12 +95,12 @@
         on_chunk: typing.Callable[[bytes], None],
     ) -> None:
         reports = self._mergers[name].reports(order)
-        spoils = name in self.corrupting
+        corrupts = name in self.corrupting
         async with contextlib.aclosing(reports) as rows:
             async for report in rows:
                 chunk = protocol.encode_merge_message(report)
-                on_chunk(b'\xc1' if spoils else chunk)
-                spoils = False
+                on_chunk(b'\xc1' if corrupts else chunk)
+                corrupts = False
 
     def has_room(self, target: state.LiveTarget) -> bool:
         """Return True: connections to mergers are not limited."""
@@ -175,11 +175,11 @@
         self.peers.put(
             state.LiveTarget(name, 'coordinators', '127.0.0.1:1', site, 1)
         )
-        asker = forwarding.TargetClient(
+        target_client = forwarding.TargetClient(
             self.targets, memory_links.PlainDialect(), self.links, self.clock
         )
         self.mergers[name] = forwarding.Merger(
-            asker, self.clock, self.counters
+            target_client, self.clock, self.counters
         )
 
     def move_target(self, name: str, site: str) -> None:
@@ -190,14 +190,14 @@
 
     def make_merger_without_targets(self, name: str) -> None:
         """Replace a merger by one that knows no targets yet."""
-        asker = forwarding.TargetClient(
+        target_client = forwarding.TargetClient(
             forwarding.LiveTargets(self.clock),
             memory_links.PlainDialect(),
             self.links,
             self.clock,
         )
         self.mergers[name] = forwarding.Merger(
-            asker, self.clock, self.counters
+            target_client, self.clock, self.counters
         )
 
     def asked_targets(self) -> dict[str, list[str]]:
--- a/standins/prepared_store.py
+++ b/standins/prepared_store.py
@@ -111,7 +111,7 @@
 
     # HTTP handlers.
 
-    async def _fault(self, request: web.Request) -> web.Response | None:
+    async def _apply_fault(self, request: web.Request) -> web.Response | None:
         self.calls += 1
         if self.faults.silent:
             await asyncio.sleep(3_600)
@@ -124,7 +124,7 @@
 
     async def _handle_kind(self, request: web.Request) -> web.StreamResponse:
         kind = request.match_info['kind']
-        fault = await self._fault(request)
+        fault = await self._apply_fault(request)
         if fault is not None:
             return fault
         if request.method == 'POST':
@@ -191,7 +191,7 @@
 
     async def _handle_object(self, request: web.Request) -> web.StreamResponse:
         kind, name = request.match_info['kind'], request.match_info['name']
-        fault = await self._fault(request)
+        fault = await self._apply_fault(request)
         if fault is not None:
             return fault
         held = self._objects.get((kind, name))
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -57,7 +57,7 @@
         self._mode = 'pass'
         self._silent: set[int] = set()
         self._open: dict[int, list[asyncio.StreamWriter]] = {}
-        self._numbers = 0
+        self._connection_count = 0
 
     async def start(self) -> str:
         """Start listening; return ``IP:port``."""
@@ -101,8 +101,8 @@
         if self._mode == 'cut':
             writer.close()
             return
-        self._numbers += 1
-        number = self._numbers
+        self._connection_count += 1
+        number = self._connection_count
         if self._mode == 'silence-all':
             self._silent.add(number)
         try:
--- a/standins/target.py
+++ b/standins/target.py
@@ -111,7 +111,7 @@
         # Newer snapshots may replace this one during the search below.
         snapshot = self._snapshots[item.snapshot_id]
         shards = snapshot.indexes[item.index].shards
-        held = next(s for s in shards if s.shard_id == item.shard_id)
+        assigned = next(s for s in shards if s.shard_id == item.shard_id)
         execution = self.log.start('sub-query', item, number)
         self._faults.die_if_poisoned(item.terms.values())
         service_ms, cut_short = await self._search(
@@ -122,7 +122,7 @@
             return protocol.TargetAnswer(
                 item.attempt_id, cut_short, fingerprint=item.fingerprint
             )
-        return self._read(item, held.key_range, service_ms)
+        return self._read(item, assigned.key_range, service_ms)
 
     def _read(
         self,
@@ -175,8 +175,8 @@
         index = snapshot.indexes.get(item.index)
         if index is None or index.version != item.index_version:
             return protocol.TargetStatus.SNAPSHOT_GONE
-        held = [s for s in index.shards if s.shard_id == item.shard_id]
-        if not held or self._name not in held[0].replicas:
+        assigned = [s for s in index.shards if s.shard_id == item.shard_id]
+        if not assigned or self._name not in assigned[0].replicas:
             return protocol.TargetStatus.NOT_LOADED
         return None
 
--- a/tests/failure/test_hedging.py
+++ b/tests/failure/test_hedging.py
@@ -12,7 +12,7 @@
 
 
 def _trained_harness() -> scatter_harness.ScatterHarness:
-    """Return a desk whose index answers in 5 ms, with 5 % at 20 ms."""
+    """Return a harness whose index answers in 5 ms, with 5 % at 20 ms."""
     harness = scatter_harness.ScatterHarness()
     for number in range(200):
         harness.context.latencies.observe(
--- a/tests/unit/test_soak_checks.py
+++ b/tests/unit/test_soak_checks.py
@@ -42,7 +42,7 @@
 class SoakChecksTest(unittest.TestCase):
     """Runs all checks on histories with one fault each."""
 
-    def _wrong(self, seen: _checks.History) -> set[str]:
+    def _failed_checks(self, seen: _checks.History) -> set[str]:
         return {name for name, check in _checks.CHECKS.items() if check(seen)}
 
     def test_a_sound_history_passes(self) -> None:
@@ -60,7 +60,7 @@
                 _checks.Execution('f1', 'desk-0'),
             ),
         )  # fmt: skip
-        self.assertEqual(set(), self._wrong(seen))
+        self.assertEqual(set(), self._failed_checks(seen))
 
     def test_a_payment_that_ran_twice(self) -> None:
         """The payment runs at two targets, or twice at one."""
@@ -74,7 +74,7 @@
                     _checks.Execution('p1', second),
                 ),
             )  # fmt: skip
-            self.assertEqual({'at most once'}, self._wrong(seen))
+            self.assertEqual({'at most once'}, self._failed_checks(seen))
 
     def test_a_refusal_that_is_not_true(self) -> None:
         """A refusal as not run would make the caller run the request twice."""
@@ -84,7 +84,9 @@
                     _checks.RequestRecord(kind, 'p1', status),
                     executions=(_checks.Execution('p1', 'desk-0'),),
                 )
-                self.assertEqual({'not run is true'}, self._wrong(seen))
+                self.assertEqual(
+                    {'not run is true'}, self._failed_checks(seen)
+                )
 
     def test_answers_that_are_not_its_own_or_not_whole(self) -> None:
         """Each case changes one thing in a correct answer."""
@@ -100,11 +102,15 @@
         ):
             with self.subTest(changes):
                 seen = history(dataclasses.replace(sound, **changes))
-                self.assertEqual({'own whole answer'}, self._wrong(seen))
+                self.assertEqual(
+                    {'own whole answer'}, self._failed_checks(seen)
+                )
         fetch = _checks.RequestRecord(
             'fetch', 'f1', 200, ('f1.desk-0',), 0, b'x'
         )
-        self.assertEqual({'own whole answer'}, self._wrong(history(fetch)))
+        self.assertEqual(
+            {'own whole answer'}, self._failed_checks(history(fetch))
+        )
 
     def test_too_many_targets_and_unknown_routes(self) -> None:
         """Three targets of a shard, and a 404 for a configured route.
@@ -117,7 +123,7 @@
                 _checks.Execution('q1', f's1-{n}') for n in range(3)
             ),
         )
-        self.assertEqual({'attempts', 'routes'}, self._wrong(seen))
+        self.assertEqual({'attempts', 'routes'}, self._failed_checks(seen))
         for kind, wrong in (('probe', {'attempts'}), ('fetch', set())):
             seen = history(
                 _checks.RequestRecord(kind, 'q1', 502),
@@ -125,7 +131,7 @@
                     _checks.Execution('q1', f'desk-{n}') for n in range(2)
                 ),
             )
-            self.assertEqual(wrong, self._wrong(seen))
+            self.assertEqual(wrong, self._failed_checks(seen))
 
     def test_a_request_that_is_cut(self) -> None:
         """A target has begun a request, and its connection closes unanswered.
@@ -142,17 +148,17 @@
             seen = dataclasses.replace(
                 history(cut, executions=began), stops=stops
             )
-            self.assertEqual({'stops cut nothing'}, self._wrong(seen))
+            self.assertEqual({'stops cut nothing'}, self._failed_checks(seen))
         for killed in (('one', 1), ('two', 2)):
             other = dataclasses.replace(seen, killed=frozenset({killed}))
-            self.assertEqual({'stops cut nothing'}, self._wrong(other))
+            self.assertEqual({'stops cut nothing'}, self._failed_checks(other))
         excused = dataclasses.replace(seen, killed=frozenset({('one', 2)}))
-        self.assertEqual(set(), self._wrong(excused))
+        self.assertEqual(set(), self._failed_checks(excused))
         for name, wrong in (('one', {'stops cut nothing'}), ('two', set())):
             logged = {name: frozenset({'f1'})}
             seen = dataclasses.replace(history(cut), logged=logged)
-            self.assertEqual(wrong, self._wrong(seen))
-        self.assertEqual(set(), self._wrong(history(cut)))
+            self.assertEqual(wrong, self._failed_checks(seen))
+        self.assertEqual(set(), self._failed_checks(history(cut)))
 
     def test_a_request_that_is_dropped(self) -> None:
         """A request sent before a stop, and never begun, gets no response.
@@ -173,21 +179,21 @@
         ):
             row = dataclasses.replace(dropped, **change)
             seen = dataclasses.replace(history(row), stops=(stop,))
-            self.assertEqual(wrong, self._wrong(seen))
+            self.assertEqual(wrong, self._failed_checks(seen))
         early = dataclasses.replace(stop, ready=False)
         seen = dataclasses.replace(history(dropped), stops=(early,))
-        self.assertEqual(set(), self._wrong(seen))
+        self.assertEqual(set(), self._failed_checks(seen))
 
     def test_a_stop_that_ends_in_disorder(self) -> None:
         """An error status, a crash, or death by an unhandled signal."""
         for ended in ((1, 1), (1, 3), (-15, 1), (-4, 3), (1, 1, False)):
             stop = _checks.Stop('one', 1, 4.0, 6.0, *ended)
             seen = dataclasses.replace(history(), stops=(stop,))
-            self.assertEqual({'stops end in order'}, self._wrong(seen))
+            self.assertEqual({'stops end in order'}, self._failed_checks(seen))
         for ended in ((0, 1), (0, 3), (-15, 2), (-15, 1, False)):
             stop = _checks.Stop('one', 1, 4.0, 6.0, *ended)
             seen = dataclasses.replace(history(), stops=(stop,))
-            self.assertEqual(set(), self._wrong(seen))
+            self.assertEqual(set(), self._failed_checks(seen))
 
     def test_a_version_that_goes_back(self) -> None:
         """A daemon serves the route of version 5, then 404s that of 4.
@@ -206,10 +212,10 @@
         executions = (_checks.Execution('r1', 'desk-0'),)
         self.assertEqual(
             {'versions never go back'},
-            self._wrong(history(served, lost, executions=executions)),
+            self._failed_checks(history(served, lost, executions=executions)),
         )
         for change in ({'start': 2}, {'sent_s': 1.05}, {'version': 6}):
             with self.subTest(change):
                 other = dataclasses.replace(lost, **change)
                 seen = history(served, other, executions=executions)
-                self.assertEqual(set(), self._wrong(seen))
+                self.assertEqual(set(), self._failed_checks(seen))
