--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -151,7 +151,7 @@
         yield f'got {len(services)} parts and {row.missing} missing'
     least_parts = math.ceil(history.least_share * len(history.shards) - 1e-6)
     if len(services) < least_parts:
-        yield f'got {len(services)} parts, expected at least {least}'
+        yield f'got {len(services)} parts, expected at least {least_parts}'
     if row.body != _expected_body(services, history):
         yield 'got a body that is not the greatest records of its parts'
 
@@ -177,7 +177,7 @@
         targets[run.request_id, run.service].add(run.target)
     return [
         f'{request_id}: got {len(found)} targets of {service}, expected at '
-        f'most {1 if request_id in alone else history.attempts}'
+        f'most {1 if request_id in single_target_ids else history.attempts}'
         for (request_id, service), found in targets.items()
         if len(found)
         > (1 if request_id in single_target_ids else history.attempts)
