--- a/tests/unit/test_fuzz_requests.py
+++ b/tests/unit/test_fuzz_requests.py
@@ -150,7 +150,7 @@
         """Each message is either delivered or counted, never both."""
         before = self.counters.total('peer_messages_unreadable')
         self.received.clear()
-        self.hub._read(frames)
+        self.hub._dispatch(frames)
         counted = self.counters.total('peer_messages_unreadable') - before
         whole = len(frames) >= 3 and len(frames) % 2 == 1
         messages = len(frames) // 2 if whole else 1
