--- a/tests/process/faultrun.py
+++ b/tests/process/faultrun.py
@@ -1,8 +1,8 @@
-"""A run of concurrent callers under faults drawn from a seed.
+"""A run of concurrent callers under seeded random faults.
 
 ``python -m tests.process.faultrun --seed 7 --seconds 60`` does one run and
-prints how many operations were done, which faults fell when, and every
-violation that the checkers of :mod:`tests.history` find.
+prints the counts of outcomes and faults, and the violations found by the
+checkers of :mod:`tests.history`.
 """
 
 import asyncio
@@ -27,10 +27,10 @@
 
 
 class FaultRun:
-    """Callers, a poller of revisions and a source of faults.
+    """Callers, a poller of revisions, and injected faults.
 
-    With ``outage_s`` the store is down for that long from the third second
-    on, and the faults that would bring it back are left out.
+    With ``outage_s`` the store is down for that time, from shortly after the
+    start, and the faults that would end its outage are left out.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         )
 
     async def run(self, seconds: float) -> None:
-        """Call and break things for a while, then heal and settle."""
+        """Run callers under faults, then repeat the unfinished requests."""
         tasks = [
             asyncio.create_task(self._caller(number))
             for number in range(self._callers)
@@ -74,7 +74,7 @@
         poller.cancel()
 
     def verdicts(self) -> dict[str, history.Verdict]:
-        """Judge the recording by every checker."""
+        """Apply every checker to the recording."""
         calls = self.recording.calls
         executions = self.system.executions()
         return {
@@ -96,7 +96,7 @@
         }
 
     def reasons(self) -> collections.Counter:
-        """Count the refusals and unknown outcomes by what was said."""
+        """Count the refusals and unknown outcomes by reason."""
         return collections.Counter(
             f'{call.kind} {call.outcome_type} {_said(call.outcome)}'
             for call in self.recording.calls
@@ -104,7 +104,10 @@
         )
 
     def times_in_force_ms(self) -> list[float]:
-        """Return the times, rounded up to the next poll, in order."""
+        """Return the sorted times until changes were in force, in ms.
+
+        They are rounded up to the next poll.
+        """
         return sorted(
             history.times_in_force_ms(
                 self.recording.samples,
@@ -114,7 +117,7 @@
         )
 
     def open_keys(self) -> tuple[int, int]:
-        """Return how many keys there were, and how many ended unknown."""
+        """Return the number of keys, and of those that ended as unknown."""
         last = {
             call.idempotency_key: call.outcome_type
             for call in self.recording.calls
@@ -139,7 +142,7 @@
             await asyncio.sleep(rng.uniform(0.0, 0.05))
 
     async def _operator(self) -> None:
-        """Change the configuration again and again, as the faults fall."""
+        """Change the configuration repeatedly during the faults."""
         while not self._stopping:
             await asyncio.sleep(self._random.uniform(0.5, 1.5))
             racers = self._random.choice((1, 1, 2))
@@ -155,7 +158,7 @@
         self._note(await self.system.search(daemon, terms))
 
     async def _run_once(self, daemon: str, rng: random.Random) -> None:
-        """Run a new key, or one whose outcome is not known yet."""
+        """Run a request with a new key, or one without final outcome."""
         if self._open_keys and rng.random() < 0.5:
             key, household = rng.choice(self._open_keys)
         else:
@@ -167,7 +170,7 @@
             if pair in self._open_keys and rng.random() < 0.5:
                 self._open_keys.remove(pair)
         elif rng.random() < 0.7 and pair not in self._open_keys:
-            # Some are never asked again: their "not run" must hold alone.
+            # Some are never repeated, to check that their "not run" is true.
             self._open_keys.append(pair)
         if rng.random() < 0.2:
             other = rng.choice(sorted(self.system.daemons))
@@ -182,7 +185,7 @@
         return self._note(await self.system.pay(daemon, key, household))
 
     async def _ask_open_keys(self) -> None:
-        """Ask every open key once more, now that all is healed."""
+        """Repeat every open key once more, without faults."""
         daemons = sorted(self.system.daemons)
         await asyncio.gather(
             *(
@@ -237,7 +240,7 @@
 
 
 def _said(outcome: typing.Mapping[str, typing.Any]) -> str:
-    """Return a refusal's reason, or an unknown outcome's detail."""
+    """Return the reason or detail of an outcome, without its numbers."""
     text = outcome.get('reason') or outcome.get('detail', '')
     if 'tried alone' in outcome.get('detail', ''):
         text += ' (on trial)'
@@ -291,7 +294,7 @@
 def main(
     seed: int, seconds: float, daemons: int, callers: int, outage: float
 ) -> None:
-    """Do one run and print what was judged."""
+    """Do one run and print the verdicts."""
     run = asyncio.run(run_once(seed, daemons, seconds, callers, outage))
     print(f'seed {seed}, {daemons} daemons, {seconds:.0f} s')
     print(describe(run))
--- a/tests/process/faults.py
+++ b/tests/process/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a run, drawn from its seed."""
+"""Seeded random faults of a run."""
 
 import asyncio
 import collections
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass
 class Recording:
-    """Everything one run recorded."""
+    """What callers, pollers and faults of one run recorded."""
 
     calls: list[history.Call] = dataclasses.field(default_factory=list)
     samples: list[history.RevisionSample] = dataclasses.field(
@@ -53,7 +53,7 @@
     )
 
     def excused(self, daemon: str, at_ms: float) -> bool:
-        """Whether a daemon was cut off within the time limit before."""
+        """Return whether a daemon was disturbed within the limit before."""
         return any(
             name in (daemon, '*')
             and start <= at_ms <= end + IN_FORCE_WITHIN_MS
@@ -62,10 +62,10 @@
 
 
 class Faults:
-    """Breaks and mends processes, connections and the store.
+    """Injects and ends faults of processes, connections and the store.
 
-    Each fault has a random source of its own, so that what a seed draws
-    does not depend on how fast the machine is.
+    Each fault has its own random source, so that the draws of a seed do not
+    depend on timing.
 
     Parameters
     ----------
@@ -112,9 +112,9 @@
                 del self._faults[name]
 
     async def break_two(self) -> None:
-        """Draw two faults and let them fall at once, until both are over.
+        """Inject two faults at once and wait until both are over.
 
-        Each comes once before any comes again.
+        Each fault is used once before any is repeated.
         """
         if len(self._deck) < 2:
             self._deck = sorted(self._faults)
@@ -198,7 +198,7 @@
         await self.system.relay_mode(systems.RELAY, name, 'pass')
 
     async def _wrong_target(self, fault: str, rng: random.Random) -> None:
-        """A target misbehaves for a while (and drains, if it lies)."""
+        """Switch on a fault of a target for a time."""
         name = _one_of(self.system.target_urls, rng)
         draining = fault == 'lie_healthy'
         try:
@@ -208,7 +208,7 @@
             await asyncio.sleep(rng.uniform(0.5, 2.5))
             await self.system.target_faults(name)
         except (aiohttp.ClientError, OSError):
-            # Another fault has it down; a restarted target has none.
+            # The target is down; it restarts without faults.
             self.recording.faults.append('(target was down)')
 
     async def _silence_target(self, rng: random.Random) -> None:
--- a/tests/process/system.py
+++ b/tests/process/system.py
@@ -1,4 +1,4 @@
-"""The system under test, which records what callers are told."""
+"""The system under test, with calls that record their outcome."""
 
 import asyncio
 import contextlib
@@ -21,7 +21,7 @@
 
 
 class System(relayed_system.RelayedSystem):
-    """A store, targets and daemons, and the calls to them."""
+    """A store, targets and daemons, with recorded calls."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -46,7 +46,7 @@
     async def search(
         self, daemon: str, terms: dict[str, str], url: str = ''
     ) -> history.Call:
-        """Search the claims and record how it ended."""
+        """Search the claims; return the recorded call."""
         body = {
             'service': 'field-claims',
             'search': 'claimant-history',
@@ -61,7 +61,7 @@
         household: str = 'household-1',
         url: str = '',
     ) -> history.Call:
-        """Release a payout and record how it ended."""
+        """Release a payout; return the recorded call."""
         body = {
             'service': 'relief-payout',
             'operation': 'release-payout',
@@ -114,7 +114,7 @@
 
 @contextlib.asynccontextmanager
 async def running(daemons: int, targets: int = 6) -> typing.AsyncIterator:
-    """Run a system for the time of a ``with`` block."""
+    """Run a system for the duration of a ``with`` block."""
     async with System() as system:
         await system.build(daemons, targets)
         yield system
--- a/tests/process/test_explain_day.py
+++ b/tests/process/test_explain_day.py
@@ -1,4 +1,4 @@
-"""``explain`` finds the causes of six failures in a real daemon's log."""
+"""``explain`` names the causes of six failures from a real daemon's log."""
 
 import asyncio
 import json
@@ -40,8 +40,11 @@
                     setattr(target, field, value)
 
     async def test_each_of_six_failures_is_explained(self) -> None:
-        """A path without a route, a lost answer, a slow target, a slow
-        shard, a caller that leaves, and a service without targets."""
+        """Each failure has the right cause in its log lines.
+
+        The failures: no route, a lost response, a slow target, a slow shard,
+        a caller that disconnects, and a service without usable targets.
+        """
         self.assertEqual(404, await self._ask('/none/x', 'no-route'))
         self.assertIn('no route', await self._cause('no-route'))
 
@@ -72,7 +75,7 @@
         for name, target in self.system.targets.items():
             if target.service == 'desk':
                 self.system.register(name, 'draining')
-        # Until the daemon has read the new entries, targets are still asked.
+        # The daemon uses the targets until it has read the new entries.
         for number in range(200):
             request_id = f'none-{number}'
             status = await self._ask('/fetch/x', request_id, deadline_ms=50)
--- a/tests/process/test_operators.py
+++ b/tests/process/test_operators.py
@@ -1,4 +1,4 @@
-"""What an operator does, with real processes and the real command line."""
+"""Operator commands, with real processes and the real command line."""
 
 import asyncio
 import json
@@ -37,16 +37,15 @@
 
 
 class OperatorsTest(unittest.IsolatedAsyncioTestCase):
-    """Three daemons and a platform stand-in that loses answers."""
+    """Three daemons and a platform stand-in."""
 
     async def test_changes_race_and_answers_are_lost(self) -> None:
-        """Two operators change from one base; the platform loses an answer.
+        """Two operators change one revision; the store loses a response.
 
-        The first change takes effect in the store while its answer is
-        lost: the daemon reads it back and says accepted.  The second was
-        made from the same revision and is a conflict that names the one
-        in force.  The first, sent again by its id, is accepted once more
-        as the same revision.
+        The first change is written but its response is lost: the daemon
+        reads the object back and accepts the change.  The second, based on
+        the same revision, is a conflict that names the current one.  The
+        first, repeated with its id, is accepted again as the same revision.
         """
         async with cluster.Cluster() as system:
             await small_system.start(system, 3)
@@ -67,10 +66,10 @@
             self.assertEqual({2}, set(fleet['revisions'].values()))
 
     async def test_a_drain_at_one_daemon_holds_at_the_others(self) -> None:
-        """The operator drains through one daemon and looks at another.
+        """A target drained through one daemon is unusable at another.
 
-        The word goes through the platform's object; the history and the
-        quarantine are read the same way, and an unknown name is refused.
+        Daemons share drains, history and quarantine through the platform's
+        objects; an unknown target is refused.
         """
         async with cluster.Cluster() as system:
             await small_system.start(system, 3)
@@ -103,7 +102,7 @@
         return str(path)
 
     async def test_an_address_in_use_is_said_in_words(self) -> None:
-        """No traceback, and no daemon that hangs half started."""
+        """The daemon exits and logs the port, without a traceback."""
         async with cluster.Cluster() as system:
             system.store_url = 'http://127.0.0.1:9'
             system.place_daemon('entry-1', 'bole-a', 'addis')
@@ -124,7 +123,7 @@
                 self.assertNotIn('Traceback', log)
 
     async def test_quick_start_ends_well_and_leaves_nothing(self) -> None:
-        """The newcomer's first command, with keys between the daemons."""
+        """The quick start succeeds and stops all of its daemons."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             '-m',
@@ -144,7 +143,7 @@
             'all stopped',
         ):
             self.assertIn(expected, text)
-        # Three daemons of the one door, and one of the other.
+        # Three daemons of the first part, and one of the second.
         self.assertEqual(4, text.count('drained, exit 0'))
         self.assertEqual(2, text.count('GET /search/radio at entry-'))
         self.assertEqual(2, text.count(': 200, 0 shards missing'))
--- a/tests/process/test_orders.py
+++ b/tests/process/test_orders.py
@@ -1,4 +1,4 @@
-"""Searches that cross to a site once, with the real program."""
+"""Merge orders between two sites, with the real program."""
 
 import asyncio
 import itertools
@@ -11,14 +11,14 @@
 FAR = tuple(f'far-{number}' for number in range(6))
 FAR_SITE = 'kirkos-b'
 KNOWN_LIMIT_S = 30.0
-"""In which the daemons have listed targets and each other: some 2 s."""
+"""Limit for the daemons to discover the targets and each other."""
 
 
 class OrdersTest(unittest.IsolatedAsyncioTestCase):
     """A daemon at each of two sites; six of ten shards are at the other."""
 
     async def asyncSetUp(self) -> None:
-        """Start everything, and wait until the daemons know each other."""
+        """Start everything and wait until merge orders are used."""
         self.system = prepared_system.PreparedSystem(
             (*NEAR, *FAR), dict.fromkeys(FAR, FAR_SITE)
         )
@@ -33,7 +33,7 @@
         await self._wait_for_orders()
 
     async def _wait_for_orders(self) -> None:
-        """Search until the daemon of the other site is known."""
+        """Search until the daemon of the other site gets an order."""
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + KNOWN_LIMIT_S
         for number in itertools.count():
@@ -45,7 +45,7 @@
             await asyncio.sleep(0.2)
 
     async def _search(self, request_id: str) -> list[str]:
-        """Search at the first site; return the receipts."""
+        """Search at the first site, check the result, return its receipts."""
         status, headers, body = await self.system.ask(
             'here', '/search/x', request_id
         )
@@ -59,7 +59,7 @@
         return receipts
 
     def _check_records(self, receipts: list[str], body: bytes) -> None:
-        """The body holds the greatest records of the parts it names."""
+        """Check that the body has the greatest records of its parts."""
         records = []
         for receipt in receipts:
             held = self.system.targets[receipt.partition('.')[2]].records()
@@ -67,11 +67,11 @@
         self.assertEqual(b''.join(sorted(records)[:-6:-1]), body)
 
     async def test_one_order_brings_all_parts_of_the_other_site(self) -> None:
-        """Its targets are asked by the daemon there."""
+        """The daemon at the other site queries the targets there."""
         sent = await self.system.counter('here', 'orders_sent')
         asked = await self.system.counter('there', 'order_items')
         self.assertEqual(10, len(await self._search('r1')))
-        # More only if a busy machine makes the order late.
+        # A busy machine may make an order late and cause another.
         sent = await self.system.counter('here', 'orders_sent') - sent
         self.assertGreaterEqual(sent, 1)
         asked = await self.system.counter('there', 'order_items') - asked
@@ -80,10 +80,10 @@
         self.assertIn('"request ended"', log)
 
     async def test_a_daemon_that_freezes_costs_a_hedge(self) -> None:
-        """The caller has every shard in time, though the order hangs.
+        """A search is complete and in time although its order hangs.
 
-        The daemon of the other site is stopped before the search.  Its
-        targets are taken for late when the report is, and asked from here.
+        The daemon of the other site is suspended.  When its report is late,
+        this daemon queries the targets there directly.
         """
         self.system.send('there', signal.SIGSTOP)
         try:
@@ -92,13 +92,13 @@
             self.system.send('there', signal.SIGCONT)
 
     async def test_a_daemon_that_is_killed_costs_nothing(self) -> None:
-        """A connection is refused at once: its targets are asked from here."""
+        """The order fails at once, and the targets are queried directly."""
         await self.system.stop_daemon('there', signal.SIGKILL)
         for number in range(3):
             self.assertEqual(10, len(await self._search(f'r3-{number}')))
 
     async def test_targets_run_a_search_once_or_hedged(self) -> None:
-        """Whatever goes through whom: at most two targets a shard."""
+        """Orders and hedges together never run a search twice at a target."""
         for number in range(8):
             if number == 4:
                 self.system.send('there', signal.SIGSTOP)
--- a/tests/process/test_platform.py
+++ b/tests/process/test_platform.py
@@ -1,4 +1,4 @@
-"""The real program on a stand-in of the users' platform."""
+"""The real program on the stand-in of the users' platform."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
         self.system.configure(3)
 
     async def _until(self, status: int, daemon: str, path: str) -> None:
-        """Ask until an answer has a status; fails by the test's own limit."""
+        """Send requests until one gets the status; fail after 400."""
         for number in range(400):
             got, _, _ = await self.system.ask(daemon, path, f'try-{number}')
             if got == status:
@@ -29,7 +29,7 @@
         self.fail(f'never {status}: {self.system.log(daemon)[-2000:]}')
 
     async def test_a_search_asks_every_shard(self) -> None:
-        """The greatest records of all parts, and each part's receipt."""
+        """The answer has the greatest records and a receipt of each shard."""
         await self.system.start_daemon('one')
         status, headers, body = await self.system.ask(
             'one', '/search/x?y=%20', 'r1'
@@ -59,10 +59,10 @@
         self.assertEqual([], self.system.runs)
 
     async def test_a_lost_answer_is_not_run_a_second_time(self) -> None:
-        """The target ran it and its answer is lost with the connection.
+        """A payment whose response is lost is not sent to another target.
 
-        The caller is told neither "done" nor "not run": 502 promises
-        nothing, so it does not ask again.
+        The caller gets a 502, which states neither that it ran nor that it
+        did not.
         """
         await self.system.start_daemon('one')
         for number in range(2):
@@ -72,7 +72,7 @@
         self.assertEqual(1, len(self.system.runs_of('p1')))
 
     async def test_a_leaving_target_gets_no_new_work(self) -> None:
-        """Its entry says so; the other one serves."""
+        """A target whose entry is draining gets no requests."""
         await self.system.start_daemon('one')
         self.system.register('desk-0', 'draining')
         for number in range(400):
@@ -86,11 +86,11 @@
             self.fail('desk-0 still gets work')
 
     async def test_a_target_that_starts_again_under_its_id(self) -> None:
-        """Nobody gets an answer of the life before.
+        """No answer has records from before a target's restart.
 
-        All targets of two shards end and start again under their ids while
-        requests run; they hold other records.  Their connections break and
-        their addresses change; entries of another writer come meanwhile.
+        All targets of two shards restart under their ids, at new addresses
+        and with other records, while requests run and another writer adds
+        an invalid entry.
         """
         await self.system.start_daemon('one')
         old = self.system.targets['shard-1-0'].records()
@@ -113,7 +113,7 @@
         self.assertIn('started again', log)
 
     async def _until_missing_is(self, number: str, daemon: str) -> None:
-        """Ask until so many parts are missing; fails by a limit of tries."""
+        """Search until ``number`` parts are missing; fail after 400 tries."""
         for step in range(400):
             status, headers, _ = await self.system.ask(
                 daemon, '/search/x', f'missing-{step}'
@@ -124,10 +124,10 @@
         self.fail(self.system.log(daemon)[-2000:])
 
     async def test_changes_come_after_a_cut_and_a_lost_history(self) -> None:
-        """A route is added while the store cuts and forgets watches.
+        """A route is added while the store cuts watches and drops history.
 
-        The watch is answered with 410: all is read anew, the new route is
-        in force, and an older version that is shown later is not.
+        After the 410 the daemon reads everything again and applies the new
+        route.  It ignores an older version that the store shows later.
         """
         await self.system.start_daemon('one')
         self.system.store.cut_watches()
@@ -140,7 +140,7 @@
         self.assertEqual(200, status)
 
     async def test_an_outage_of_the_store_costs_no_request(self) -> None:
-        """Entries lapse in it and are back after it."""
+        """Target entries expire during the outage and return after it."""
         await self.system.start_daemon('one')
         self.system.store.faults.status = 503
         self.system.store.cut_watches()
@@ -164,7 +164,7 @@
                     self.system.register(name)
 
     async def test_a_stop_cuts_no_request(self) -> None:
-        """Callers go on using open connections until they are closed."""
+        """Callers use their open connections until the daemon closes them."""
         await self.system.start_daemon('one')
         for target in self.system.targets.values():
             target.delay_s = 0.05
@@ -177,7 +177,7 @@
                         'one', '/search/x', f's{number}-{step}'
                     )
                 except OSError:
-                    # No new connection is taken any more: nothing was sent.
+                    # The daemon accepts no new connections: nothing was sent.
                     return
                 statuses.append(status)
 
@@ -192,10 +192,10 @@
         )
 
     async def test_a_lost_coordinator_costs_no_request(self) -> None:
-        """One of three daemons coordinates; it is killed.
+        """The only coordinator of three daemons is killed.
 
-        The others hand over to it.  Its connections break, they find that
-        nobody takes its place in their list, and stand in themselves.
+        The others handed requests over to it.  They find no other
+        coordinator and coordinate themselves.
         """
         for name in ('one', 'two', 'three'):
             await self.system.start_daemon(name, coordinators_per_site=1)
@@ -222,10 +222,10 @@
     async def test_a_caller_that_comes_during_the_start_is_served(
         self,
     ) -> None:
-        """It connects before the daemon has imported its libraries.
+        """A caller that connects while the daemon still imports is served.
 
-        Its connection waits in the socket's queue until routes and targets
-        are known; it is neither reset nor told to come back.
+        Its connection waits in the listen queue until routes and targets are
+        known, and is neither reset nor refused.
         """
         reader, writer = await self._connect_to_one_that_starts()
         writer.write(
@@ -240,12 +240,10 @@
     async def test_a_daemon_that_starts_without_the_store_is_told(
         self,
     ) -> None:
-        """Its callers would be refused until the store takes it again.
+        """A daemon that restarts without the store hands requests over.
 
-        Two daemons run; one is killed and starts again, and the store does
-        not answer it.  It knows no route, no target and no other daemon.
-        The other one still has it on its list, tells it who coordinates,
-        and from then on it hands its callers over.
+        It knows no routes, targets or daemons, and would refuse all callers.
+        The other daemon still lists it and tells it who coordinates.
         """
         for name in ('one', 'two'):
             await self.system.start_daemon(name)
@@ -258,10 +256,9 @@
         await self._until(200, 'one', '/search/x')
 
     async def test_a_reload_during_the_start_ends_nothing(self) -> None:
-        """The callers that wait would be reset, and the start begin anew.
+        """SIGHUP before its handler is installed does not kill the daemon.
 
-        The platform says that the settings have changed before the daemon
-        has imported what handles that.
+        Otherwise waiting callers would be reset.
         """
         _, writer = await self._connect_to_one_that_starts()
         self.system.send('one', signal.SIGHUP)
@@ -269,7 +266,7 @@
         writer.close()
 
     async def _coordinator(self) -> str:
-        """Wait until two daemons hand over; return the third."""
+        """Wait until two daemons hand requests over; return the third."""
         for _ in range(400):
             handing = [
                 name
@@ -285,7 +282,7 @@
         return next(iter(set(self.system.caller_addresses) - set(handing)))
 
     async def test_settings_change_while_it_runs(self) -> None:
-        """With a signal and without; a broken file changes nothing."""
+        """Settings reload with and without a signal; invalid ones do not."""
         await self.system.start_daemon('one')
         self.system.write_settings('one', retry_ratio=0.4)
         self.system.send('one', signal.SIGHUP)
@@ -303,7 +300,7 @@
         self.fail(f'never logged {text}: {self.system.log(daemon)[-2000:]}')
 
     async def test_the_log_leads_from_a_request_to_its_cause(self) -> None:
-        """Every line is an object; the failed request's are all there."""
+        """Every line is JSON, and a failed request has all of its events."""
         await self.system.start_daemon('one')
         for number in range(2):
             self.system.targets[f'desk-{number}'].lose_answers = True
--- a/tests/process/test_promises.py
+++ b/tests/process/test_promises.py
@@ -1,4 +1,4 @@
-"""Concurrent callers under drawn faults, with real processes."""
+"""Concurrent callers under random faults, with real processes."""
 
 import os
 import unittest
@@ -14,19 +14,18 @@
     """Six daemons over three sites."""
 
     async def test_no_promise_is_broken(self) -> None:
-        """Callers search and pay while two faults at a time bite.
+        """No outcome contradicts what the targets did, under faults.
 
-        Daemons and targets are killed, frozen and cut off, connections go
-        silent, the store fails and loses answers, targets misreport, and
-        snapshots and configurations change.  Whatever each caller was told
-        is judged against what the targets did.
+        Daemons and targets are killed, suspended and cut off, connections go
+        silent, the store fails and loses responses, targets misreport, and
+        snapshots and configurations change.
         """
         seed = int(os.environ['SAMPHIREDOCK_SEED'])
         run = await faultrun.run_once(seed, _DAEMONS, _SECONDS)
         print(f'\nseed {seed}\n{faultrun.describe(run)}', flush=True)
         for promise, verdict in run.judged.items():
             if promise != 'configuration':
-                # Its time limit is judged by the long runs in PROOFS.md.
+                # Its time limit is checked by the long runs of PROOFS.md.
                 self.assertEqual((), verdict.violations, promise)
             self.assertGreater(verdict.judged, _EASY.get(promise, 20))
         reverted = [
@@ -38,7 +37,7 @@
         self.assert_faults_bit(run)
 
     def assert_faults_bit(self, run: faultrun.FaultRun) -> None:
-        """A run that nothing disturbed would prove nothing."""
+        """Check that faults took effect; the test is void without them."""
         faults = run.recording.faults
         self.assertGreaterEqual(len(faults), 8)
         self.assertGreaterEqual(len(set(faults)), 6)
--- a/tests/process/test_races.py
+++ b/tests/process/test_races.py
@@ -1,4 +1,4 @@
-"""Requests that race each other, with real processes and no faults."""
+"""Concurrent conflicting requests, with real processes and no faults."""
 
 import asyncio
 import collections
@@ -13,17 +13,17 @@
 _FLOOD_CALLERS = 60
 _QUIET_CALLERS = 12
 _LEAST_SHARE = 0.21
-"""Between the quiet sites' part of the callers (0.14) and share (0.3)."""
+"""Between a quiet site's part of the callers and its configured share."""
 
 
 class SameKeyTest(unittest.IsolatedAsyncioTestCase):
-    """Two daemons get one idempotency key at the same instant."""
+    """Two daemons get the same idempotency key at the same time."""
 
     async def test_same_request_runs_once(self) -> None:
-        """Both callers get the one outcome, whoever wrote the claim.
+        """Both callers get the outcome of a single run.
 
-        The loser of the conditional write finds the winner's claim and
-        waits for its end.
+        The daemon that loses the conditional write finds the winner's claim
+        and waits for its outcome.
         """
         async with systems.running(6) as system:
             names = sorted(system.daemons)
@@ -47,10 +47,10 @@
         self.assertGreater(len(both), _KEYS // 2, told)
 
     async def test_other_body_is_refused(self) -> None:
-        """One key with two bodies: one runs, the other is told so.
+        """Of two bodies with one key, one runs and the other is refused.
 
-        The bodies race at two daemons; then the loser's body is sent to a
-        third daemon, which reads the claim of the winner.
+        The bodies race at two daemons.  Then a third daemon, which reads the
+        winner's claim, gets the body of the loser.
         """
         async with systems.running(6) as system:
             first, second, third = sorted(system.daemons)[:3]
@@ -77,14 +77,13 @@
 
 
 class SiteShareTest(unittest.IsolatedAsyncioTestCase):
-    """One site floods targets that all sites use."""
+    """One site overloads targets that all sites use."""
 
     async def test_flooding_site_leaves_the_others_their_share(self) -> None:
-        """Callers of the quiet sites get their shares of the targets' work.
+        """The quiet sites get their shares of the targets under overload.
 
-        Five times as many callers search through one site's daemons as
-        through each other's, all at once, more than the targets can do.
-        In one line the quiet sites would get their part of the callers.
+        One site has five times as many callers as each other site.  A single
+        queue would serve the sites by their number of callers.
         """
         async with systems.running(6) as system:
             for name in system.shard_targets:
--- a/tests/process/test_scenarios.py
+++ b/tests/process/test_scenarios.py
@@ -20,11 +20,11 @@
     async def test_request_that_crashes_targets_is_refused_for_good(
         self,
     ) -> None:
-        """A poison request is refused at once, with when to come back.
+        """A request that kills its targets is quarantined by all daemons.
 
-        Its caller sends it again through every daemon; each target that
-        begins it dies. After the second loss every daemon refuses it, while
-        other requests that ran at the same time go on being answered.
+        Its caller retries it through every daemon.  After the second lost
+        target all daemons refuse it with ``retry_after_ms``, and still
+        answer other requests.
         """
         async with systems.running(6) as system:
             for name in system.shard_targets:
@@ -50,10 +50,10 @@
         self.assertEqual([], refused)
 
     async def test_leaving_target_gets_no_new_work(self) -> None:
-        """No target that leaves begins work a few seconds later.
+        """A leaving target gets no work after a grace period.
 
-        The platform's object says that it leaves; its own health endpoint
-        goes on claiming that it is healthy, and callers go on asking.
+        The platform's object states that it leaves, although its own health
+        endpoint still reports that it is healthy.
         """
         async with systems.running(6) as system:
             leaving = system.shard_targets[0]
@@ -77,11 +77,10 @@
         self.assertGreater(verdict.judged, 0)
 
     async def test_frozen_holder_never_makes_a_second_run(self) -> None:
-        """Two daemons and one key: one run, whoever wakes when.
+        """A key runs once although the daemon that claimed it is suspended.
 
-        The daemon that took the request is frozen at some moment of its
-        work; its caller gives up and asks the others with the same key,
-        then the first one wakes. The claim is the first one's for good.
+        The daemon is suspended at various moments of the request, and
+        resumes after another daemon got the same key.
         """
         async with systems.running(6) as system:
             calls = []
@@ -99,10 +98,10 @@
         self.assert_runs_hold(calls, executions)
 
     async def test_killed_holder_with_a_lost_store_answer(self) -> None:
-        """The claim stands though nobody heard that it was written.
+        """A claim is effective although its writer got no response.
 
-        The store applies the claim and loses its answer, the daemon is
-        killed, and the caller asks another daemon with the same key.
+        The store writes the claim but loses the response, the daemon is
+        killed, and the caller sends the key to another daemon.
         """
         async with systems.running(6) as system:
             calls = []
@@ -122,10 +121,11 @@
         self.assert_runs_hold(calls, executions)
 
     async def test_stop_of_one_daemon_cuts_nothing(self) -> None:
-        """SIGTERM in the middle of scatters and unrepeatable requests.
+        """SIGTERM during searches and unrepeatable requests.
 
-        There is no balancer.  Callers of the stopping daemon and of those
-        it dispatches for all get an outcome, then the process ends with 0.
+        There is no balancer.  All callers get an outcome, those of the
+        stopping daemon and of the daemons it dispatches for, and it exits
+        with 0.
         """
         async with systems.running(6) as system:
             for name in system.target_urls:
@@ -151,9 +151,9 @@
     async def test_restart_with_nothing_kept_while_store_is_down(
         self,
     ) -> None:
-        """Daemons that start without the store learn from their peers.
+        """Daemons that start without the store get state from their peers.
 
-        They answer searches, and refuse unrepeatable requests truthfully
+        They answer searches, and refuse unrepeatable requests as not run
         until the store is back.
         """
         async with systems.running(6) as system:
@@ -183,7 +183,7 @@
         calls: list[history.Call],
         executions: list[history.Execution],
     ) -> None:
-        """At most once, and "not run" is true."""
+        """Check that keys ran at most once and "not run" is true."""
         for check in (history.check_at_most_once, history.check_not_run):
             self.assertEqual((), check(calls, executions).violations)
         self.assertGreater(len(executions), 0)
@@ -191,10 +191,10 @@
     async def test_accepted_configuration_outlives_store_and_freeze(
         self,
     ) -> None:
-        """Once accepted, a change is in force everywhere, for good.
+        """An accepted change reaches every daemon without the store.
 
-        The store dies just after the accept while one site is frozen; the
-        site wakes and a daemon starts afresh, all without the store.
+        The store fails just after the change is accepted, while one site is
+        suspended.  The site resumes and another daemon restarts.
         """
         async with systems.running(6) as system:
             frozen = [
@@ -220,7 +220,7 @@
 async def _wait_for_revision(
     system: systems.System, revision: int
 ) -> dict[str, int]:
-    """Poll, a bounded number of times, until all show the revision."""
+    """Poll up to ``_TRIES`` times until all daemons have the revision."""
     seen: dict[str, int] = {}
     for _ in range(_TRIES):
         for name, place in system.daemons.items():
@@ -243,7 +243,7 @@
 
 
 async def _search_often(system: systems.System, count: int) -> list[dict]:
-    """Search through every daemon in turn."""
+    """Search ``count`` times, through each daemon in turn."""
     names = itertools.cycle(sorted(system.daemons))
     answers = []
     for number, name in enumerate(itertools.islice(names, count)):
@@ -254,7 +254,7 @@
 
 
 def _kept_of(system: systems.System, found: list[dict]) -> str:
-    """Return what a trace needs if a search was not answered whole."""
+    """Return outcomes and logs if a search was not fully answered."""
     short = {
         number: {key: row[key] for key in row if key != 'records'}
         for number, row in enumerate(found)
@@ -272,9 +272,9 @@
 async def _pay_until_completed(
     system: systems.System, daemon: str
 ) -> list[history.Call]:
-    """Pay new keys, a bounded number of times, until one is run.
+    """Send payouts up to ``_TRIES`` times until one completes.
 
-    The daemons that were killed own targets until they are known as dead.
+    Killed daemons own targets until their peers consider them dead.
     """
     calls = []
     for _ in range(_TRIES):
--- a/tests/process/test_shutdown.py
+++ b/tests/process/test_shutdown.py
@@ -1,4 +1,4 @@
-"""All daemons are replaced one after another under load."""
+"""Rolling restart of all daemons under load."""
 
 import asyncio
 import itertools
@@ -16,12 +16,11 @@
     """Eight daemons behind a balancer."""
 
     async def test_no_request_is_cut(self) -> None:
-        """A caller behind the balancer never sees a broken answer.
+        """A caller behind the balancer never sees a broken connection.
 
         Each daemon in turn gets SIGTERM while the balancer, which polls
-        readiness late, goes on sending it searches and unrepeatable
-        requests over kept-alive connections; it serves them, hands its
-        targets over, exits, and is started again.
+        readiness with a lag, still sends it requests on kept-alive
+        connections.  It serves them, hands its targets over, and exits.
         """
         async with systems.running(8) as system:
             url = await system.start_balancer(_BALANCER_LAG_MS)
@@ -60,7 +59,7 @@
     numbers: itertools.count,
     stop: asyncio.Event,
 ) -> None:
-    """Alternate searches and unrepeatable requests until told to stop."""
+    """Send searches and unrepeatable requests until ``stop`` is set."""
     while not stop.is_set():
         number = next(numbers)
         if number % 3:
--- a/tests/process/test_soak.py
+++ b/tests/process/test_soak.py
@@ -10,22 +10,20 @@
 
 
 class SoakTest(unittest.IsolatedAsyncioTestCase):
-    """Three daemons, faults in series that overlap."""
+    """Short soaks with overlapping faults."""
 
     async def test_the_promises_hold_under_faults(self) -> None:
-        """What callers and targets saw, by the checks of the soak.
+        """The soak finds no problem under all of its faults.
 
-        Daemons are killed, stopped and frozen, targets lose answers and
-        drain, the store is away, cut and without its history.
+        Daemons are killed, stopped and suspended, targets lose responses and
+        drain, the store is unavailable and drops watches and history.
         """
         self.assertEqual([], await soak.run_soak(SEED, SECONDS, 3))
 
     async def test_planned_stops_cut_nothing(self) -> None:
-        """A caller's connection ends, and its request has no answer.
+        """A planned stop leaves no request without a response.
 
-        Targets hold requests for longer than a stop may take, and daemons
-        are stopped meanwhile: several at once, and each with up to three
-        signals.  A daemon that ends closes what is still open, though its
-        caller has left the connection open to read what came of it.
+        Daemons are stopped with up to three signals, several at once, while
+        targets hold requests for longer than the stop limit.
         """
         self.assertEqual([], await soak.run_soak(SEED, SECONDS, 4, True))
--- a/tests/process/test_stop_end.py
+++ b/tests/process/test_stop_end.py
@@ -1,4 +1,4 @@
-"""Requests that are still under way when a stop has to end."""
+"""Forwarded requests that are pending when a stop reaches its limit."""
 
 import asyncio
 import json
@@ -8,21 +8,17 @@
 from standins import prepared_system
 
 _STOP_LIMIT_S = 2.0
-"""When a daemon of these tests would be killed; far less than the targets
-take and the callers wait."""
+"""Stop limit, far below the service time and the callers' deadlines."""
 
 _NEVER_S = 60.0
 _DEADLINE_MS = 30_000
 
 
 class StopEndTest(unittest.IsolatedAsyncioTestCase):
-    """Targets that take a request and stay silent; a daemon is stopped.
+    """A daemon is stopped while targets hold requests without answering.
 
-    A caller sees its connection closed, with no answer and no refusal.  Its
-    request is open until its deadline, seconds later, and the daemon is
-    stopped meanwhile: at its limit it closed the doors and with them what was
-    open.  What showed it: connections that ended 0.12 s after the limit of a
-    stop, whenever their requests had come.
+    Guards against connections that are closed at the stop limit without a
+    response to their pending requests.
     """
 
     async def asyncSetUp(self) -> None:
@@ -56,9 +52,9 @@
             await asyncio.sleep(0.01)
 
     async def _assert_answered_unknown(self, *signals: int) -> None:
-        """Stop the daemon with requests under way; each is answered.
+        """Stop the daemon with pending requests; each gets a 502.
 
-        The targets have begun them, so that the answer promises nothing.
+        Targets have begun them, so that they are not refused as not run.
         """
         under_way = [
             self._ask('/fetch/x', 'f1'),
@@ -68,7 +64,7 @@
         for request_id in ('f1', 'p1', 's1'):
             await self._until_sent(request_id)
         for number, phase in zip(signals[:-1], ('leaving', 'draining')):
-            # Signals that nobody has taken yet count as one.
+            # Signals pending at the same time are delivered only once.
             self.system.send('one', signal.Signals(number))
             while f'"phase":"{phase}"' not in self.system.log('one'):
                 await asyncio.sleep(0.01)
@@ -81,19 +77,19 @@
         self.assertEqual(1, len(self.system.runs_of('p1')))
 
     async def test_what_is_open_at_the_end_is_answered(self) -> None:
-        """The answer comes before the daemon ends."""
+        """Pending requests are answered before the daemon exits."""
         await self._assert_answered_unknown(signal.SIGTERM)
 
     async def test_what_is_open_after_a_second_signal_is_answered(
         self,
     ) -> None:
-        """It hurries the stop and cuts nothing."""
+        """A second signal shortens the stop; requests are still answered."""
         await self._assert_answered_unknown(signal.SIGTERM, signal.SIGTERM)
 
     async def test_what_is_open_after_a_third_signal_is_answered(
         self,
     ) -> None:
-        """The doors close at once, and still nothing is cut."""
+        """A third signal ends the stop; requests are still answered."""
         await self._assert_answered_unknown(
             signal.SIGTERM, signal.SIGTERM, signal.SIGTERM
         )
@@ -101,10 +97,9 @@
     async def test_a_daemon_and_the_one_it_handed_to_stop_together(
         self,
     ) -> None:
-        """One of the two coordinates; each has a caller of its own.
+        """A daemon and its coordinator stop at once, each with a caller.
 
-        The one that handed its request over waits for a daemon that gives
-        up at the same moment: both callers are answered all the same.
+        Both callers get a response, although one daemon waits for the other.
         """
         await self._start('two')
         names = {'one', 'two'}
@@ -123,10 +118,9 @@
         self.assertEqual([0, 0], stopped)
 
     async def test_the_log_names_what_a_stop_waits_for(self) -> None:
-        """Which request holds a stop up, since when, and at which target.
+        """The log names the oldest pending request and its target.
 
-        Else a stop that used up its time could not be told from the log:
-        it would say how many requests it cut, not which nor why.
+        Without these, the log would not show what delayed a stop.
         """
         asking = self._ask('/pay/x', 'p1', 'POST')
         await self._until_sent('p1')
@@ -143,7 +137,7 @@
 def _status(
     end: tuple[int, dict[str, str], bytes] | BaseException,
 ) -> int | str:
-    """Return an answer's status, or how its connection ended."""
+    """Return the status of a response, or the error of its connection."""
     if isinstance(end, BaseException):
         return repr(end)
     return end[0]
--- a/tests/process/test_stop_limit.py
+++ b/tests/process/test_stop_limit.py
@@ -1,4 +1,4 @@
-"""Requests that are under way when a stop's time is up."""
+"""Scattered and unrepeatable requests pending at the stop limit."""
 
 import asyncio
 import signal
@@ -14,21 +14,21 @@
 _OTHER = 'entry-2'
 _LIMIT_MS = 1_500
 _LONG_MS = 60_000
-"""Deadlines, and silence before a target counts as lost: far past the
-limit, so that nothing but the stop ends a request."""
+"""Deadline and silence limit of targets, far beyond the stop limit, so that
+only the stop ends a request."""
 
 _DESKS = {'desk-1', 'desk-2'}
 _TERMS = {'claimant': 'household-1'}
 _POLL_S = 0.02
 _WAIT_S = 15.0
-"""For what takes a second or two; a test that waits longer has failed."""
+"""Limit of each wait, far above the usual time."""
 
 
 class _System(systems.System):
-    """Requests that may last long, at a daemon with a short stop."""
+    """A system with long deadlines and a short stop limit."""
 
     def write_settings(self, name: str, **extra: object) -> object:
-        """Bound the stop."""
+        """Write settings with a short stop limit."""
         extra.setdefault('balancer_lag_ms', 100)
         extra.setdefault('shutdown_limit_ms', _LIMIT_MS)
         return super().write_settings(name, **extra)
@@ -47,23 +47,21 @@
 
 
 class StopLimitTest(unittest.IsolatedAsyncioTestCase):
-    """What a daemon waits for stays silent, and it is stopped.
+    """A daemon is stopped while targets or the store do not respond.
 
-    A caller sees its connection closed, with no answer and no refusal.
-    Targets and store have read what the daemon sent and answer nothing, so
-    that each request is open until its deadline, long after the stop's
-    limit.  The daemon does not end what is open when its time is up.
+    Guards against connections that are closed at the stop limit without a
+    response to their pending requests.
     """
 
     async def asyncSetUp(self) -> None:
-        """Start two daemons, one of which is stopped; use all targets."""
+        """Start two daemons and send work to all targets."""
         self.system = await _System().__aenter__()
         self.addAsyncCleanup(self.system.__aexit__, None, None, None)
         await self.system.build(2)
-        # The content is known to harm no target: no shard is tried alone.
+        # Content known to be harmless is not tried alone at a target.
         call = await self.system.search(_DAEMON, _TERMS)
         self.assertEqual('answered', call.outcome_type)
-        # A target gets its first work only when it has answered a probe.
+        # A target gets no work until it has answered a probe.
         async with asyncio.timeout(_WAIT_S):
             while {row.target for row in self._executed('run')} != _DESKS:
                 await self.system.pay(_DAEMON, self.system.new_key())
@@ -82,7 +80,7 @@
         return [row for row in rows if row.kind == kind]
 
     async def _stop(self, signals: int = 1) -> None:
-        """Stop the daemon by so many signals, and wait for its end."""
+        """Send the daemon a number of SIGTERMs."""
         for _ in range(signals):
             self.system.kill(_DAEMON, signal.SIGTERM)
             await asyncio.sleep(_POLL_S)
@@ -104,7 +102,7 @@
         self.assertEqual(0, process.returncode)
 
     async def _assert_begun_ends_unknown(self, signals: int) -> None:
-        """A target has begun each: the answer promises nothing."""
+        """Check that requests begun by targets end as unknown."""
         before = len(self._executed('sub-query'))
         await self._silence(*self.system.target_urls)
         key = self.system.new_key()
@@ -125,19 +123,19 @@
         self.assertEqual(runs + 1, len(self._executed('run')))
 
     async def test_begun_requests_end_unknown_at_the_limit(self) -> None:
-        """The answers come when the time is up, then the daemon ends."""
+        """Requests are answered at the limit, then the daemon exits."""
         await self._assert_begun_ends_unknown(1)
 
     async def test_a_second_signal_cuts_no_request(self) -> None:
-        """It shortens the limit and no more."""
+        """A second signal shortens the limit; requests are still answered."""
         await self._assert_begun_ends_unknown(2)
 
     async def test_a_third_signal_cuts_no_request(self) -> None:
-        """The time is up at once; the answers still come."""
+        """A third signal ends the stop; requests are still answered."""
         await self._assert_begun_ends_unknown(3)
 
     async def test_search_ends_with_what_was_answered(self) -> None:
-        """Two neighbours are silent: only their common shards are missing."""
+        """Only shards whose replicas are both silent are missing."""
         await self._silence('shard-1', 'shard-2')
         search = asyncio.create_task(self.system.search(_DAEMON, _TERMS))
         await asyncio.sleep(_POLL_S)
@@ -147,7 +145,7 @@
         await self._assert_ended()
 
     async def test_request_without_a_claim_is_not_run(self) -> None:
-        """The store is silent, so nothing was sent, and nothing will be."""
+        """Without a claim nothing is sent to targets, so "not run" is true."""
         runs = len(self._executed('run'))
         await self._silence('store')
         pay = asyncio.create_task(
@@ -161,7 +159,7 @@
         self.assertEqual(runs, len(self._executed('run')))
 
     async def test_change_that_was_not_written_says_so(self) -> None:
-        """An operator's call waits for the store's answer to a read."""
+        """An operator's change that waits for a store read is refused."""
         await self._silence('store')
         url = self.system.daemons[_DAEMON].operator_url
         change = {
@@ -182,7 +180,7 @@
         await self._assert_ended()
 
     async def test_request_behind_another_is_refused(self) -> None:
-        """Two on one connection: the second was read and waits."""
+        """The second of two pipelined requests is refused at a stop."""
         before = len(self._executed('sub-query'))
         await self._silence(*self.system.target_urls)
         reader, writer = await self._connect()
@@ -197,7 +195,7 @@
         await self._assert_ended()
 
     async def test_half_a_request_does_not_hold_the_daemon(self) -> None:
-        """Its body never comes whole; the daemon ends all the same."""
+        """A request with an incomplete body does not delay the exit."""
         _, writer = await self._connect()
         writer.write(_search_bytes()[:-1])
         await asyncio.sleep(_POLL_S)
@@ -205,7 +203,7 @@
         await self._assert_ended()
 
     async def test_request_on_a_kept_connection_is_refused(self) -> None:
-        """It comes when new ones are refused and old ones are open."""
+        """A request on a kept-alive connection during a stop is refused."""
         reader, writer = await self._connect()
         writer.write(_search_bytes())
         head = await reader.readuntil(b'\r\n\r\n')
@@ -227,10 +225,10 @@
         await self._assert_ended()
 
     async def test_two_daemons_stopped_at_once(self) -> None:
-        """Each waits for the other as well; callers of both are answered.
+        """Callers of two daemons that stop at once are all answered.
 
-        One run may still wait in a dispatcher's queue: only such a one may
-        be told "not run", and it never runs.
+        Only a run still queued at a dispatcher may be refused as not run,
+        and it must never run.
         """
         runs = len(self._executed('run'))
         await self._silence(*self.system.target_urls)
--- a/tests/process/test_thin_path.py
+++ b/tests/process/test_thin_path.py
@@ -10,11 +10,10 @@
     """Three daemons, four shard targets and two desks."""
 
     async def test_search_and_run_end_to_end(self) -> None:
-        """A caller gets the whole answer; a repeat gets the recorded one.
+        """A search is complete, and a repeated run returns the first result.
 
-        The request is claimed in the store by one daemon and run once; the
-        same key at another daemon finds the claim and its outcome, so the
-        second caller reads the same receipt and nothing runs again.
+        One daemon claims the key in the store and runs the request.  Another
+        daemon finds the claim and replays its outcome.
         """
         async with cluster.Cluster() as system:
             await small_system.start(system, 3)
--- a/tests/process/test_tls.py
+++ b/tests/process/test_tls.py
@@ -10,13 +10,13 @@
 
 
 class TlsTest(unittest.IsolatedAsyncioTestCase):
-    """One daemon with a certificate of an authority made for the test."""
+    """One daemon with a certificate of a test authority."""
 
     async def test_callers_are_served_by_tls_only(self) -> None:
-        """A caller that knows the authority is served, no other is.
+        """A caller is served over TLS only, and only if it trusts the CA.
 
-        One that does not know it ends the handshake; one that speaks plain
-        HTTP gets no answer, so that a request cannot cross in clear.
+        A caller that does not trust it aborts the handshake, and plain HTTP
+        gets no response.
         """
         authority = trustme.CA()
         certificate = authority.issue_cert('127.0.0.1')
@@ -33,7 +33,7 @@
             system.write_settings('entry-1', tls=tls)
             system.start_daemon('entry-1')
             place = system.daemons['entry-1']
-            # The operators' address is opened after the callers'.
+            # The operator server starts after the caller server.
             await system.wait_for(f'{place.operator_url}/v1/status')
             url = place.caller_url.replace('http:', 'https:') + '/live'
             known = ssl.create_default_context()
