--- a/tests/process/faultrun.py
+++ b/tests/process/faultrun.py
@@ -66,7 +66,7 @@
             )
         end = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < end:
-            await self._faults.break_two()
+            await self._faults.inject_two()
             await asyncio.sleep(self._random.uniform(0.3, 1.5))
         self._stopping = True
         await asyncio.gather(*tasks)
@@ -98,7 +98,7 @@
     def reasons(self) -> collections.Counter:
         """Count the refusals and unknown outcomes by reason."""
         return collections.Counter(
-            f'{call.kind} {call.outcome_type} {_said(call.outcome)}'
+            f'{call.kind} {call.outcome_type} {_reason_of(call.outcome)}'
             for call in self.recording.calls
             if call.outcome_type in ('not-run', 'unknown')
         )
@@ -155,7 +155,7 @@
             terms = {'claimant': f'household-{rng.randrange(97)}'}
         else:
             terms = {'kebele': rng.choice(_KEBELES)}
-        self._note(await self.system.search(daemon, terms))
+        self._record(await self.system.search(daemon, terms))
 
     async def _run_once(self, daemon: str, rng: random.Random) -> None:
         """Run a request with a new key, or one without final outcome."""
@@ -182,7 +182,7 @@
     async def _run_key(
         self, daemon: str, key: str, household: str
     ) -> history.Call:
-        return self._note(await self.system.pay(daemon, key, household))
+        return self._record(await self.system.pay(daemon, key, household))
 
     async def _ask_open_keys(self) -> None:
         """Repeat every open key once more, without faults."""
@@ -194,7 +194,7 @@
             )
         )
 
-    def _note(self, call: history.Call) -> history.Call:
+    def _record(self, call: history.Call) -> history.Call:
         self.recording.calls.append(call)
         return call
 
@@ -239,7 +239,7 @@
             )
 
 
-def _said(outcome: typing.Mapping[str, typing.Any]) -> str:
+def _reason_of(outcome: typing.Mapping[str, typing.Any]) -> str:
     """Return the reason or detail of an outcome, without its numbers."""
     text = outcome.get('reason') or outcome.get('detail', '')
     if 'tried alone' in outcome.get('detail', ''):
--- a/tests/process/faults.py
+++ b/tests/process/faults.py
@@ -48,7 +48,7 @@
         default_factory=collections.Counter
     )
     faults: list[str] = dataclasses.field(default_factory=list)
-    troubled: list[tuple[str, float, float]] = dataclasses.field(
+    disturbances: list[tuple[str, float, float]] = dataclasses.field(
         default_factory=list
     )
 
@@ -57,7 +57,7 @@
         return any(
             name in (daemon, '*')
             and start <= at_ms <= end + IN_FORCE_WITHIN_MS
-            for name, start, end in self.troubled
+            for name, start, end in self.disturbances
         )
 
 
@@ -85,7 +85,7 @@
         self._seed = seed
         self._random = random.Random(f'{seed}-deck')
         self._deck: list[str] = []
-        self._numbers = itertools.count()
+        self._fault_numbers = itertools.count()
         self._faults: dict[str, typing.Callable] = {
             'kill daemon': self._kill_daemon,
             'freeze daemon': self._freeze_daemon,
@@ -111,7 +111,7 @@
             for name in _STORE_FAULTS:
                 del self._faults[name]
 
-    async def break_two(self) -> None:
+    async def inject_two(self) -> None:
         """Inject two faults at once and wait until both are over.
 
         Each fault is used once before any is repeated.
@@ -120,16 +120,16 @@
             self._deck = sorted(self._faults)
             self._random.shuffle(self._deck)
         names = self._deck.pop(), self._deck.pop()
-        await asyncio.gather(*map(self._break, names))
+        await asyncio.gather(*map(self._inject, names))
 
-    async def _break(self, name: str) -> None:
+    async def _inject(self, name: str) -> None:
         self.recording.faults.append(name)
-        rng = random.Random(f'{self._seed}-{next(self._numbers)}')
+        rng = random.Random(f'{self._seed}-{next(self._fault_numbers)}')
         await self._faults[name](rng)
 
-    def _note_trouble(self, name: str, start_ms: float) -> None:
+    def _record_disturbance(self, name: str, start_ms: float) -> None:
         row = (name, start_ms, systems.now_ms())
-        self.recording.troubled.append(row)
+        self.recording.disturbances.append(row)
 
     async def _kill_daemon(self, rng: random.Random) -> None:
         name = _one_of(self.system.daemons, rng)
@@ -139,7 +139,7 @@
         await asyncio.sleep(rng.uniform(0.2, 1.5))
         self.system.start_daemon(name)
         await self.system.wait_ready(name)
-        self._note_trouble(name, start_ms)
+        self._record_disturbance(name, start_ms)
 
     async def _restart_daemon(self, rng: random.Random) -> None:
         name = _one_of(self.system.daemons, rng)
@@ -150,7 +150,7 @@
             await asyncio.sleep(0.05)
         self.system.start_daemon(name)
         await self.system.wait_ready(name)
-        self._note_trouble(name, start_ms)
+        self._record_disturbance(name, start_ms)
 
     async def _freeze_daemon(self, rng: random.Random) -> None:
         name = _one_of(self.system.daemons, rng)
@@ -159,7 +159,7 @@
         process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(rng.uniform(2.5, 6.0))
         process.send_signal(signal.SIGCONT)
-        self._note_trouble(name, start_ms)
+        self._record_disturbance(name, start_ms)
 
     async def _kill_target(self, rng: random.Random) -> None:
         name = _one_of(self.system.target_urls, rng)
@@ -189,7 +189,7 @@
         await asyncio.sleep(rng.uniform(2.5, 5.0))
         for name in frozen:
             self.system.kill(name, signal.SIGCONT)
-            self._note_trouble(name, start_ms)
+            self._record_disturbance(name, start_ms)
 
     async def _cut_target(self, rng: random.Random) -> None:
         name = _one_of(self.system.target_urls, rng)
@@ -218,7 +218,7 @@
     async def _silence_store(self, rng: random.Random) -> None:
         start_ms = systems.now_ms()
         await self.system.relay_mode(systems.RELAY, 'store', 'silence-old')
-        self._note_trouble('*', start_ms)
+        self._record_disturbance('*', start_ms)
 
     async def _store_outage(self, rng: random.Random) -> None:
         length_ms = rng.uniform(2_000, 5_000)
--- a/tests/process/test_stop_end.py
+++ b/tests/process/test_stop_end.py
@@ -56,7 +56,7 @@
 
         Targets have begun them, so that they are not refused as not run.
         """
-        under_way = [
+        pending = [
             self._ask('/fetch/x', 'f1'),
             self._ask('/pay/x', 'p1', 'POST'),
             self._ask('/search/x', 's1'),
@@ -71,7 +71,7 @@
         exit_status = await self.system.stop_daemon(
             'one', signal.Signals(signals[-1])
         )
-        ends = await asyncio.gather(*under_way, return_exceptions=True)
+        ends = await asyncio.gather(*pending, return_exceptions=True)
         self.assertEqual([502, 502, 502], [_status(end) for end in ends])
         self.assertEqual(0, exit_status)
         self.assertEqual(1, len(self.system.runs_of('p1')))
@@ -107,13 +107,13 @@
             '"coordinates":false' in self.system.log(n) for n in names
         ):
             await asyncio.sleep(0.05)
-        under_way = [
+        pending = [
             self._ask('/pay/x', f'p-{name}', 'POST', name) for name in names
         ]
         for name in names:
             await self._until_sent(f'p-{name}')
         stopped = await asyncio.gather(*map(self.system.stop_daemon, names))
-        ends = await asyncio.gather(*under_way, return_exceptions=True)
+        ends = await asyncio.gather(*pending, return_exceptions=True)
         self.assertEqual([502, 502], [_status(end) for end in ends])
         self.assertEqual([0, 0], stopped)
 
@@ -122,10 +122,10 @@
 
         Without these, the log would not show what delayed a stop.
         """
-        asking = self._ask('/pay/x', 'p1', 'POST')
+        task = self._ask('/pay/x', 'p1', 'POST')
         await self._until_sent('p1')
         await self.system.stop_daemon('one')
-        await asyncio.gather(asking, return_exceptions=True)
+        await asyncio.gather(task, return_exceptions=True)
         lines = map(json.loads, self.system.log('one').splitlines())
         phases = [row for row in lines if row['event'] == 'shutdown phase']
         draining = next(row for row in phases if row['phase'] == 'draining')
