--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -170,7 +170,7 @@
     await soak.links.disturb_store(soak.rng, for_s)
 
 
-async def _read_settings(soak: SoakControl, for_s: float) -> None:
+async def _change_settings(soak: SoakControl, for_s: float) -> None:
     """Change a settings file, with or without a SIGHUP to the daemon."""
     name = soak.draw_running()
     if name is None:
@@ -199,7 +199,7 @@
     'new version': _new_version,
     'link to a target': _link_to_target,
     'link to the store': _link_to_store,
-    'settings change': _read_settings,
+    'settings change': _change_settings,
 }
 
 PLANNED = (
