--- a/soak/_run.py
+++ b/soak/_run.py
@@ -20,7 +20,7 @@
 _SETTLE_S = 1.5
 _ROUTE_TIMEOUT_MS = 30_000
 _POLL_S = 0.02
-_HOLD_TRIES = 20
+_PENDING_TRIES = 20
 
 STOP_LIMIT_S = 3.0
 """Time after which the platform kills a daemon that is stopping."""
@@ -181,7 +181,7 @@
         self, name: str, kind: str
     ) -> asyncio.Task[int]:
         """Return a pending request that a target has begun."""
-        for _ in range(_HOLD_TRIES):
+        for _ in range(_PENDING_TRIES):
             task = await self._send_until_begun(name, self.callers.draw(kind))
             if not task.done():
                 return task
