--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -20,10 +20,11 @@
 
 _SPLIT_SHARE = 0.2
 _DELAYED_BYTES = 3
-"""``_SPLIT_SHARE`` of the sends deliver their last bytes after a pause."""
+"""``_SPLIT_SHARE`` of the sends hold back this many last bytes for a pause."""
 
 LONG_MS = 10_000
-"""Deadline beyond the stop limit, so that a stop ends before the request."""
+"""Deadline longer than ``_run.STOP_LIMIT_S``, so that a daemon must end its
+stop while the request is pending."""
 
 _DEADLINES_MS = (1_500, 1_500, LONG_MS)
 
@@ -110,7 +111,7 @@
             await asyncio.sleep(_PAUSE_S)
 
     def draw(self, kind: str, deadline_ms: int = LONG_MS) -> Request:
-        """Return a new request.
+        """Return a new request with a new id.
 
         A probe uses the route of one of the last three versions.
         """
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -78,7 +78,8 @@
 
     ``shards`` are the services that a search is sent to, ``records`` the
     concatenated records of each service, ``top`` the number of records that
-    a search returns, ``least_share`` the share of shards that it needs and
+    a search returns, ``least_share`` the least share of shards that must
+    answer it, and
     ``attempts`` the number of targets that a route allows.  ``killed`` holds
     the daemon starts that ended by SIGKILL, as ``(daemon, start)``, and
     ``logged`` the ids of the requests in each daemon's log.
@@ -185,7 +186,7 @@
 
 
 def check_routes(history: History) -> list[str]:
-    """Return the 404s for permanent routes.
+    """Return the 404s for routes that every configuration version has.
 
     Only the routes of probes are added during a run.
     """
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -1,4 +1,8 @@
-"""The faults of a soak run, by name; each lasts a time in seconds."""
+"""The faults that a soak run injects, by name.
+
+Each is a coroutine function of the soak and a duration in seconds, which
+faults without a duration ignore.
+"""
 
 import asyncio
 import random
@@ -33,14 +37,14 @@
         """Stop a daemon gracefully and restart it."""
 
     async def freeze(self, for_s: float) -> None:
-        """Suspend a daemon for a time."""
+        """Suspend a daemon for a time in seconds."""
 
 
 NEVER_S = 3_600.0
 """A service time longer than any run: the target never answers."""
 
 _SILENT_S = (4.0, NEVER_S)
-"""Service times longer than the stop limit."""
+"""Service times longer than ``_run.STOP_LIMIT_S``."""
 
 Fault = typing.Callable[[SoakControl, float], typing.Awaitable[None]]
 
--- a/soak/_links.py
+++ b/soak/_links.py
@@ -69,7 +69,7 @@
         await _disturb(route, rng.choice(_FAULTS), for_s)
 
     def heal_store(self, daemon: str) -> None:
-        """End the fault of a daemon's store link, which it needs to start."""
+        """End the fault of a daemon's store link, so that it can start."""
         self._stores[daemon].switch('pass')
 
     def heal(self) -> None:
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -76,6 +76,7 @@
         self.version = 1
         self.links = _links.Links(system)
         self._fault_names = sorted(faults)
+        # Daemons that are stopping or starting.
         self._busy: set[str] = set()
         self._killed: set[tuple[str, int]] = set()
         self._stops: list[_checks.Stop] = []
@@ -180,7 +181,7 @@
     async def _start_pending_request(
         self, name: str, kind: str
     ) -> asyncio.Task[int]:
-        """Return a pending request that a target has begun."""
+        """Send requests until one is pending at a target; return its task."""
         for _ in range(_PENDING_TRIES):
             task = await self._send_until_begun(name, self.callers.draw(kind))
             if not task.done():
@@ -205,7 +206,7 @@
             await asyncio.sleep(_POLL_S)
         return task
 
-    # Faults.
+    # Injection of faults, and the operations that faults use.
 
     async def _fault(self) -> None:
         name = self.rng.choice(self._fault_names)
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -187,7 +187,7 @@
         self.write_settings(name)
 
     def write_settings(self, name: str, **extra: object) -> pathlib.Path:
-        """Write or overwrite the settings file of a placed daemon."""
+        """Write or overwrite the settings file of a daemon."""
         place = self.daemons[name]
         settings = {
             'name': name,
@@ -204,7 +204,7 @@
         return path
 
     def start_daemon(self, name: str) -> None:
-        """Start or restart a placed daemon."""
+        """Start or restart a daemon whose settings are written."""
         path = self.folder / f'{name}.settings.json'
         self.spawn(name, 'samphiredock.daemon', '--settings', str(path))
 
@@ -235,7 +235,7 @@
     async def start_relay(
         self, name: str, ports: typing.Mapping[str, int]
     ) -> dict[str, int]:
-        """Start a relay to ``ports`` by route; return its own ports."""
+        """Start a relay to ``ports``, by route; return its own, by route."""
         listen = free_ports(len(ports) + 1)
         control = listen.pop()
         chosen = dict(zip(ports, listen))
--- a/standins/cold_links.py
+++ b/standins/cold_links.py
@@ -75,6 +75,7 @@
         await asyncio.shield(self._hold(target, work_ms))
 
     async def _hold(self, target: str, span_ms: float) -> None:
+        """Wait for a slot of a target and occupy it for a time."""
         if self._busy[target] >= self._slots:
             waiter = asyncio.get_running_loop().create_future()
             self._queues[target].append(waiter)
--- a/standins/memory_daemons.py
+++ b/standins/memory_daemons.py
@@ -107,7 +107,7 @@
     async def apply(
         self, change_id: str, base_revision: int, repeated: bool = False
     ) -> protocol.ChangeOutcome:
-        """Apply a change as an operator would, and announce it."""
+        """Apply an operator's change; announce it if it is accepted."""
         change = protocol.ConfigurationChange(
             base_revision, change_id, 'operator', BASE, {}, repeated
         )
--- a/standins/memory_dispatcher.py
+++ b/standins/memory_dispatcher.py
@@ -1,4 +1,4 @@
-"""An in-memory dispatcher that runs unrepeatable requests as configured."""
+"""An in-memory dispatcher with random behaviours for run orders."""
 
 import random
 import typing
--- a/standins/memory_peers.py
+++ b/standins/memory_peers.py
@@ -18,7 +18,8 @@
     """One member's endpoint on a :class:`MemoryNetwork`.
 
     ``silent`` holds members whose connection drops messages until it is
-    reset.  With ``needs_address``, only members with a known address can be
+    reset, ``open`` the addresses with an open connection.  With
+    ``needs_address``, only members with a known address can be
     sent to.  ``place``, if given, is the member's site and region.
     """
 
--- a/standins/prepared_system.py
+++ b/standins/prepared_system.py
@@ -37,7 +37,8 @@
 
     Requests that it begins to run are appended to ``log``.  It takes
     ``delay_s`` for each, and with ``lose_answers`` it resets the connection
-    instead of answering.  ``born`` distinguishes restarts under one id.
+    instead of answering.  ``born`` is stated in its registry entry
+    and selects its records.
     """
 
     def __init__(
@@ -54,7 +55,7 @@
         self.address = ''
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening and set ``address``."""
         self.address = await self._server.start()
 
     async def stop(self) -> None:
@@ -161,7 +162,7 @@
     async def restart_target(self, name: str, born: int) -> None:
         """Restart a target under its id, at a new address.
 
-        Its records differ if ``born``, the start stated in its entry, does.
+        ``born`` is written to its registry entry and selects its records.
         """
         before = self.targets[name]
         await before.stop()
@@ -254,12 +255,12 @@
         await self.restart_daemon(name)
 
     async def restart_daemon(self, name: str) -> None:
-        """Start a placed daemon and wait until it is ready."""
+        """Launch a daemon that is not running; wait until it is ready."""
         self.launch_daemon(name)
         await self.wait_ready(name)
 
     def launch_daemon(self, name: str) -> None:
-        """Start a placed daemon without waiting."""
+        """Start a daemon whose settings are written, without waiting."""
         path = pathlib.Path(self._folder.name) / f'{name}.json5'
         log = self.log_path(name).open('ab')
         command = [sys.executable, str(_ROOT / 'platform' / 'entry.py')]
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -89,7 +89,7 @@
         changed.set()
 
     async def _wait(self, direction: str) -> None:
-        """Wait as long as the mode holds or delays a chunk."""
+        """Wait while the mode delays a chunk or holds this direction."""
         if self._mode == 'delay':
             await asyncio.sleep(DELAY_S)
         while self._mode == f'hold-{direction}':
--- a/standins/relayed_system.py
+++ b/standins/relayed_system.py
@@ -21,7 +21,8 @@
     """A store, targets and daemons at three sites.
 
     The daemons reach the store and the targets through one relay, which has
-    a route for each, of the same name.
+    a route for each, of the same name.  ``relayed`` holds the relay's URLs by
+    route, ``snapshot_versions`` the index version of each snapshot.
     """
 
     def __init__(self) -> None:
--- a/standins/scatter_harness.py
+++ b/standins/scatter_harness.py
@@ -117,7 +117,7 @@
         )
 
     def tick(self, delta_ms: float) -> list[protocol.SubQuery]:
-        """Advance the time tick by tick; return the attempts sent."""
+        """Advance the time, ticking when due; return the attempts sent."""
         end_ms = self.now_ms + delta_ms
         new = []
         while self.outcome is None and self.scatter.next_due_ms() <= end_ms:
--- a/standins/scripted_target.py
+++ b/standins/scripted_target.py
@@ -76,7 +76,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Abort a connection, so that its peer sees a reset."""
+    """Close a connection at once, dropping unsent bytes."""
     writer.transport.abort()
 
 
--- a/standins/target.py
+++ b/standins/target.py
@@ -26,7 +26,11 @@
 
 
 class Target:
-    """One target, which holds every shard that a snapshot assigns to it."""
+    """One target, which holds every shard that a snapshot assigns to it.
+
+    ``_waiting`` maps the attempts that have not begun to their deadlines in
+    ms, ``_stops`` the running sub-queries to the events that cancel them.
+    """
 
     def __init__(
         self,
--- a/standins/target_faults.py
+++ b/standins/target_faults.py
@@ -76,6 +76,6 @@
 
 
 async def hang_while(is_told: typing.Callable[[], bool]) -> None:
-    """Wait while the target hangs."""
+    """Wait as long as ``is_told`` returns True."""
     while is_told():
         await asyncio.sleep(_HANG_STEP_S)
--- a/standins/target_limits.py
+++ b/standins/target_limits.py
@@ -38,7 +38,8 @@
 class Limits:
     """Counts exchanges and connections against a capacity.
 
-    Breaches are counted, not refused; exchanges beyond the slots wait.
+    Exchanges beyond the slots wait, connections beyond the limit are accepted;
+    both are counted as breaches.
     """
 
     def __init__(self, capacity: Capacity, stats: Stats) -> None:
@@ -73,7 +74,7 @@
             stats.running -= 1
 
     async def admit_connection(self, request: web.Request) -> int:
-        """Count a connection at its first request; return its number."""
+        """Count a connection at its first request; return the client's port."""
         transport = request.transport
         if transport is None:
             raise web.HTTPServiceUnavailable()
