--- a/standins/relayed_system.py
+++ b/standins/relayed_system.py
@@ -14,7 +14,7 @@
 RELAY = 'relay'
 RECORD_LIMIT = 5_000
 
-_BASE = pathlib.Path(__file__).parents[1] / 'examples' / 'gebeya'
+_EXAMPLE = pathlib.Path(__file__).parents[1] / 'examples' / 'gebeya'
 
 
 class RelayedSystem(cluster.Cluster):
@@ -81,7 +81,7 @@
         return super().write_settings(name, **extra)
 
     def _base(self) -> dict[str, typing.Any]:
-        text = (_BASE / 'base.json').read_text(encoding='utf-8')
+        text = (_EXAMPLE / 'base.json').read_text(encoding='utf-8')
         base = json5.loads(text)
         row = base['targets']['shard-1']
         desk = base['targets']['desk-1']
