--- a/standins/small_system.py
+++ b/standins/small_system.py
@@ -6,7 +6,7 @@
 
 from standins import cluster
 
-_BASE = pathlib.Path(__file__).parents[1] / 'examples' / 'gebeya'
+_EXAMPLE = pathlib.Path(__file__).parents[1] / 'examples' / 'gebeya'
 
 
 async def start(system: cluster.Cluster, daemons: int) -> None:
@@ -16,7 +16,7 @@
     desks = ['desk-1', 'desk-2']
     await system.start_targets(shards)
     await system.start_targets(desks, '--slots', '4')
-    text = (_BASE / 'base.json').read_text(encoding='utf-8')
+    text = (_EXAMPLE / 'base.json').read_text(encoding='utf-8')
     base = json5.loads(text)
     for name, url in system.target_urls.items():
         base['targets'][name]['url'] = url
