--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -126,11 +126,11 @@
 
 async def _expire_entries(soak: SoakControl, for_s: float) -> None:
     names = sorted(soak.system.targets)
-    lapsed = soak.rng.sample(names, 3)
-    for name in lapsed:
+    expired = soak.rng.sample(names, 3)
+    for name in expired:
         soak.system.store.remove('servers', name)
     await asyncio.sleep(for_s)
-    for name in lapsed:
+    for name in expired:
         soak.system.register(name)
 
 
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -102,7 +102,7 @@
         ends_s = loop.time() + seconds
         pending: set[asyncio.Task] = set()
         while loop.time() < ends_s:
-            pending.add(asyncio.create_task(self._fault()))
+            pending.add(asyncio.create_task(self._inject_fault()))
             await asyncio.sleep(self.rng.uniform(*_FAULT_EVERY_S))
         await asyncio.gather(*pending)
         self.links.heal()
@@ -208,7 +208,7 @@
 
     # Injection of faults, and the operations that faults use.
 
-    async def _fault(self) -> None:
+    async def _inject_fault(self) -> None:
         name = self.rng.choice(self._fault_names)
         self.fault_counts[name] += 1
         for_s = self.rng.uniform(*_FAULT_FOR_S)
--- a/standins/cold_links.py
+++ b/standins/cold_links.py
@@ -141,12 +141,12 @@
         if not is_wanted():
             self._release(pool, True)
             return result.Failure(_UNWANTED)
-        whole = False
+        reusable = False
         try:
             await self._targets.work(name)
-            whole = True
+            reusable = True
         finally:
-            self._release(pool, whole)
+            self._release(pool, reusable)
         headers = (('Receipt', f'receipt-{name}'),)
         return result.Success(protocol.HttpReply(200, headers, _RECORD))
 
@@ -166,8 +166,8 @@
             pool.wake()
             raise
 
-    def _release(self, pool: _Pool, whole: bool) -> None:
-        if whole:
+    def _release(self, pool: _Pool, reusable: bool) -> None:
+        if reusable:
             pool.idle += 1
         else:
             pool.open -= 1
--- a/standins/memory_orders.py
+++ b/standins/memory_orders.py
@@ -139,8 +139,8 @@
         shard, _, number = name.rpartition('-')
         site = 'here'
         if shard != 'p':
-            place = int(shard[1:]) + int(number)
-            site = self._sites[place % len(self._sites)]
+            site_index = int(shard[1:]) + int(number)
+            site = self._sites[site_index % len(self._sites)]
         self.targets.put(
             state.LiveTarget(name, service, '127.0.0.1:1', site, 2, **changes)
         )
--- a/standins/target.py
+++ b/standins/target.py
@@ -68,7 +68,7 @@
             del self._snapshots[min(self._snapshots)]
 
     async def _batch(self, request: web.Request) -> web.Response:
-        number = await self.limits.admit_connection(request)
+        connection = await self.limits.admit_connection(request)
         batch = msgspec.json.decode(
             await request.read(), type=protocol.TargetBatch
         )
@@ -87,7 +87,8 @@
         try:
             async with self.limits.slot():
                 answers = [
-                    await self._answer(item, number) for item in batch.items
+                    await self._answer(item, connection)
+                    for item in batch.items
                 ]
         finally:
             for item in batch.items:
@@ -101,7 +102,7 @@
         )
 
     async def _answer(
-        self, item: protocol.TargetQuery, number: int
+        self, item: protocol.TargetQuery, connection: int
     ) -> protocol.TargetAnswer:
         refusal = self._refusal(item)
         if refusal is not None:
@@ -116,9 +117,9 @@
         snapshot = self._snapshots[item.snapshot_id]
         shards = snapshot.indexes[item.index].shards
         assigned = next(s for s in shards if s.shard_id == item.shard_id)
-        execution = self.log.start('sub-query', item, number)
+        execution = self.log.start('sub-query', item, connection)
         self._faults.die_if_poisoned(item.terms.values())
-        service_ms, cut_short = await self._search(
+        service_ms, cut_short = await self._wait_service_time(
             item.attempt_id, deadline_at_ms
         )
         execution.ended_ms = target_log.now_ms()
@@ -184,7 +185,7 @@
             return protocol.TargetStatus.NOT_LOADED
         return None
 
-    async def _search(
+    async def _wait_service_time(
         self, attempt_id: str, deadline_at_ms: float
     ) -> tuple[float, protocol.TargetStatus | None]:
         """Wait for the service time, a cancel or the deadline.
@@ -206,7 +207,7 @@
         return took_ms, protocol.TargetStatus.CANCELLED
 
     async def _run(self, request: web.Request) -> web.Response:
-        number = await self.limits.admit_connection(request)
+        connection = await self.limits.admit_connection(request)
         order = msgspec.json.decode(
             await request.read(), type=protocol.TargetRun
         )
@@ -215,14 +216,14 @@
         self._waiting[order.attempt_id] = arrived_ms + order.deadline_ms
         try:
             async with self.limits.slot():
-                answer = await self._run_one(order, number)
+                answer = await self._run_one(order, connection)
         finally:
             self._waiting.pop(order.attempt_id, None)
         await self._faults.swallow()
         return _json(answer)
 
     async def _run_one(
-        self, order: protocol.TargetRun, number: int
+        self, order: protocol.TargetRun, connection: int
     ) -> protocol.TargetRunAnswer:
         refusals = (
             (
@@ -244,7 +245,9 @@
                 )
         self._waiting.pop(order.attempt_id, None)
         self._stats.runs += 1
-        execution = self.log.start('run', order, number, order.idempotency_key)
+        execution = self.log.start(
+            'run', order, connection, order.idempotency_key
+        )
         self._faults.die_if_poisoned(order.body.values())
         await asyncio.sleep(
             self._faults.draw_service_ms(self._random) / 1000.0
@@ -262,7 +265,7 @@
         order = msgspec.json.decode(
             await request.read(), type=protocol.TargetCancel
         )
-        never = [
+        not_begun = [
             attempt_id
             for attempt_id in order.attempt_ids
             if self._waiting.pop(attempt_id, None) is not None
@@ -270,7 +273,7 @@
         stopped = [row for row in order.attempt_ids if row in self._stops]
         for attempt_id in stopped:
             self._stops[attempt_id].set()
-        return _json(protocol.TargetCancelAnswer(never, stopped))
+        return _json(protocol.TargetCancelAnswer(not_begun, stopped))
 
     async def _health(self, request: web.Request) -> web.Response:
         draining = self._faults.draining and not self._faults.lie_healthy
--- a/standins/target_faults.py
+++ b/standins/target_faults.py
@@ -75,7 +75,7 @@
             await asyncio.Event().wait()
 
 
-async def hang_while(is_told: typing.Callable[[], bool]) -> None:
-    """Wait as long as ``is_told`` returns True."""
-    while is_told():
+async def hang_while(is_hanging: typing.Callable[[], bool]) -> None:
+    """Wait as long as ``is_hanging`` returns True."""
+    while is_hanging():
         await asyncio.sleep(_HANG_STEP_S)
