--- a/standins/target_limits.py
+++ b/standins/target_limits.py
@@ -74,7 +74,7 @@
             stats.running -= 1
 
     async def admit_connection(self, request: web.Request) -> int:
-        """Count a connection at its first request; return the client's port."""
+        """Count a connection at its first request; return its client port."""
         transport = request.transport
         if transport is None:
             raise web.HTTPServiceUnavailable()
