--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep open connections, and use them until they end."""
+"""Callers that send requests on kept-alive HTTP/1.1 connections."""
 
 import asyncio
 import collections
@@ -12,18 +12,19 @@
 from standins import scripted_target
 
 _PAUSE_S = 0.02
-_ROUNDS = (1, 10, 1_000)
-"""How often a caller uses a connection before it leaves."""
+_ROUND_COUNTS = (1, 10, 1_000)
+"""How many rounds a caller sends before it closes its connection."""
 
-_PIPELINED = (1, 1, 1, 2, 3)
-"""How many requests it sends at once."""
+_PIPELINE_DEPTHS = (1, 1, 1, 2, 3)
+"""How many requests a caller pipelines in one round."""
 
 _SPLIT_SHARE = 0.2
-_LATE_BYTES = 3
-"""Part of the sends whose last bytes come a pause later."""
+_DELAYED_BYTES = 3
+"""``_SPLIT_SHARE`` of the sends hold back this many last bytes for a pause."""
 
 LONG_MS = 10_000
-"""Longer than a stop may take: its end comes before that of the request."""
+"""Deadline longer than ``_run.STOP_LIMIT_S``, so that a daemon must end its
+stop while the request is pending."""
 
 _DEADLINES_MS = (1_500, 1_500, LONG_MS)
 
@@ -34,7 +35,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """One request; ``version`` adds the route that a probe asks for."""
+    """One request.
+
+    ``version`` is the configuration version that adds the route of a probe.
+    """
 
     kind: str
     request_id: str
@@ -42,7 +46,7 @@
     version: int = 0
 
     def encode(self) -> bytes:
-        """Return all of it as it is sent."""
+        """Return the request as the bytes to send."""
         path = _PATHS.get(self.kind, f'/added-{self.version}/x')
         return (
             f'{_METHODS.get(self.kind, "GET")} {path} HTTP/1.1\r\n'
@@ -54,43 +58,63 @@
 
 
 class Callers:
-    """Ask daemons, and write down what each request came to.
+    """Send requests to daemons and record the outcome of each.
 
-    An HTTP library's client asks again by itself when a connection that it
-    has used ends without an answer: a request that was cut would look like
-    one that was answered.
+    The callers read responses themselves: HTTP client libraries retry
+    silently when a reused connection closes without a response, which would
+    hide a lost request.
 
     Parameters
     ----------
     rng
-        Draws requests and daemons.
+        Source of all random choices.
     system
-        Whose daemons are asked.
+        The system whose daemons get the requests.
+
+    Attributes
+    ----------
+    records
+        One record for each request.
+    starts
+        Number of starts of each daemon.
+    unavailable
+        Daemons that get no new connections now.
+    version
+        The latest configuration version.
     """
 
     def __init__(
         self, rng: random.Random, system: prepared_system.PreparedSystem
     ) -> None:
-        self.asked: list[_checks.Asked] = []
+        self.records: list[_checks.RequestRecord] = []
         self.starts: collections.Counter[str] = collections.Counter()
-        self.away: set[str] = set()
+        self.unavailable: set[str] = set()
         self.version = 1
         self.running = True
         self._rng = rng
         self._system = system
         self._numbers = itertools.count()
 
-    async def call(self) -> None:
-        """Use one connection after another as long as callers run."""
+    async def run_caller(self) -> None:
+        """Use one connection after another while ``running`` is set."""
         while self.running:
-            up = [name for name in self._system.doors if name not in self.away]
-            if up:
-                rounds = self._rng.choice(_ROUNDS)
-                await self.use(self._rng.choice(up), self._draw_many, rounds)
+            available = [
+                name
+                for name in self._system.caller_addresses
+                if name not in self.unavailable
+            ]
+            if available:
+                rounds = self._rng.choice(_ROUND_COUNTS)
+                await self.send_requests(
+                    self._rng.choice(available), self._draw_many, rounds
+                )
             await asyncio.sleep(_PAUSE_S)
 
     def draw(self, kind: str, deadline_ms: int = LONG_MS) -> Request:
-        """Return a new request; a probe is for a route of late."""
+        """Return a new request with a new id.
+
+        A probe uses the route of one of the last three versions.
+        """
         version = 0
         if kind == 'probe':
             version = self._rng.randint(max(1, self.version - 2), self.version)
@@ -99,36 +123,43 @@
 
     def _draw_many(self) -> list[Request]:
         kinds = self._rng.choices(
-            list(KINDS), list(KINDS.values()), k=self._rng.choice(_PIPELINED)
+            list(KINDS),
+            list(KINDS.values()),
+            k=self._rng.choice(_PIPELINE_DEPTHS),
         )
         return [
             self.draw(kind, self._rng.choice(_DEADLINES_MS)) for kind in kinds
         ]
 
-    async def use(
+    async def send_requests(
         self,
         daemon: str,
         draw: typing.Callable[[], list[Request]],
         rounds: int = 1,
     ) -> int:
-        """Send what is drawn on one connection, and again after the answers.
+        """Send rounds of requests to a daemon on one new connection.
 
-        The caller leaves only when nothing is under way.  Returns the last
-        status, 0 for no whole answer.
+        ``draw`` returns the requests of a round.  The next round begins when
+        all are answered, and the caller closes the connection only between
+        rounds.  Returns the last status, 0 if there was no complete response.
         """
         start = self.starts[daemon]
         try:
-            reader, writer = await _connect(self._system.doors[daemon])
+            reader, writer = await _connect(
+                self._system.caller_addresses[daemon]
+            )
         except OSError:
             return 0
         status = 0
         for _ in range(rounds):
             requests = draw()
             sent_s = await self._send(writer, requests)
-            for behind, request in enumerate(requests):
-                seen = await _read_answer(reader)
-                row = _asked(request, seen, daemon, start, sent_s, behind)
-                self.asked.append(row)
+            for pipeline_index, request in enumerate(requests):
+                response = await _read_answer(reader)
+                row = _make_record(
+                    request, response, daemon, start, sent_s, pipeline_index
+                )
+                self.records.append(row)
                 status = row.status
             if not status or not self.running:
                 break
@@ -139,21 +170,24 @@
     async def _send(
         self, writer: asyncio.StreamWriter, requests: list[Request]
     ) -> float:
-        """Send requests; return when the last byte was handed over."""
+        """Send requests; return the time when the last byte was written."""
         data = b''.join(row.encode() for row in requests)
         if self._rng.random() < _SPLIT_SHARE:
-            writer.write(data[:-_LATE_BYTES])
+            writer.write(data[:-_DELAYED_BYTES])
             await asyncio.sleep(_PAUSE_S)
-            data = data[-_LATE_BYTES:]
+            data = data[-_DELAYED_BYTES:]
         writer.write(data)
         return asyncio.get_running_loop().time()
 
 
 class _Reader(asyncio.StreamReader):
-    """Keeps what has come before a reset: it may be a whole answer."""
+    """A reader that keeps the bytes received before a reset.
+
+    They may contain a complete response.
+    """
 
     def set_exception(self, exc: Exception) -> None:
-        """Take a broken connection for an ended one."""
+        """Treat a connection error as the end of the stream."""
         self.feed_eof()
 
 
@@ -170,32 +204,32 @@
 
 async def _read_answer(
     reader: asyncio.StreamReader,
-) -> scripted_target.Seen | None:
-    """Read one whole answer, None if the connection ends before its end."""
+) -> scripted_target.HttpMessage | None:
+    """Read one response; return None if it is incomplete."""
     try:
         return await scripted_target.read_request(reader)
     except (asyncio.IncompleteReadError, OSError):
         return None
 
 
-def _asked(
+def _make_record(
     request: Request,
-    seen: scripted_target.Seen | None,
+    response: scripted_target.HttpMessage | None,
     daemon: str,
     start: int,
     sent_s: float,
-    behind: int,
-) -> _checks.Asked:
+    pipeline_index: int,
+) -> _checks.RequestRecord:
     status, headers, body = 0, {}, b''
-    if seen is not None:
-        status, headers = int(seen.line.split()[1]), seen.headers
-        body = seen.body
-    stated = headers.get('part-stamps') or headers.get('answer-stamp', '')
-    return _checks.Asked(
+    if response is not None:
+        status, headers = int(response.line.split()[1]), response.headers
+        body = response.body
+    receipts = headers.get('part-stamps') or headers.get('answer-stamp', '')
+    return _checks.RequestRecord(
         request.kind,
         request.request_id,
         status,
-        tuple(row.strip() for row in stated.split(',') if row),
+        tuple(row.strip() for row in receipts.split(',') if row),
         int(headers.get('missing-parts', 0)),
         body,
         daemon,
@@ -203,5 +237,5 @@
         sent_s,
         asyncio.get_running_loop().time(),
         request.version,
-        behind,
+        pipeline_index,
     )
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -1,4 +1,4 @@
-"""What must hold of a run, judged from callers' and targets' side."""
+"""Checks of a soak run, by what callers and targets observed."""
 
 import collections
 import dataclasses
@@ -7,23 +7,25 @@
 import typing
 
 RECORD_BYTES = 16
-PROMISES = frozenset({408, 421, 429, 503})
-"""Statuses that promise that a request has not run and never will."""
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses which state that a request has not run and never will."""
 
-_SENT = frozenset({-signal.SIGTERM, -signal.SIGHUP})
-"""Exit statuses of a process that ends by a signal which a stop sends."""
+_STOP_SIGNAL_STATUSES = frozenset({-signal.SIGTERM, -signal.SIGHUP})
+"""Exit statuses of a process that one of the stop signals killed."""
 
-_ONE_TARGET = frozenset({'probe'})
-"""Kinds whose routes allow one target only."""
+_SINGLE_TARGET_KINDS = frozenset({'probe'})
+"""Kinds of request whose routes allow a single target."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
-    """One request as its caller saw it; status 0 for no whole answer.
-
-    ``start`` counts the starts of its daemon; times are of one clock.
-    ``version`` is the configuration that adds the route of a probe,
-    ``behind`` how many requests were sent before it without a wait.
+class RequestRecord:
+    """One request as its caller saw it.
+
+    ``status`` is 0 if there was no complete response.  ``start`` is the
+    number of the daemon's start.  Times are in seconds of the event loop's
+    clock.  ``version`` is the configuration version that adds the route of a
+    probe.  ``pipeline_index`` is the number of requests sent before this one
+    in the same round.
     """
 
     kind: str
@@ -37,14 +39,15 @@
     sent_s: float = 0.0
     ended_s: float = 0.0
     version: int = 0
-    behind: int = 0
+    pipeline_index: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stop:
-    """A daemon got some ``signals`` to stop, and ended with a status.
+    """One stop of a daemon.
 
-    ``ready`` is False if it was still starting at the first of them.
+    ``signals`` is the number of signals sent, ``status`` the exit status.
+    ``ready`` is False if the daemon was still starting at the first signal.
     """
 
     daemon: str
@@ -57,8 +60,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Run:
-    """A target began a request."""
+class Execution:
+    """One target began to run a request."""
 
     request_id: str
     target: str
@@ -71,15 +74,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class History:
-    """All that was seen in a run.
-
-    ``records`` are those of each service's targets, ``shards`` the services
-    that a search asks, ``killed`` the starts of daemons that were killed,
-    ``read`` the requests that the log of each daemon tells of.
+    """Everything observed in a run.
+
+    ``shards`` are the services that a search is sent to, ``records`` the
+    concatenated records of each service, ``top`` the number of records that
+    a search returns, ``least_share`` the least share of shards that must
+    answer it, and
+    ``attempts`` the number of targets that a route allows.  ``killed`` holds
+    the daemon starts that ended by SIGKILL, as ``(daemon, start)``, and
+    ``logged`` the ids of the requests in each daemon's log.
     """
 
-    asked: tuple[Asked, ...]
-    runs: tuple[Run, ...]
+    requests: tuple[RequestRecord, ...]
+    executions: tuple[Execution, ...]
     shards: tuple[str, ...]
     records: typing.Mapping[str, bytes]
     least_share: float
@@ -87,16 +94,20 @@
     attempts: int
     stops: tuple[Stop, ...] = ()
     killed: frozenset[tuple[str, int]] = frozenset()
-    read: typing.Mapping[str, frozenset[str]] = dataclasses.field(
+    logged: typing.Mapping[str, frozenset[str]] = dataclasses.field(
         default_factory=dict
     )
 
 
 def check_at_most_once(history: History) -> list[str]:
-    """A payment runs at most once."""
-    payments = {row.request_id for row in history.asked if row.kind == 'pay'}
+    """Return the payments that ran more than once."""
+    payments = {
+        row.request_id for row in history.requests if row.kind == 'pay'
+    }
     counts = collections.Counter(
-        run.request_id for run in history.runs if run.request_id in payments
+        run.request_id
+        for run in history.executions
+        if run.request_id in payments
     )
     return [
         f'{request_id}: got {count} runs, expected at most one'
@@ -106,26 +117,26 @@
 
 
 def check_not_run(history: History) -> list[str]:
-    """What was refused as not run has not run."""
-    began = {run.request_id for run in history.runs}
+    """Return the requests that ran although they were refused as not run."""
+    began = {run.request_id for run in history.executions}
     return [
         f'{row.request_id}: got status {row.status}, but it ran'
-        for row in history.asked
-        if row.status in PROMISES and row.request_id in began
+        for row in history.requests
+        if row.status in NOT_RUN_STATUSES and row.request_id in began
     ]
 
 
 def check_own_answer(history: History) -> list[str]:
-    """A success is the whole answer of targets that ran this request."""
+    """Return the successes with a wrong, partial or foreign answer."""
     return [
         f'{row.request_id}: {problem}'
-        for row in history.asked
+        for row in history.requests
         if row.status == 200
         for problem in _problems_of(row, history)
     ]
 
 
-def _problems_of(row: Asked, history: History) -> typing.Iterator[str]:
+def _problems_of(row: RequestRecord, history: History) -> typing.Iterator[str]:
     parts = [receipt.rpartition('.') for receipt in row.receipts]
     if any(request_id != row.request_id for request_id, _, _ in parts):
         yield f'got receipts {row.receipts[:3]}, expected its own'
@@ -139,99 +150,107 @@
         yield f'got a shard twice in {services}'
     if len(services) + row.missing != len(history.shards):
         yield f'got {len(services)} parts and {row.missing} missing'
-    least = math.ceil(history.least_share * len(history.shards) - 1e-6)
-    if len(services) < least:
-        yield f'got {len(services)} parts, expected at least {least}'
-    if row.body != _merged(services, history):
+    least_parts = math.ceil(history.least_share * len(history.shards) - 1e-6)
+    if len(services) < least_parts:
+        yield f'got {len(services)} parts, expected at least {least_parts}'
+    if row.body != _expected_body(services, history):
         yield 'got a body that is not the greatest records of its parts'
 
 
-def _merged(services: list[str], history: History) -> bytes:
-    every = b''.join(history.records[service] for service in services)
+def _expected_body(services: list[str], history: History) -> bytes:
+    all_records = b''.join(history.records[service] for service in services)
     rows = [
-        every[at : at + RECORD_BYTES]
-        for at in range(0, len(every), RECORD_BYTES)
+        all_records[at : at + RECORD_BYTES]
+        for at in range(0, len(all_records), RECORD_BYTES)
     ]
     return b''.join(sorted(rows, reverse=True)[: history.top])
 
 
 def check_attempts(history: History) -> list[str]:
-    """No more targets of a service run a request than its route allows."""
-    alone = {
-        row.request_id for row in history.asked if row.kind in _ONE_TARGET
+    """Return the requests that ran at more targets than their route allows."""
+    single_target_ids = {
+        row.request_id
+        for row in history.requests
+        if row.kind in _SINGLE_TARGET_KINDS
     }
     targets = collections.defaultdict(set)
-    for run in history.runs:
+    for run in history.executions:
         targets[run.request_id, run.service].add(run.target)
     return [
         f'{request_id}: got {len(found)} targets of {service}, expected at '
-        f'most {1 if request_id in alone else history.attempts}'
+        f'most {1 if request_id in single_target_ids else history.attempts}'
         for (request_id, service), found in targets.items()
-        if len(found) > (1 if request_id in alone else history.attempts)
+        if len(found)
+        > (1 if request_id in single_target_ids else history.attempts)
     ]
 
 
 def check_routes(history: History) -> list[str]:
-    """Every route was configured all the time: none is unknown."""
+    """Return the 404s for routes that every configuration version has.
+
+    Only the routes of probes are added during a run.
+    """
     return [
         f'{row.request_id}: got 404, its route is in every version'
-        for row in history.asked
+        for row in history.requests
         if row.status == 404 and row.kind != 'probe'
     ]
 
 
 def check_answered(history: History) -> list[str]:
-    """What a daemon has read or a target begun is answered to its caller.
+    """Return the accepted requests that got no response.
 
-    Callers do not leave, so that only the kill of the daemon that was asked
-    excuses it.  A stop does not, whatever the targets and the other daemons
-    do: what is open at its end is answered as unknown, or refused.
+    A request is accepted once its daemon has logged it or a target has begun
+    it.  Callers wait for every response, so only SIGKILL of the daemon
+    excuses a missing one.  A graceful stop does not: requests still pending
+    at its end are answered as unknown, or refused.
     """
-    began = {run.request_id for run in history.runs}
+    began = {run.request_id for run in history.executions}
     return [
         f'{row.request_id}: got no answer of {row.daemon}, start {row.start}, '
         f'{row.ended_s - row.sent_s:.3f} s after it was sent'
-        for row in _cut(history)
+        for row in _unanswered(history)
         if row.request_id in began
-        or row.request_id in history.read.get(row.daemon, ())
+        or row.request_id in history.logged.get(row.daemon, ())
     ]
 
 
-def _cut(history: History) -> list[Asked]:
-    """Return what ended without answer at a daemon that was not killed."""
+def _unanswered(history: History) -> list[RequestRecord]:
+    """Return the requests without response at daemons that were not killed."""
     return [
         row
-        for row in history.asked
+        for row in history.requests
         if row.status == 0 and (row.daemon, row.start) not in history.killed
     ]
 
 
 def check_refused(history: History) -> list[str]:
-    """What a daemon had before its stop began is answered or refused.
+    """Return the requests sent before a stop that got no response.
 
-    Whether its log tells of it or not.  One that is sent later may cross
-    the close, and one behind another is told by the other's answer that its
-    connection ends.  A daemon that was not ready has not read what waits
-    for it.
+    These must be answered or refused whether or not the daemon logged them.
+    Excused are requests sent after the stop began, which may cross the close
+    of the connection, and pipelined requests after the first: an earlier
+    response tells their caller that the connection closes.  So are requests
+    to a daemon that was not ready, as it has not read them.
     """
     stops = {(stop.daemon, stop.start): stop for stop in history.stops}
     return [
         f'{row.request_id}: got no answer, its connection to {row.daemon}, '
         f'start {row.start}, ended {row.ended_s - stop.from_s:.3f} s after '
         f'the first of {stop.signals} signals'
-        for row in _cut(history)
+        for row in _unanswered(history)
         if (stop := stops.get((row.daemon, row.start)))
         and stop.ready
         and row.sent_s < stop.from_s
-        and not row.behind
+        and not row.pipeline_index
     ]
 
 
 def check_exits(history: History) -> list[str]:
-    """A stop ends with status 0.
+    """Return the stops that did not exit with status 0.
 
-    A signal of the stop may find a program that handles none yet, or none
-    any more; any other end is a crash.
+    A stop signal may kill the process before its signal handlers are
+    installed or after they are removed; any other exit status is a fault.
     """
     return [
         f'{stop.daemon}: got exit status {stop.status} after {stop.signals} '
@@ -242,21 +261,23 @@
 
 
 def _ends_by_signal(stop: Stop) -> bool:
-    return stop.status in _SENT and (stop.signals > 1 or not stop.ready)
+    return stop.status in _STOP_SIGNAL_STATUSES and (
+        stop.signals > 1 or not stop.ready
+    )
 
 
 def check_versions(history: History) -> list[str]:
-    """A daemon that has served a new route does not forget it.
+    """Return the probes that show a daemon going back to an older version.
 
-    Routes are only added, so a later refusal as unknown can only come from
-    an older version.
+    Routes are only added, so a 404 for a route that the daemon has served
+    before means that it uses an older configuration.
     """
     known: dict[tuple[str, int], list[tuple[float, int]]] = {}
     wrong = []
-    probes = [row for row in history.asked if row.kind == 'probe']
+    probes = [row for row in history.requests if row.kind == 'probe']
     for row in sorted(probes, key=lambda row: row.ended_s):
-        place = (row.daemon, row.start)
-        seen = known.setdefault(place, [])
+        process = (row.daemon, row.start)
+        seen = known.setdefault(process, [])
         newer = [
             version
             for at_s, version in seen
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -1,4 +1,8 @@
-"""What may go wrong in a run, by name; each for a time in seconds."""
+"""The faults that a soak run injects, by name.
+
+Each is a coroutine function of the soak and a duration in seconds, which
+faults without a duration ignore.
+"""
 
 import asyncio
 import random
@@ -9,60 +13,60 @@
 from standins import prepared_system
 
 
-class Run(typing.Protocol):
-    """What a fault may draw from a running soak, and do to it."""
+class SoakControl(typing.Protocol):
+    """The part of a running soak that faults use."""
 
     rng: random.Random
     system: prepared_system.PreparedSystem
     links: _links.Links
     version: int
 
-    def configure(self, version: int) -> None:
-        """Write a version."""
+    def publish_version(self, version: int) -> None:
+        """Write a new version of the configuration."""
 
     def draw_running(self) -> str | None:
-        """Return a daemon that runs, None if none does."""
+        """Return a running daemon to disturb, or None."""
 
     def draw_target(self) -> prepared_system.PreparedTarget:
-        """Return a target."""
+        """Return a random target."""
 
     async def kill_daemon(self) -> None:
-        """Kill a daemon and start it again."""
+        """Kill a daemon with SIGKILL and restart it."""
 
     async def stop_daemon(self) -> None:
-        """Stop a daemon gracefully and start it again."""
+        """Stop a daemon gracefully and restart it."""
 
     async def freeze(self, for_s: float) -> None:
-        """Pause a daemon."""
+        """Suspend a daemon for a time in seconds."""
 
 
 NEVER_S = 3_600.0
-"""A target that takes this long does not answer in any run."""
+"""A service time longer than any run: the target never answers."""
 
 _SILENT_S = (4.0, NEVER_S)
-"""Longer than a stop may take."""
+"""Service times longer than ``_run.STOP_LIMIT_S``."""
 
-Fault = typing.Callable[[Run, float], typing.Awaitable[None]]
+Fault = typing.Callable[[SoakControl, float], typing.Awaitable[None]]
 
-_FOREIGN_ENTRIES: tuple[object, ...] = (
+_INVALID_ENTRIES: tuple[object, ...] = (
     {'State': 'parked'},
     {'Service': 'shard-1', 'Addr': 'nowhere', 'State': 'ready'},
     ['no', 'entry'],
     'text',
 )
-"""What another writer may leave among the targets' entries."""
+"""Invalid entries that another writer may leave in the target registry."""
 
 
-async def _kill(soak: Run, for_s: float) -> None:
+async def _kill(soak: SoakControl, for_s: float) -> None:
     await soak.kill_daemon()
 
 
-async def _stop(soak: Run, for_s: float) -> None:
+async def _stop(soak: SoakControl, for_s: float) -> None:
     await soak.stop_daemon()
 
 
-async def _stop_series(soak: Run, for_s: float) -> None:
-    """Stop daemons while others still stop, or have just started again."""
+async def _stop_series(soak: SoakControl, for_s: float) -> None:
+    """Stop daemons while others are stopping or have just restarted."""
     stops: list[asyncio.Task[None]] = []
     for _ in range(soak.rng.randint(2, 4)):
         stops.append(asyncio.create_task(soak.stop_daemon()))
@@ -70,34 +74,34 @@
     await asyncio.gather(*stops)
 
 
-async def _freeze(soak: Run, for_s: float) -> None:
+async def _freeze(soak: SoakControl, for_s: float) -> None:
     await soak.freeze(for_s)
 
 
-async def _lose_answers(soak: Run, for_s: float) -> None:
+async def _lose_answers(soak: SoakControl, for_s: float) -> None:
     target = soak.draw_target()
     target.lose_answers = True
     await asyncio.sleep(for_s)
     target.lose_answers = False
 
 
-async def _slow_target(soak: Run, for_s: float) -> None:
+async def _slow_target(soak: SoakControl, for_s: float) -> None:
     target = soak.draw_target()
     target.delay_s = soak.rng.choice((0.1, 0.4, 3.0))
     await asyncio.sleep(for_s)
     target.delay_s = 0.0
 
 
-async def _silent_service(soak: Run, for_s: float) -> None:
-    """Hold what some targets of a service begin for longer than a stop."""
+async def _silent_service(soak: SoakControl, for_s: float) -> None:
+    """Keep requests at some targets of a service past the stop limit."""
     drawn = soak.draw_target()
     service = soak.rng.choice((prepared_system.DESK, drawn.service))
-    every = [
+    targets = [
         target
         for target in soak.system.targets.values()
         if target.service == service
     ]
-    silent = every[: soak.rng.randint(1, len(every))]
+    silent = targets[: soak.rng.randint(1, len(targets))]
     for target in silent:
         target.delay_s = soak.rng.choice(_SILENT_S)
     await asyncio.sleep(for_s)
@@ -105,73 +109,73 @@
         target.delay_s = 0.0
 
 
-async def _restart_target(soak: Run, for_s: float) -> None:
-    """Let a target leave and end; it comes back at another address."""
+async def _restart_target(soak: SoakControl, for_s: float) -> None:
+    """Drain and stop a target, then restart it at another address."""
     name = soak.draw_target().target_id
     soak.system.register(name, 'draining')
     await asyncio.sleep(for_s)
     await soak.links.restart_target(name)
 
 
-async def _drain_target(soak: Run, for_s: float) -> None:
+async def _drain_target(soak: SoakControl, for_s: float) -> None:
     target = soak.draw_target()
     soak.system.register(target.target_id, 'draining')
     await asyncio.sleep(for_s)
     soak.system.register(target.target_id)
 
 
-async def _lapse(soak: Run, for_s: float) -> None:
+async def _expire_entries(soak: SoakControl, for_s: float) -> None:
     names = sorted(soak.system.targets)
-    lapsed = soak.rng.sample(names, 3)
-    for name in lapsed:
+    expired = soak.rng.sample(names, 3)
+    for name in expired:
         soak.system.store.remove('servers', name)
     await asyncio.sleep(for_s)
-    for name in lapsed:
+    for name in expired:
         soak.system.register(name)
 
 
-async def _foreign_entry(soak: Run, for_s: float) -> None:
-    entry = soak.rng.choice(_FOREIGN_ENTRIES)
+async def _invalid_entry(soak: SoakControl, for_s: float) -> None:
+    entry = soak.rng.choice(_INVALID_ENTRIES)
     soak.system.store.put('servers', 'foreign', entry)
     await asyncio.sleep(for_s)
     soak.system.store.remove('servers', 'foreign')
 
 
-async def _store_away(soak: Run, for_s: float) -> None:
+async def _store_unavailable(soak: SoakControl, for_s: float) -> None:
     faults = soak.system.store.faults
     faults.status = soak.rng.choice((503, 429))
     await asyncio.sleep(for_s)
     faults.status = 0
 
 
-async def _store_silent(soak: Run, for_s: float) -> None:
+async def _store_silent(soak: SoakControl, for_s: float) -> None:
     soak.system.store.faults.silent = True
     await asyncio.sleep(for_s)
     soak.system.store.faults.silent = False
 
 
-async def _cut_watches(soak: Run, for_s: float) -> None:
+async def _cut_watches(soak: SoakControl, for_s: float) -> None:
     soak.system.store.cut_watches()
 
 
-async def _forget_history(soak: Run, for_s: float) -> None:
+async def _forget_history(soak: SoakControl, for_s: float) -> None:
     soak.system.store.forget_history()
 
 
-async def _new_version(soak: Run, for_s: float) -> None:
-    soak.configure(soak.version + soak.rng.randint(1, 3))
+async def _new_version(soak: SoakControl, for_s: float) -> None:
+    soak.publish_version(soak.version + soak.rng.randint(1, 3))
 
 
-async def _link_to_target(soak: Run, for_s: float) -> None:
+async def _link_to_target(soak: SoakControl, for_s: float) -> None:
     await soak.links.disturb_target(soak.rng, for_s)
 
 
-async def _link_to_store(soak: Run, for_s: float) -> None:
+async def _link_to_store(soak: SoakControl, for_s: float) -> None:
     await soak.links.disturb_store(soak.rng, for_s)
 
 
-async def _read_settings(soak: Run, for_s: float) -> None:
-    """Change a settings file, and tell the daemon or let it find it."""
+async def _change_settings(soak: SoakControl, for_s: float) -> None:
+    """Change a settings file, with or without a SIGHUP to the daemon."""
     name = soak.draw_running()
     if name is None:
         return
@@ -190,16 +194,16 @@
     'service silent': _silent_service,
     'target restarts': _restart_target,
     'target drains': _drain_target,
-    'entries lapse': _lapse,
-    'entry of another writer': _foreign_entry,
-    'store away': _store_away,
+    'entries lapse': _expire_entries,
+    'entry of another writer': _invalid_entry,
+    'store away': _store_unavailable,
     'store silent': _store_silent,
     'watches cut': _cut_watches,
     'history forgotten': _forget_history,
     'new version': _new_version,
     'link to a target': _link_to_target,
     'link to the store': _link_to_store,
-    'settings change': _read_settings,
+    'settings change': _change_settings,
 }
 
 PLANNED = (
@@ -213,4 +217,4 @@
     'target restarts',
     'entries lapse',
 )
-"""Planned work, and what targets may do to it."""
+"""Planned work, and slow or silent targets that may delay it."""
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -1,4 +1,4 @@
-"""One run: callers, faults from outside, and the history they leave."""
+"""A soak run: callers, injected faults, and the recorded history."""
 
 import asyncio
 import collections
@@ -14,16 +14,16 @@
 from standins import prepared_system
 
 SHARDS = tuple(f'shard-{number}' for number in range(1, 7))
-_CALLERS = 12
+_CALLER_COUNT = 12
 _FAULT_EVERY_S = (0.2, 1.0)
 _FAULT_FOR_S = (0.3, 1.5)
 _SETTLE_S = 1.5
-_ROUTES_MS = 30_000
-_LOOK_S = 0.02
-_TRIES = 20
+_ROUTE_TIMEOUT_MS = 30_000
+_POLL_S = 0.02
+_PENDING_TRIES = 20
 
 STOP_LIMIT_S = 3.0
-"""When a platform would kill a daemon that stops."""
+"""Time after which the platform kills a daemon that is stopping."""
 
 _TERM, _HUP = signal.SIGTERM, signal.SIGHUP
 _STOP_SIGNALS = (
@@ -33,17 +33,17 @@
     (_TERM, _HUP),
     (_TERM, _HUP, _TERM),
 )
-"""What a daemon that is stopped may get, one after the other."""
+"""Series of signals that a stop may send."""
 
-_TOLD_OF = re.compile('"request":"([a-z0-9]+)"')
-"""A request that a line of a daemon's log is about."""
+_LOGGED_REQUEST = re.compile('"request":"([a-z0-9]+)"')
+"""Finds the request id in a line of a daemon's log."""
 
 _SIGNAL_GAP_S = (0.0, 0.6)
 
-_STOPPED_EARLY_SHARE = 0.2
-_STOPPED_EARLY_S = (0.1, 1.2)
-"""Part of the starts that are stopped, and how long after the launch: before
-the signal has a handler, before the daemon is ready, and just after."""
+_EARLY_STOP_SHARE = 0.2
+_EARLY_STOP_AFTER_S = (0.1, 1.2)
+"""``_EARLY_STOP_SHARE`` of the starts are stopped this long after launch:
+before signal handlers exist, before the daemon is ready, or just after."""
 
 
 class Soak:
@@ -52,13 +52,13 @@
     Parameters
     ----------
     seed
-        What is drawn follows from it; when it falls does not.
+        Seed of the random choices; their timing depends on the machine.
     hosts
-        How many daemons.
+        Number of daemons.
     system
-        The stand-ins, and the daemons as processes.
+        The stand-ins and the daemon processes.
     faults
-        Names of the faults that may fall.
+        Names of the faults to inject.
     """
 
     def __init__(
@@ -72,19 +72,20 @@
         self.system = system
         self.names = [f'entry-{number}' for number in range(hosts)]
         self.callers = _callers.Callers(self.rng, system)
-        self.faults: collections.Counter[str] = collections.Counter()
+        self.fault_counts: collections.Counter[str] = collections.Counter()
         self.version = 1
         self.links = _links.Links(system)
-        self._names_of_faults = sorted(faults)
+        self._fault_names = sorted(faults)
+        # Daemons that are stopping or starting.
         self._busy: set[str] = set()
         self._killed: set[tuple[str, int]] = set()
         self._stops: list[_checks.Stop] = []
 
     async def run(self, seconds: float) -> _checks.History:
-        """Start everything, let faults fall, and return what was seen."""
+        """Start everything, inject faults, and return the history."""
         await self.system.start_targets()
         await self.links.place_before_targets()
-        self.configure(self.version)
+        self.publish_version(self.version)
         for name in self.names:
             store = await self.links.place_before_store(name)
             await self.system.start_daemon(
@@ -94,43 +95,46 @@
                 stop_limit_s=STOP_LIMIT_S,
             )
         callers = [
-            asyncio.create_task(self.callers.call()) for _ in range(_CALLERS)
+            asyncio.create_task(self.callers.run_caller())
+            for _ in range(_CALLER_COUNT)
         ]
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + seconds
         pending: set[asyncio.Task] = set()
         while loop.time() < ends_s:
-            pending.add(asyncio.create_task(self._fault()))
+            pending.add(asyncio.create_task(self._inject_fault()))
             await asyncio.sleep(self.rng.uniform(*_FAULT_EVERY_S))
         await asyncio.gather(*pending)
         self.links.heal()
         await asyncio.sleep(_SETTLE_S)
-        await self._serves_again()
+        await self._wait_until_serving()
         await self._stop_all()
         self.callers.running = False
         await asyncio.gather(*callers)
         self.links.close()
         return self.history()
 
-    def configure(self, version: int) -> None:
-        """Write a version; each adds a route and keeps those before."""
+    def publish_version(self, version: int) -> None:
+        """Write a configuration with one added route for each version."""
         self.version = self.callers.version = version
         self.system.configure(
             version,
             added=range(1, version + 1),
-            timeout_ms=_ROUTES_MS,
+            timeout_ms=_ROUTE_TIMEOUT_MS,
             added_attempts=1,
         )
 
     def history(self) -> _checks.History:
-        """Return what was seen so far."""
+        """Return the history so far."""
         records = {
             target.service: target.records()
             for target in self.system.targets.values()
         }
-        runs = tuple(_checks.Run(*row.split()) for row in self.system.runs)
+        runs = tuple(
+            _checks.Execution(*row.split()) for row in self.system.runs
+        )
         return _checks.History(
-            tuple(self.callers.asked),
+            tuple(self.callers.records),
             runs,
             SHARDS,
             records,
@@ -140,12 +144,12 @@
             tuple(self._stops),
             frozenset(self._killed),
             {
-                name: frozenset(_TOLD_OF.findall(self.system.log(name)))
+                name: frozenset(_LOGGED_REQUEST.findall(self.system.log(name)))
                 for name in self.names
             },
         )
 
-    async def _serves_again(self) -> None:
+    async def _wait_until_serving(self) -> None:
         for name in self.names:
             for _ in range(200):
                 if await self._search(name) == 200:
@@ -153,81 +157,85 @@
                 await asyncio.sleep(0.05)
             else:
                 raise AssertionError(
-                    f'{name} serves nothing after the faults\n'
+                    f'{name} answers no search after the faults ended\n'
                     f'{self.system.log(name)[-3000:]}'
                 )
 
     async def _search(self, name: str) -> int:
-        return await self.callers.use(
+        return await self.callers.send_requests(
             name, lambda: [self.callers.draw('search', 1_500)]
         )
 
     async def _stop_all(self) -> None:
-        """Stop all daemons while each has requests at silent targets."""
+        """Stop all daemons while each has pending requests at targets."""
         for target in self.system.targets.values():
             target.delay_s = _faults.NEVER_S
-        held = [
-            await self._hold_open(name, kind)
+        pending = [
+            await self._start_pending_request(name, kind)
             for name in self.names
             for kind in _callers.KINDS
         ]
         await asyncio.gather(*map(self._stop, self.names))
-        await asyncio.gather(*held)
+        await asyncio.gather(*pending)
 
-    async def _hold_open(self, name: str, kind: str) -> asyncio.Task[int]:
-        """Return a request that a target has begun and does not answer."""
-        for _ in range(_TRIES):
-            asking = await self._ask_until_begun(name, self.callers.draw(kind))
-            if not asking.done():
-                return asking
+    async def _start_pending_request(
+        self, name: str, kind: str
+    ) -> asyncio.Task[int]:
+        """Send requests until one is pending at a target; return its task."""
+        for _ in range(_PENDING_TRIES):
+            task = await self._send_until_begun(name, self.callers.draw(kind))
+            if not task.done():
+                return task
         raise AssertionError(
-            f'{name} brought no {kind} to a target\n'
+            f'{name}: no {kind} stayed pending at a target\n'
             f'{self.system.log(name)[-3000:]}'
         )
 
-    async def _ask_until_begun(
+    async def _send_until_begun(
         self, name: str, request: _callers.Request
     ) -> asyncio.Task[int]:
-        """Return a request once a target has begun it, or it was refused."""
+        """Send a request; return when a target has begun it or it ended."""
         before, began = len(self.system.runs), f'{request.request_id} '
-        asking = asyncio.create_task(self.callers.use(name, lambda: [request]))
-        while not asking.done():
+        task = asyncio.create_task(
+            self.callers.send_requests(name, lambda: [request])
+        )
+        while not task.done():
             new = self.system.runs[before:]
             if any(row.startswith(began) for row in new):
                 break
-            await asyncio.sleep(_LOOK_S)
-        return asking
+            await asyncio.sleep(_POLL_S)
+        return task
 
-    # Faults.
+    # Injection of faults, and the operations that faults use.
 
-    async def _fault(self) -> None:
-        name = self.rng.choice(self._names_of_faults)
-        self.faults[name] += 1
+    async def _inject_fault(self) -> None:
+        name = self.rng.choice(self._fault_names)
+        self.fault_counts[name] += 1
         for_s = self.rng.uniform(*_FAULT_FOR_S)
         await _faults.FAULTS[name](self, for_s)
 
     def draw_running(self) -> str | None:
-        """Return a daemon to disturb; one is always left alone."""
+        """Return a random running daemon, or None if only one runs."""
         up = [
             name
             for name in self.names
-            if name not in self.callers.away | self._busy
+            if name not in self.callers.unavailable | self._busy
         ]
         return self.rng.choice(up) if len(up) > 1 else None
 
     async def kill_daemon(self) -> None:
-        """Kill a daemon and start it again."""
+        """Kill a daemon with SIGKILL and restart it."""
         name = self.draw_running()
         if name is not None:
-            self.callers.away.add(name)
+            self.callers.unavailable.add(name)
             self._killed.add((name, self.callers.starts[name]))
             await self.system.stop_daemon(name, signal.SIGKILL)
             await self._start_again(name)
 
     async def stop_daemon(self) -> None:
-        """Ask a daemon to stop, and start it again when it is gone.
+        """Stop a daemon by signal, and restart it when it has exited.
 
-        Callers go on using it, on open connections and new ones.
+        Callers continue to use it, on open connections and new ones.
         """
         name = self.draw_running()
         if name is not None:
@@ -235,7 +243,7 @@
             await self._start_again(name)
 
     async def _stop(self, name: str, ready: bool = True) -> None:
-        """Send the signals of one stop; return when the daemon is gone."""
+        """Send the signals of one stop; return when the daemon has exited."""
         self._busy.add(name)
         *first, last = signals = self.rng.choice(_STOP_SIGNALS)
         from_s = asyncio.get_running_loop().time()
@@ -243,7 +251,7 @@
             self.system.send(name, number)
             await asyncio.sleep(self.rng.uniform(*_SIGNAL_GAP_S))
         status = await self.system.stop_daemon(name, last)
-        self.callers.away.add(name)
+        self.callers.unavailable.add(name)
         self._busy.discard(name)
         to_s = asyncio.get_running_loop().time()
         start = self.callers.starts[name]
@@ -254,10 +262,10 @@
         )
 
     async def _start_again(self, name: str) -> None:
-        """Start a daemon; callers come at once, and perhaps a stop."""
+        """Restart a daemon, at times after further early stops."""
         self._launch(name)
-        while self.rng.random() < _STOPPED_EARLY_SHARE:
-            await asyncio.sleep(self.rng.uniform(*_STOPPED_EARLY_S))
+        while self.rng.random() < _EARLY_STOP_SHARE:
+            await asyncio.sleep(self.rng.uniform(*_EARLY_STOP_AFTER_S))
             await self._stop(name, ready=False)
             self._launch(name)
         await self.system.wait_ready(name)
@@ -270,21 +278,21 @@
         self.system.store.faults.status = 0
         self.system.store.faults.silent = False
         self.system.launch_daemon(name)
-        self.callers.away.discard(name)
+        self.callers.unavailable.discard(name)
 
     async def freeze(self, for_s: float) -> None:
-        """Let a daemon stand still."""
+        """Suspend a daemon with SIGSTOP for a time."""
         name = self.draw_running()
         if name is None:
             return
-        self.callers.away.add(name)
+        self.callers.unavailable.add(name)
         self.system.send(name, signal.SIGSTOP)
         await asyncio.sleep(for_s)
         self.system.send(name, signal.SIGCONT)
-        self.callers.away.discard(name)
+        self.callers.unavailable.discard(name)
 
     def draw_target(self) -> prepared_system.PreparedTarget:
-        """Return a target to disturb."""
+        """Return a random target."""
         return self.system.targets[
             self.rng.choice(sorted(self.system.targets))
         ]
--- a/standins/cold_links.py
+++ b/standins/cold_links.py
@@ -1,8 +1,8 @@
-"""Targets with slots, and connections to them that are cold at first.
+"""Targets with slots, and links that begin without open connections.
 
-A model of what a daemon meets in the second after a start: no connection is
-open, each new one holds a slot of its target for some ms, and a daemon may
-have few of them.  Time is moved by hand.
+A model of the first second after a daemon's start: no connection is open,
+each new one occupies a slot of its target for some ms, and the number of
+connections is limited.  The test advances the time.
 """
 
 import asyncio
@@ -27,17 +27,20 @@
 
 
 class SlotTargets:
-    """Targets that work on ``slots`` things at once, in order of arrival.
+    """Targets that each have ``slots`` slots, taken in order of arrival.
 
     Parameters
     ----------
     clock
-        Time, moved by the test.
+        The clock, advanced by the test.
     rng
-        Seeded; how long each request takes.
-    slots, handshake_ms, work_ms
-        Of each target: what it does at once, how long a new connection
-        holds a slot, and the mean time of a request.
+        Seeded source of service times.
+    slots
+        Number of connects and requests that a target handles at once.
+    handshake_ms
+        How long a new connection occupies a slot.
+    work_ms
+        Mean service time of a request.
     """
 
     def __init__(
@@ -60,31 +63,32 @@
         self.handshakes = 0
         self.requests = 0
 
-    async def shake_hands(self, target: str) -> None:
-        """Take a new connection."""
+    async def accept_connection(self, target: str) -> None:
+        """Accept a new connection."""
         self.handshakes += 1
         await self._hold(target, self._handshake_ms)
 
     async def work(self, target: str) -> None:
-        """Work on a request, also for a caller that has left."""
+        """Run a request, to its end even if the exchange is cancelled."""
         self.requests += 1
-        took_ms = self._work_ms * self._rng.uniform(0.6, 1.4)
-        await asyncio.shield(self._hold(target, took_ms))
+        work_ms = self._work_ms * self._rng.uniform(0.6, 1.4)
+        await asyncio.shield(self._hold(target, work_ms))
 
     async def _hold(self, target: str, span_ms: float) -> None:
+        """Wait for a slot of a target and occupy it for a time."""
         if self._busy[target] >= self._slots:
-            turn = asyncio.get_running_loop().create_future()
-            self._queues[target].append(turn)
-            await turn
+            waiter = asyncio.get_running_loop().create_future()
+            self._queues[target].append(waiter)
+            await waiter
         self._busy[target] += 1
-        over = asyncio.get_running_loop().create_future()
-        self._clock.after(span_ms, lambda: over.set_result(None))
-        await over
+        finished = asyncio.get_running_loop().create_future()
+        self._clock.after(span_ms, lambda: finished.set_result(None))
+        await finished
         self._busy[target] -= 1
         while self._queues[target]:
-            turn = self._queues[target].popleft()
-            if not turn.done():
-                turn.set_result(None)
+            waiter = self._queues[target].popleft()
+            if not waiter.done():
+                waiter.set_result(None)
                 return
 
 
@@ -97,16 +101,16 @@
     )
 
     def wake(self) -> None:
-        """Let the next one look again."""
+        """Wake the next exchange that waits for a connection."""
         while self.waiting:
-            turn = self.waiting.popleft()
-            if not turn.done():
-                turn.set_result(None)
+            waiter = self.waiting.popleft()
+            if not waiter.done():
+                waiter.set_result(None)
                 return
 
 
-class ColdLinks(memory_links.HandLinks):
-    """One daemon's connections, at most ``limit`` to each target."""
+class ColdLinks(memory_links.ManualLinks):
+    """One daemon's links, with at most ``limit`` connections per target."""
 
     def __init__(self, targets: SlotTargets, limit: int = 2) -> None:
         super().__init__()
@@ -115,7 +119,7 @@
         self._pools: dict[str, _Pool] = collections.defaultdict(_Pool)
 
     def has_room(self, target: state.LiveTarget) -> bool:
-        """Whether an exchange would get a connection without waiting."""
+        """Return whether an exchange would get a connection at once."""
         pool = self._pools[target.target_id]
         return bool(pool.idle) or pool.open < self._limit
 
@@ -130,40 +134,40 @@
         on_chunk: typing.Callable[[bytes], None] | None = None,
         on_send: typing.Callable[[], None] = lambda: None,
     ) -> memory_links.Reply:
-        """Get a connection, send and wait; a cancelled one is closed."""
+        """Get a connection and run a request; cancelling closes it."""
         name = target.target_id
         pool = self._pools[name]
         await self._connect(pool, name)
         if not is_wanted():
             self._release(pool, True)
             return result.Failure(_UNWANTED)
-        whole = False
+        reusable = False
         try:
             await self._targets.work(name)
-            whole = True
+            reusable = True
         finally:
-            self._release(pool, whole)
+            self._release(pool, reusable)
         headers = (('Receipt', f'receipt-{name}'),)
         return result.Success(protocol.HttpReply(200, headers, _RECORD))
 
     async def _connect(self, pool: _Pool, name: str) -> None:
         while not pool.idle and pool.open >= self._limit:
-            turn = asyncio.get_running_loop().create_future()
-            pool.waiting.append(turn)
-            await turn
+            waiter = asyncio.get_running_loop().create_future()
+            pool.waiting.append(waiter)
+            await waiter
         if pool.idle:
             pool.idle -= 1
             return
         pool.open += 1
         try:
-            await self._targets.shake_hands(name)
+            await self._targets.accept_connection(name)
         except asyncio.CancelledError:
             pool.open -= 1
             pool.wake()
             raise
 
-    def _release(self, pool: _Pool, whole: bool) -> None:
-        if whole:
+    def _release(self, pool: _Pool, reusable: bool) -> None:
+        if reusable:
             pool.idle += 1
         else:
             pool.open -= 1
--- a/standins/memory_dispatcher.py
+++ b/standins/memory_dispatcher.py
@@ -1,4 +1,4 @@
-"""A dispatcher in memory that runs unrepeatable orders as it is told."""
+"""An in-memory dispatcher with random behaviours for run orders."""
 
 import random
 import typing
@@ -9,10 +9,25 @@
 
 
 class MemoryDispatcher:
-    """Runs orders as drawn: at once, late, not at all, without a report.
-
-    ``behaviours`` are the ones to draw from.  A cancel proves that an
-    order was not begun while it waits in the queue, and only then.
+    """Handles each run order with a randomly drawn behaviour.
+
+    ``behaviours`` holds the names to draw from.  The method of a behaviour
+    is its name with a leading underscore and ``-`` replaced by ``_``.  A
+    cancel is reported as done only while the order is queued, because only
+    then it is certain that the order has not begun.
+
+    Parameters
+    ----------
+    network
+        The network that the dispatcher joins.
+    name
+        Its member name.
+    clock
+        Source of delays.
+    randomness
+        Source of behaviours and delays.
+    on_execute
+        Called with the order and its receipt when a target runs it.
     """
 
     BEHAVIOURS = (
@@ -22,21 +37,21 @@
 
     def __init__(
         self,
-        hub: memory_peers.MemoryNetwork,
+        network: memory_peers.MemoryNetwork,
         name: str,
         clock: timers.Timers,
         randomness: random.Random,
-        executed: typing.Callable[[protocol.RunOrder, str], None],
+        on_execute: typing.Callable[[protocol.RunOrder, str], None],
     ) -> None:
-        self._endpoint = hub.join(name)
+        self._endpoint = network.join(name)
         self._clock = clock
         self._random = randomness
-        self._executed = executed
+        self._on_execute = on_execute
         self.executions = 0
         self._queued: dict[str, timers.TimerHandle] = {}
         self.behaviours: tuple[str, ...] = self.BEHAVIOURS
         self.orders: list[protocol.RunOrder] = []
-        self.deaf_to_cancels = False
+        self.ignores_cancels = False
         self.queue_ms = 4_000.0
         self._endpoint.subscribe(protocol.RunOrder, self._on_order)
         self._endpoint.subscribe(protocol.CancelAttempts, self._on_cancel)
@@ -91,10 +106,10 @@
         self.report(sender, order, protocol.SubStatus.BROKEN, True)
 
     def _unread(self, sender: str, order: protocol.RunOrder) -> None:
-        """Lose the order, as a dispatcher that dies with it does."""
+        """Lose the order, as if the dispatcher died before reading it."""
 
     def _on_cancel(self, sender: str, cancel: protocol.CancelAttempts) -> None:
-        if self.deaf_to_cancels:
+        if self.ignores_cancels:
             return
         for order in self.orders:
             waiting = self._queued.get(order.attempt_id)
@@ -107,16 +122,16 @@
         self.answer(sender, order, self.execute(order))
 
     def execute(self, order: protocol.RunOrder) -> str:
-        """Run the order at its target."""
+        """Run the order at its target; return the receipt."""
         self.executions += 1
         receipt = f'{self._endpoint.name}-{self.executions}'
-        self._executed(order, receipt)
+        self._on_execute(order, receipt)
         return receipt
 
     def answer(
         self, sender: str, order: protocol.RunOrder, receipt: str
     ) -> None:
-        """Report that the target ran it."""
+        """Report that the target ran the order."""
         self._endpoint.send(
             sender,
             protocol.RunReport(
--- a/standins/memory_orders.py
+++ b/standins/memory_orders.py
@@ -1,4 +1,4 @@
-"""Searches that cross to each site once: real mergers, targets by hand."""
+"""A harness for merge orders: real mergers, targets answered by the test."""
 
 import asyncio
 import contextlib
@@ -22,8 +22,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class OrderSeen:
-    """An order as the daemon that it was sent to got it."""
+class ReceivedOrder:
+    """An order that a merger received; ``lost`` cuts its connection."""
 
     merger: str
     order: protocol.MergeOrder
@@ -31,23 +31,24 @@
 
 
 class OrderLinks:
-    """Carries orders to mergers in memory.
+    """Links that carry orders to mergers in memory.
 
-    ``dead`` take no connection, ``frozen`` never report, ``old`` do not
-    know orders, ``garbled`` spoil their first report.  :meth:`lose` cuts the
-    orders that one has.
+    Mergers in ``dead`` accept no connection, those in ``frozen`` never
+    report, those in ``without_orders`` refuse orders with 503, and those in
+    ``corrupting`` send an undecodable first report.  :meth:`lose` cuts the
+    open orders of one merger.
     """
 
     def __init__(self, mergers: dict[str, forwarding.Merger]) -> None:
         self._mergers = mergers
-        self.seen: list[OrderSeen] = []
+        self.seen: list[ReceivedOrder] = []
         self.dead: set[str] = set()
         self.frozen: set[str] = set()
-        self.old: set[str] = set()
-        self.garbled: set[str] = set()
+        self.without_orders: set[str] = set()
+        self.corrupting: set[str] = set()
 
     def lose(self, merger: str) -> None:
-        """End all orders of one daemon, as its death would."""
+        """Break the connections of all orders at one merger."""
         for row in self.seen:
             if row.merger == merger:
                 row.lost.set()
@@ -63,14 +64,14 @@
         on_chunk: typing.Callable[[bytes], None] | None = None,
         on_send: typing.Callable[[], None] = lambda: None,
     ) -> memory_links.Reply:
-        """Carry an order, and its reports back."""
+        """Deliver an order and return its reports as chunks."""
         name = target.target_id
         if name in self.dead:
             return _failure(Kind.UNREACHABLE)
-        if name in self.old:
+        if name in self.without_orders:
             return result.Success(protocol.HttpReply(503))
         order = protocol.decode_order(request.body).unwrap()
-        seen = OrderSeen(name, order)
+        seen = ReceivedOrder(name, order)
         self.seen.append(seen)
         assert on_chunk is not None
         if name in self.frozen:
@@ -94,19 +95,19 @@
         on_chunk: typing.Callable[[bytes], None],
     ) -> None:
         reports = self._mergers[name].reports(order)
-        spoils = name in self.garbled
+        corrupts = name in self.corrupting
         async with contextlib.aclosing(reports) as rows:
             async for report in rows:
                 chunk = protocol.encode_merge_message(report)
-                on_chunk(b'\xc1' if spoils else chunk)
-                spoils = False
+                on_chunk(b'\xc1' if corrupts else chunk)
+                corrupts = False
 
     def has_room(self, target: state.LiveTarget) -> bool:
-        """Daemons take many connections."""
+        """Return True: connections to mergers are not limited."""
         return True
 
     async def is_listening(self, target: state.LiveTarget) -> bool:
-        """Whether a daemon takes connections."""
+        """Return whether a merger accepts connections."""
         return target.target_id not in self.dead
 
 
@@ -114,11 +115,12 @@
     return result.Failure(transport.LinkError(kind, 'by the test'))
 
 
-class OrderDesk(memory_links.ForwardDesk):
-    """A search desk at one of three sites, with two mergers at each other.
+class OrderHarness(memory_links.ForwarderHarness):
+    """A forwarder at one of three sites, with two mergers at each other site.
 
-    Shard ``s<n>`` has its targets ``s<n>-0`` and ``s<n>-1`` at two sites, in
-    turn; ``far_only`` puts all of them at the two other sites.
+    The targets ``s<n>-0`` and ``s<n>-1`` of shard ``s<n>`` are at two
+    consecutive sites of ``SITES``; ``far_only`` leaves out the site of the
+    forwarder.
     """
 
     def __init__(self, shards: int = 36, far_only: bool = False) -> None:
@@ -133,18 +135,18 @@
                 self._add_merger(f'{site}-{number}', site)
 
     def put(self, name: str, service: str, **changes: typing.Any) -> None:
-        """Register a target at the site that its name gives."""
+        """Register a target at the site derived from its name."""
         shard, _, number = name.rpartition('-')
         site = 'here'
         if shard != 'p':
-            place = int(shard[1:]) + int(number)
-            site = self._sites[place % len(self._sites)]
+            site_index = int(shard[1:]) + int(number)
+            site = self._sites[site_index % len(self._sites)]
         self.targets.put(
             state.LiveTarget(name, service, '127.0.0.1:1', site, 2, **changes)
         )
 
     def make_replicas(self) -> coordination.ReplicaSelector:
-        """Return the records of targets; those of this site come first."""
+        """Return a replica selector that prefers targets of this site."""
         return coordination.ReplicaSelector(
             random.Random(memory_links.SEED),
             lambda name: self.targets.get(name).site == 'here',
@@ -152,8 +154,8 @@
             self.clock.now_ms,
         )
 
-    def make_orders(self) -> forwarding.OrderClient:
-        """Return what sends this desk's orders."""
+    def make_order_client(self) -> forwarding.OrderClient:
+        """Return the client that sends this forwarder's merge orders."""
         loads = coordination.ReplicaSelector(
             random.Random(memory_links.SEED),
             lambda name: True,
@@ -173,33 +175,33 @@
         self.peers.put(
             state.LiveTarget(name, 'coordinators', '127.0.0.1:1', site, 1)
         )
-        asker = forwarding.TargetClient(
+        target_client = forwarding.TargetClient(
             self.targets, memory_links.PlainDialect(), self.links, self.clock
         )
         self.mergers[name] = forwarding.Merger(
-            asker, self.clock, self.counters
+            target_client, self.clock, self.counters
         )
 
-    def move(self, name: str, site: str) -> None:
-        """Have a target at a site."""
+    def move_target(self, name: str, site: str) -> None:
+        """Register a target again at another site."""
         target = self.targets.get(name)
         assert target is not None
         self.targets.put(dataclasses.replace(target, site=site))
 
-    def make_merger_ignorant(self, name: str) -> None:
-        """Have a daemon that knows no targets yet."""
-        asker = forwarding.TargetClient(
+    def make_merger_without_targets(self, name: str) -> None:
+        """Replace a merger by one that knows no targets yet."""
+        target_client = forwarding.TargetClient(
             forwarding.LiveTargets(self.clock),
             memory_links.PlainDialect(),
             self.links,
             self.clock,
         )
         self.mergers[name] = forwarding.Merger(
-            asker, self.clock, self.counters
+            target_client, self.clock, self.counters
         )
 
-    def runs(self) -> dict[str, list[str]]:
-        """Return the targets that were asked, by shard."""
+    def asked_targets(self) -> dict[str, list[str]]:
+        """Return the targets that got a request, by shard."""
         found: dict[str, list[str]] = {}
         for sent in self.links.sent:
             shard = sent.target.rpartition('-')[0]
--- a/standins/prepared_system.py
+++ b/standins/prepared_system.py
@@ -1,7 +1,7 @@
 """A small system on the users' platform: store, targets, real daemons.
 
-The store and the targets run in this process, the daemons are the real
-program, each a process of its own that is ended here by its pid.
+The store and the targets run in this process.  Each daemon is a process of
+the real program, which only this module signals, by pid.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
 _START_LIMIT_S = 20.0
 _STOP_LIMIT_S = 15.0
-_LOG_LIMIT_S = 15.0
+_LOG_WAIT_LIMIT_S = 15.0
 
 SHARDS = ('shard-1', 'shard-2', 'shard-3', 'shard-4')
 DESK = 'desk'
@@ -33,7 +33,13 @@
 
 
 class PreparedTarget:
-    """One target: answers with its receipt, and logs what it ran."""
+    """One target, which answers with its records and a receipt.
+
+    Requests that it begins to run are appended to ``log``.  It takes
+    ``delay_s`` for each, and with ``lose_answers`` it resets the connection
+    instead of answering.  ``born`` is stated in its registry entry
+    and selects its records.
+    """
 
     def __init__(
         self, target_id: str, service: str, log: list[str], born: int = 1
@@ -49,7 +55,7 @@
         self.address = ''
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening and set ``address``."""
         self.address = await self._server.start()
 
     async def stop(self) -> None:
@@ -58,7 +64,7 @@
         await self._server.stop()
 
     def records(self) -> bytes:
-        """Return the records of this target's shard, others each life."""
+        """Return the records of the shard, which differ by ``born``."""
         first = self.born * 10
         return b''.join(
             f'{self.service:>8}{number:08}'.encode()
@@ -66,7 +72,7 @@
         )
 
     async def _answer(
-        self, seen: scripted_target.Seen, writer: asyncio.StreamWriter
+        self, seen: scripted_target.HttpMessage, writer: asyncio.StreamWriter
     ) -> None:
         request_id = seen.headers['request-id']
         if seen.headers.get('expect-instance') != self.target_id:
@@ -87,7 +93,7 @@
         )
 
     async def _work(self) -> None:
-        """Take the time of one request, or until the target is stopped."""
+        """Wait for ``delay_s``, or until the target is stopped."""
         if self.delay_s:
             ended = asyncio.create_task(self._ended.wait())
             await asyncio.wait((ended,), timeout=self.delay_s)
@@ -95,14 +101,17 @@
 
 
 class PreparedSystem:
-    """Use as an asynchronous context manager.
+    """A store, targets and daemons; use as an async context manager.
+
+    ``runs`` has a line ``request target`` for each request that a target
+    began.
 
     Parameters
     ----------
     shards
-        The services that a search asks.
+        The services that a search is sent to.
     sites
-        By service: where its targets are, if not at the first site.
+        Site of the targets by service; by default ``SITE``.
     """
 
     def __init__(
@@ -115,7 +124,7 @@
         self.store = prepared_store.PreparedStore()
         self.targets: dict[str, PreparedTarget] = {}
         self.runs: list[str] = []
-        self.doors: dict[str, str] = {}
+        self.caller_addresses: dict[str, str] = {}
         self.store_address = ''
         self._settings: dict[str, dict[str, object]] = {}
         self._processes: dict[str, subprocess.Popen] = {}
@@ -141,7 +150,7 @@
         self._folder.cleanup()
 
     async def start_targets(self, replicas: int = 2) -> None:
-        """Start ``replicas`` targets a service and register them."""
+        """Start and register ``replicas`` targets for each service."""
         for service in (*self._shards, DESK):
             for number in range(replicas):
                 name = f'{service}-{number}'
@@ -151,9 +160,9 @@
                 self.register(name)
 
     async def restart_target(self, name: str, born: int) -> None:
-        """End a target and start it under its id, holding other content.
+        """Restart a target under its id, at a new address.
 
-        It has another address; ``born`` is what it says of its start.
+        ``born`` is written to its registry entry and selects its records.
         """
         before = self.targets[name]
         await before.stop()
@@ -163,7 +172,7 @@
         self.register(name)
 
     def register(self, name: str, state: str = 'ready') -> None:
-        """Write a target's entry."""
+        """Write the registry entry of a target."""
         target = self.targets[name]
         entry = {
             'Service': target.service,
@@ -187,9 +196,10 @@
         added_attempts: int = 2,
         **changes: typing.Any,
     ) -> None:
-        """Write a configuration with three routes, and those ``added``.
+        """Write a configuration with three routes and those in ``added``.
 
-        ``added_attempts`` is how many targets the latter allow a request.
+        ``added_attempts`` is the number of targets that the added routes
+        allow per request.
         """
         common = {'Host': HOST, 'TimeoutMs': timeout_ms, 'MaxAttempts': 2}
         routes = [
@@ -229,7 +239,7 @@
         self.store.put('config', 'main', configuration)
 
     async def start_daemon(self, name: str, **settings: object) -> None:
-        """Start the real program and wait until it is ready."""
+        """Start a daemon on free ports and wait until it is ready."""
         front, ready, peer, metrics = (
             f'127.0.0.1:{port}' for port in cluster.free_ports(4)
         )
@@ -240,29 +250,35 @@
             'platform_address': self.store_address, 'balancer_lag_ms': 300,
         }  # fmt: skip
         self.write_settings(name, **settings)
-        self.doors[name] = front
+        self.caller_addresses[name] = front
         self._ready[name] = ready
         await self.restart_daemon(name)
 
     async def restart_daemon(self, name: str) -> None:
-        """Start a daemon at its place and wait until it is ready."""
+        """Launch a daemon that is not running; wait until it is ready."""
         self.launch_daemon(name)
         await self.wait_ready(name)
 
     def launch_daemon(self, name: str) -> None:
-        """Start a daemon at its place."""
+        """Start a daemon whose settings are written, without waiting."""
         path = pathlib.Path(self._folder.name) / f'{name}.json5'
         log = self.log_path(name).open('ab')
         command = [sys.executable, str(_ROOT / 'platform' / 'entry.py')]
         self._processes[name] = subprocess.Popen(
-            [*command, '--settings', str(path), '--callers', self.doors[name]],
+            [
+                *command,
+                '--settings',
+                str(path),
+                '--callers',
+                self.caller_addresses[name],
+            ],
             stdout=log,
             stderr=log,
         )
         log.close()
 
     def write_settings(self, name: str, **changes: object) -> pathlib.Path:
-        """Write a daemon's settings file with some fields changed."""
+        """Write the settings file of a daemon with changed fields."""
         self._settings[name].update(changes)
         path = pathlib.Path(self._folder.name) / f'{name}.json5'
         text = json.dumps(self._settings[name])
@@ -270,7 +286,7 @@
         return path
 
     async def counter(self, name: str, counter: str) -> float:
-        """Return the sum of a counter on a daemon's metrics page."""
+        """Return a daemon's counter, summed over its labels."""
         assert self._session is not None
         address = self._settings[name]['metrics_address']
         async with self._session.get(f'http://{address}/metrics') as got:
@@ -282,13 +298,13 @@
         )
 
     def processor_s(self, name: str) -> float:
-        """Return the processor time that a daemon has used (Linux)."""
+        """Return the CPU time of a daemon in s (Linux)."""
         path = pathlib.Path(f'/proc/{self._processes[name].pid}/stat')
         fields = path.read_text(encoding='ascii').rpartition(')')[2].split()
         return sum(map(int, fields[11:13])) / os.sysconf('SC_CLK_TCK')
 
     def memory_mb(self, name: str) -> float:
-        """Return a daemon's peak memory in MB of a million bytes (Linux)."""
+        """Return the peak resident memory of a daemon in MB (Linux)."""
         path = pathlib.Path(f'/proc/{self._processes[name].pid}/status')
         for line in path.read_text(encoding='ascii').splitlines():
             if line.startswith('VmHWM:'):
@@ -296,7 +312,7 @@
         raise ValueError(f'got no VmHWM in {path}, expected one')
 
     async def wait_ready(self, name: str) -> None:
-        """Wait until a daemon says that it is ready."""
+        """Wait until a daemon reports that it is ready."""
         assert self._session is not None
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + _START_LIMIT_S
@@ -316,17 +332,16 @@
         return pathlib.Path(self._folder.name) / f'{name}.log'
 
     def log(self, name: str) -> str:
-        """Return what a daemon has logged."""
+        """Return the log of a daemon."""
         return self.log_path(name).read_text(encoding='utf-8')
 
     async def log_with_end_of(self, name: str, request_id: str) -> str:
-        """Return a daemon's log once it tells how a request ended.
+        """Return a daemon's log once it has the outcome of a request.
 
-        Lines are written a few at a time, so that they come after the
-        answer.
+        The daemon writes its log in batches, possibly after it answers.
         """
         loop = asyncio.get_running_loop()
-        ends_s = loop.time() + _LOG_LIMIT_S
+        ends_s = loop.time() + _LOG_WAIT_LIMIT_S
         wanted = f'"request":"{request_id}"'
         while loop.time() < ends_s:
             text = self.log(name)
@@ -334,16 +349,16 @@
                 if '"request ended"' in row and wanted in row:
                     return text
             await asyncio.sleep(0.02)
-        raise TimeoutError(f'{name} never told how {request_id} ended')
+        raise TimeoutError(f'{name} has not logged the end of {request_id}')
 
     def send(self, name: str, number: signal.Signals) -> None:
-        """Send a daemon a signal."""
+        """Send a signal to a daemon."""
         self._processes[name].send_signal(number)
 
     async def stop_daemon(
         self, name: str, number: signal.Signals = signal.SIGTERM
     ) -> int:
-        """End a daemon by its pid; return its exit status."""
+        """Signal a daemon and wait for its exit; return its status."""
         process = self._processes.pop(name)
         process.send_signal(number)
         waiting = asyncio.to_thread(process.wait)
@@ -357,22 +372,22 @@
         method: str = 'GET',
         deadline_ms: int = 3_000,
     ) -> tuple[int, dict[str, str], bytes]:
-        """Send a caller's request; return status, headers and body."""
+        """Send a request as a caller; return status, headers and body."""
         assert self._session is not None
         headers = {
             'Host': HOST,
             'Request-Id': request_id,
             'Deadline-Ms': str(deadline_ms),
         }
-        url = f'http://{self.doors[daemon]}{path}'
+        url = f'http://{self.caller_addresses[daemon]}{path}'
         async with self._session.request(method, url, headers=headers) as got:
             return got.status, dict(got.headers), await got.read()
 
     def runs_of(self, request_id: str) -> list[str]:
-        """Return the targets that began a request."""
+        """Return the targets that began to run a request."""
         rows = (row.split() for row in self.runs)
         return [target for asked, target in rows if asked == request_id]
 
     def run_counts(self) -> collections.Counter[str]:
-        """Return how many targets began each request."""
+        """Return how often each request was begun by a target."""
         return collections.Counter(row.split()[0] for row in self.runs)
--- a/standins/search_desk.py
+++ b/standins/scatter_harness.py
@@ -1,4 +1,4 @@
-"""The decisions of one search, driven by hand."""
+"""A harness that drives one scatter without network, targets or timers."""
 
 import dataclasses
 import os
@@ -16,10 +16,13 @@
 
 
 @dataclasses.dataclass
-class Desk:
-    """One :class:`coordination.Scatter` driven by hand.
+class ScatterHarness:
+    """One :class:`coordination.Scatter` whose results and time a test sets.
 
-    Dispatcher of target ``tN`` is ``d(N mod 4)``.
+    The dispatcher of target ``tN`` is ``d(N mod 4)``.  ``sent`` holds all
+    attempts by id, ``pending`` those without a result, ``alone`` the ids of
+    attempts that must run alone at their targets.  Targets in ``unusable``
+    get no attempts.
     """
 
     snapshot: state.Snapshot = dataclasses.field(
@@ -34,8 +37,8 @@
 
     def __post_init__(self) -> None:
         self.unusable: set[str] = set()
-        self.lost: list[str] = []
-        self.succeeded = 0
+        self.lost_targets: list[str] = []
+        self.success_count = 0
         self.quarantine_after = 2
         self.suspected = False
         self.context = coordination.ScatterContext(
@@ -47,10 +50,10 @@
             coordination.RetryBudget(),
             self,
         )
-        self.begin()
+        self.start_search()
 
-    def begin(self) -> None:
-        """Plan one more search with the same context."""
+    def start_search(self) -> None:
+        """Start a new search with the same context."""
         plan = coordination.Plan(
             'q', 'desk', 'bole-a', self.search, {}, self.search.limit, 'f',
             self.snapshot, self.now_ms + self.search.deadline_ms,
@@ -59,13 +62,13 @@
             plan, self.context, self.limits, self.canary
         )
         self.sent: dict[str, protocol.SubQuery] = {}
-        self.waiting: dict[str, protocol.SubQuery] = {}
+        self.pending: dict[str, protocol.SubQuery] = {}
         self.alone: set[str] = set()
         self.drops: list[coordination.DropAttempts] = []
         self.outcome: protocol.SearchOutcome | None = None
-        self.take(self.scatter.start(self.now_ms))
+        self.apply_effects(self.scatter.start(self.now_ms))
 
-    # Target view and crash tracker.
+    # TargetView and CrashTracker methods.
 
     def owner(self, target: str) -> str:
         return f'd{int(target[1:]) % 4}'
@@ -74,21 +77,21 @@
         return target not in self.unusable
 
     def record_loss(self, fingerprint: str, target: str, service: str) -> None:
-        self.lost.append(target)
+        self.lost_targets.append(target)
 
     def record_success(self, fingerprint: str) -> None:
-        self.succeeded += 1
+        self.success_count += 1
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        return len(set(self.lost)) >= self.quarantine_after
+        return len(set(self.lost_targets)) >= self.quarantine_after
 
     def is_suspect(self, fingerprint: str) -> bool:
-        return self.suspected or bool(self.lost)
+        return self.suspected or bool(self.lost_targets)
 
-    # Driving it.
+    # Methods that drive the scatter.
 
-    def take(self, effects: list) -> list[protocol.SubQuery]:
-        """Note effects; return the attempts that were sent."""
+    def apply_effects(self, effects: list) -> list[protocol.SubQuery]:
+        """Record effects; return the attempts that they send."""
         new = []
         for effect in effects:
             if isinstance(effect, coordination.SendAttempts):
@@ -98,38 +101,46 @@
             elif isinstance(effect, coordination.DropAttempts):
                 self.drops.append(effect)
                 for attempt_id in effect.attempt_ids:
-                    self.waiting.pop(attempt_id, None)
+                    self.pending.pop(attempt_id, None)
             else:
                 self.outcome = effect.outcome
         for item in new:
-            self.sent[item.attempt_id] = self.waiting[item.attempt_id] = item
+            self.sent[item.attempt_id] = self.pending[item.attempt_id] = item
         return new
 
-    def give(self, *answers: Answer) -> list[protocol.SubQuery]:
-        """Deliver answers; return the attempts that this sent."""
+    def deliver(self, *answers: Answer) -> list[protocol.SubQuery]:
+        """Deliver results; return the attempts sent in response."""
         for answer in answers:
-            self.waiting.pop(answer.attempt_id, None)
-        return self.take(self.scatter.on_answers(answers, self.now_ms))
+            self.pending.pop(answer.attempt_id, None)
+        return self.apply_effects(
+            self.scatter.on_answers(answers, self.now_ms)
+        )
 
     def tick(self, delta_ms: float) -> list[protocol.SubQuery]:
-        """Move time to each due moment in turn."""
+        """Advance the time, ticking when due; return the attempts sent."""
         end_ms = self.now_ms + delta_ms
         new = []
         while self.outcome is None and self.scatter.next_due_ms() <= end_ms:
             self.now_ms = max(self.now_ms, self.scatter.next_due_ms())
-            new += self.take(self.scatter.on_tick(self.now_ms))
+            new += self.apply_effects(self.scatter.on_tick(self.now_ms))
         self.now_ms = end_ms
         return new
 
-    def good(self, item: protocol.SubQuery, **changes: object) -> Answer:
-        """Return a whole and sound answer, with changes."""
+    def good_answer(
+        self, item: protocol.SubQuery, **changes: object
+    ) -> Answer:
+        """Return a correct, complete answer with some fields changed."""
         return memory_searches.good_answer(self.snapshot, item, **changes)
 
-    def failed(self, item: protocol.SubQuery, status: Status, **more: object):
-        """Return an ending without content."""
+    def failed_answer(
+        self, item: protocol.SubQuery, status: Status, **more: object
+    ):
+        """Return a result without content."""
         return Answer(item.attempt_id, item.target, status, **more)
 
-    def give_rest(self) -> None:
-        """Answer what waits, whole, until nothing does."""
-        while self.waiting and self.outcome is None:
-            self.give(*[self.good(row) for row in self.waiting.values()])
+    def deliver_rest(self) -> None:
+        """Answer all pending attempts until none is left."""
+        while self.pending and self.outcome is None:
+            self.deliver(
+                *[self.good_answer(row) for row in self.pending.values()]
+            )
--- a/standins/scripted_target.py
+++ b/standins/scripted_target.py
@@ -1,4 +1,4 @@
-"""A target that answers with the bytes a test tells it to."""
+"""A target that answers with the bytes that a test writes."""
 
 import asyncio
 import dataclasses
@@ -6,8 +6,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seen:
-    """One request as it came."""
+class HttpMessage:
+    """One HTTP message; ``line`` is its request or status line."""
 
     line: str
     headers: dict[str, str]
@@ -15,12 +15,12 @@
 
 
 Script = typing.Callable[
-    [Seen, asyncio.StreamWriter], typing.Awaitable[typing.Any]
+    [HttpMessage, asyncio.StreamWriter], typing.Awaitable[typing.Any]
 ]
 
 
-async def read_request(reader: asyncio.StreamReader) -> Seen | None:
-    """Read one request, None at the end of the connection."""
+async def read_request(reader: asyncio.StreamReader) -> HttpMessage | None:
+    """Read one HTTP message; return None at the end of the connection."""
     try:
         head = await reader.readuntil(b'\r\n\r\n')
     except (asyncio.IncompleteReadError, ConnectionError):
@@ -31,15 +31,15 @@
         for name, _, value in (row.partition(':') for row in rows)
     }
     body = await reader.readexactly(int(headers.get('content-length', 0)))
-    return Seen(line, headers, body)
+    return HttpMessage(line, headers, body)
 
 
 class ScriptedTarget:
-    """Listens on a port of its own; ``script`` answers each request."""
+    """A server on its own port that calls ``script`` for each request."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
-        self.seen: list[Seen] = []
+        self.seen: list[HttpMessage] = []
         self.connections = 0
         self.closed = 0
         self._server: asyncio.Server | None = None
@@ -76,7 +76,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Break a connection off, so that its peer sees a reset."""
+    """Close a connection at once, dropping unsent bytes."""
     writer.transport.abort()
 
 
@@ -87,7 +87,7 @@
     headers: typing.Mapping[str, str] = {},
     framed: bool = True,
 ) -> bytes:
-    """Return an answer; without a frame it ends with its connection."""
+    """Return a response, without ``Content-Length`` unless ``framed``."""
     rows = {'Request-Id': request_id, **headers}
     if framed:
         rows['Content-Length'] = str(len(body))
--- a/standins/small_system.py
+++ b/standins/small_system.py
@@ -1,4 +1,4 @@
-"""The example configuration on a few processes, without relays."""
+"""The example configuration on a small system without relays."""
 
 import pathlib
 
@@ -6,17 +6,17 @@
 
 from standins import cluster
 
-_BASE = pathlib.Path(__file__).parents[1] / 'examples' / 'gebeya'
+_EXAMPLE = pathlib.Path(__file__).parents[1] / 'examples' / 'gebeya'
 
 
 async def start(system: cluster.Cluster, daemons: int) -> None:
-    """Start a store, six targets and some daemons, all configured."""
+    """Start a store, six targets and ``daemons`` daemons; wait for them."""
     await system.start_store()
     shards = ['shard-1', 'shard-2', 'shard-3', 'shard-4']
     desks = ['desk-1', 'desk-2']
     await system.start_targets(shards)
     await system.start_targets(desks, '--slots', '4')
-    text = (_BASE / 'base.json').read_text(encoding='utf-8')
+    text = (_EXAMPLE / 'base.json').read_text(encoding='utf-8')
     base = json5.loads(text)
     for name, url in system.target_urls.items():
         base['targets'][name]['url'] = url
--- a/standins/target.py
+++ b/standins/target.py
@@ -1,9 +1,9 @@
-"""A small stand-in of a target, with fault switches.
+"""A stand-in of a target, with fault switches.
 
 Run as ``python -m standins.target --name t1 --port 7400 --store URL``.
-``--name`` and ``--port`` may be given several times: one process then plays
-several targets.  Faults are switched by ``POST /control/faults`` with the
-fields of :class:`standins.target_faults.Faults`.
+Repeat ``--name`` and ``--port`` to run several targets in one process.
+``POST /control/faults`` sets the faults, with the fields of
+:class:`standins.target_faults.Faults` as body.
 """
 
 import asyncio
@@ -26,7 +26,11 @@
 
 
 class Target:
-    """One target: it holds every shard that a snapshot gives it."""
+    """One target, which holds every shard that a snapshot assigns to it.
+
+    ``_waiting`` maps the attempts that have not begun to their deadlines in
+    ms, ``_stops`` the running sub-queries to the events that cancel them.
+    """
 
     def __init__(
         self,
@@ -57,14 +61,14 @@
         app.router.add_get('/control/executions', self._get_executions)
         return app
 
-    def learn(self, snapshot: state.Snapshot) -> None:
-        """Hold a snapshot; the oldest beyond the kept ones is dropped."""
+    def hold_snapshot(self, snapshot: state.Snapshot) -> None:
+        """Add a snapshot; drop the oldest beyond ``_KEPT_SNAPSHOTS``."""
         self._snapshots[snapshot.snapshot_id] = snapshot
         while len(self._snapshots) > _KEPT_SNAPSHOTS:
             del self._snapshots[min(self._snapshots)]
 
     async def _batch(self, request: web.Request) -> web.Response:
-        number = await self.limits.admit_connection(request)
+        connection = await self.limits.admit_connection(request)
         batch = msgspec.json.decode(
             await request.read(), type=protocol.TargetBatch
         )
@@ -83,12 +87,13 @@
         try:
             async with self.limits.slot():
                 answers = [
-                    await self._answer(item, number) for item in batch.items
+                    await self._answer(item, connection)
+                    for item in batch.items
                 ]
         finally:
             for item in batch.items:
                 self._waiting.pop(item.attempt_id, None)
-        answers = self._faults.crossed(answers)
+        answers = self._faults.swap_answer_ids(answers)
         await self._faults.swallow()
         return _json(
             protocol.TargetBatchAnswer(
@@ -97,7 +102,7 @@
         )
 
     async def _answer(
-        self, item: protocol.TargetQuery, number: int
+        self, item: protocol.TargetQuery, connection: int
     ) -> protocol.TargetAnswer:
         refusal = self._refusal(item)
         if refusal is not None:
@@ -108,13 +113,13 @@
                 fingerprint=item.fingerprint,
             )
         deadline_at_ms = self._waiting.pop(item.attempt_id)
-        # A newer snapshot may push this one out while the work is done.
+        # Newer snapshots may replace this one during the search below.
         snapshot = self._snapshots[item.snapshot_id]
         shards = snapshot.indexes[item.index].shards
-        held = next(s for s in shards if s.shard_id == item.shard_id)
-        execution = self.log.start('sub-query', item, number)
-        self._faults.die_of(item.terms.values())
-        service_ms, cut_short = await self._search(
+        assigned = next(s for s in shards if s.shard_id == item.shard_id)
+        execution = self.log.start('sub-query', item, connection)
+        self._faults.die_if_poisoned(item.terms.values())
+        service_ms, cut_short = await self._wait_service_time(
             item.attempt_id, deadline_at_ms
         )
         execution.ended_ms = target_log.now_ms()
@@ -122,7 +127,7 @@
             return protocol.TargetAnswer(
                 item.attempt_id, cut_short, fingerprint=item.fingerprint
             )
-        return self._read(item, held.key_range, service_ms)
+        return self._read(item, assigned.key_range, service_ms)
 
     def _read(
         self,
@@ -130,12 +135,12 @@
         key_range: protocol.KeyRange,
         service_ms: float,
     ) -> protocol.TargetAnswer:
-        """Return what the shard has, or what the faults make of it."""
+        """Return the matching records of the shard, subject to faults."""
         found = data.find(
             item.index, key_range, item.terms, item.index_version
         )
         if self._faults.cold_answers_empty:
-            # Lost its shard but answers: it searched no key range.
+            # The target lost its shard: it has searched no key range.
             return protocol.TargetAnswer(
                 item.attempt_id,
                 protocol.TargetStatus.OK,
@@ -175,15 +180,18 @@
         index = snapshot.indexes.get(item.index)
         if index is None or index.version != item.index_version:
             return protocol.TargetStatus.SNAPSHOT_GONE
-        held = [s for s in index.shards if s.shard_id == item.shard_id]
-        if not held or self._name not in held[0].replicas:
+        assigned = [s for s in index.shards if s.shard_id == item.shard_id]
+        if not assigned or self._name not in assigned[0].replicas:
             return protocol.TargetStatus.NOT_LOADED
         return None
 
-    async def _search(
+    async def _wait_service_time(
         self, attempt_id: str, deadline_at_ms: float
     ) -> tuple[float, protocol.TargetStatus | None]:
-        """Work until done, cancelled or past the deadline."""
+        """Wait for the service time, a cancel or the deadline.
+
+        Returns the service time in ms, and the status if it was cut short.
+        """
         took_ms = self._faults.draw_service_ms(self._random)
         if not took_ms:
             return 0.0, None
@@ -199,7 +207,7 @@
         return took_ms, protocol.TargetStatus.CANCELLED
 
     async def _run(self, request: web.Request) -> web.Response:
-        number = await self.limits.admit_connection(request)
+        connection = await self.limits.admit_connection(request)
         order = msgspec.json.decode(
             await request.read(), type=protocol.TargetRun
         )
@@ -208,14 +216,14 @@
         self._waiting[order.attempt_id] = arrived_ms + order.deadline_ms
         try:
             async with self.limits.slot():
-                answer = await self._run_one(order, number)
+                answer = await self._run_one(order, connection)
         finally:
             self._waiting.pop(order.attempt_id, None)
         await self._faults.swallow()
         return _json(answer)
 
     async def _run_one(
-        self, order: protocol.TargetRun, number: int
+        self, order: protocol.TargetRun, connection: int
     ) -> protocol.TargetRunAnswer:
         refusals = (
             (
@@ -237,8 +245,10 @@
                 )
         self._waiting.pop(order.attempt_id, None)
         self._stats.runs += 1
-        execution = self.log.start('run', order, number, order.idempotency_key)
-        self._faults.die_of(order.body.values())
+        execution = self.log.start(
+            'run', order, connection, order.idempotency_key
+        )
+        self._faults.die_if_poisoned(order.body.values())
         await asyncio.sleep(
             self._faults.draw_service_ms(self._random) / 1000.0
         )
@@ -255,7 +265,7 @@
         order = msgspec.json.decode(
             await request.read(), type=protocol.TargetCancel
         )
-        never = [
+        not_begun = [
             attempt_id
             for attempt_id in order.attempt_ids
             if self._waiting.pop(attempt_id, None) is not None
@@ -263,7 +273,7 @@
         stopped = [row for row in order.attempt_ids if row in self._stops]
         for attempt_id in stopped:
             self._stops[attempt_id].set()
-        return _json(protocol.TargetCancelAnswer(never, stopped))
+        return _json(protocol.TargetCancelAnswer(not_begun, stopped))
 
     async def _health(self, request: web.Request) -> web.Response:
         draining = self._faults.draining and not self._faults.lie_healthy
@@ -317,7 +327,7 @@
                     row['value'], type=state.Snapshot
                 )
                 for target in targets:
-                    target.learn(snapshot)
+                    target.hold_snapshot(snapshot)
 
 
 async def _serve(
