--- a/tests/process/__init__.py
+++ b/tests/process/__init__.py
@@ -1,1 +1,1 @@
-"""Tests with real processes."""
+"""Tests that run the programs as processes."""
