--- a/samphiredock/cli/_explain.py
+++ b/samphiredock/cli/_explain.py
@@ -206,7 +206,7 @@
     if failed:
         parts.append(_describe_target_failures(failed))
     return (
-        '; '.join(parts) or 'it was answered completely and in time'
+        '; '.join(parts) or 'it was answered whole and in time'
     ) + _describe_denied_attempts(end)
 
 
